--- a/Makefile
+++ b/Makefile
@@ -3,6 +3,7 @@
 
 .PHONY: check
 check:
+	$(PYTHON) -m ruff format --check .
 	$(PYTHON) -m ruff check .
 	$(PYTHON) -m mypy
 	$(PYTHON) -m pytest
--- a/emulator/__main__.py
+++ b/emulator/__main__.py
@@ -22,7 +22,10 @@
 ADDED = "added"
 LONGEST, LONGEST_QUICK = 300, 60  # seconds that one run may take
 RUNS: dict[str, Callable[[Options], Done]] = {
-    "slopes": slopes.run, "hollow": hollow.run, "fleet": fleet.run, "settings": settings.run,
+    "slopes": slopes.run,
+    "hollow": hollow.run,
+    "fleet": fleet.run,
+    "settings": settings.run,
 }
 OTHER_PROGRAM = ("settings",)  # runs that can measure the proxy of another tree
 
@@ -31,10 +34,19 @@
     """The options that every run has."""
     for option in (
         click.option("--quick", is_flag=True, help="A small edition."),
-        click.option("--out", type=click.Path(file_okay=False, path_type=Path), default=RESULTS,
-                     help="Folder for the result (default: results/ of this tree)."),
-        click.option("--seed", type=click.IntRange(0, 2**32 - 1), default=1, show_default=True,
-                     help="For everything random."),
+        click.option(
+            "--out",
+            type=click.Path(file_okay=False, path_type=Path),
+            default=RESULTS,
+            help="Folder for the result (default: results/ of this tree).",
+        ),
+        click.option(
+            "--seed",
+            type=click.IntRange(0, 2**32 - 1),
+            default=1,
+            show_default=True,
+            help="For everything random.",
+        ),
     ):
         command = option(command)
     return command
@@ -68,7 +80,9 @@
 
     if name in OTHER_PROGRAM:
         click.option(
-            "--program", default=ROOT, help="Tree of the proxy to measure (default: this tree).",
+            "--program",
+            default=ROOT,
+            help="Tree of the proxy to measure (default: this tree).",
             type=click.Path(exists=True, file_okay=False, resolve_path=True, path_type=Path),
         )(command)
     return command
@@ -115,8 +129,12 @@
     try:
         cli.main(standalone_mode=False)
     except click.exceptions.NoArgsIsHelpError as fault:
-        print(f"emulator: a command is needed: {', '.join(cli.list_commands(fault.ctx))}"
-              if fault.ctx else "emulator: a command is needed", file=sys.stderr)
+        print(
+            f"emulator: a command is needed: {', '.join(cli.list_commands(fault.ctx))}"
+            if fault.ctx
+            else "emulator: a command is needed",
+            file=sys.stderr,
+        )
         return 2
     except click.UsageError as fault:
         print(f"emulator: {' '.join(fault.format_message().split())}", file=sys.stderr)
--- a/emulator/added.py
+++ b/emulator/added.py
@@ -106,8 +106,16 @@
 def endpoints(rows: int, ports: Sequence[int]) -> list[dict[str, Any]]:
     """A list in discovery's form; more rows than ports go round the ports."""
     return [
-        {"name": f"s-{n}", "address": f"{HOST}:{ports[n % len(ports)]}", "zone": "here", "type": "k",
-         "group": 0, "status": "in_service", "weight": 1.0, "since_ms": 0}
+        {
+            "name": f"s-{n}",
+            "address": f"{HOST}:{ports[n % len(ports)]}",
+            "zone": "here",
+            "type": "k",
+            "group": 0,
+            "status": "in_service",
+            "weight": 1.0,
+            "since_ms": 0,
+        }
         for n in range(rows)
     ]
 
@@ -115,12 +123,15 @@
 def settings(proxies: int, ordinal: int) -> dict[str, Any]:
     """The settings of a proxy of a tier of so many."""
     return {
-        "Instances": proxies, "Ordinal": ordinal,
+        "Instances": proxies,
+        "Ordinal": ordinal,
         "Services": [{"Name": "read", "Aim": 5.0, "HardLimit": 5.0, "Repeat": "retryable", "LateWorth": 1.0}],
         "Orgs": [{"Name": "acme", "Share": 1.0}],
         "Bounds": {"Cancel": True, "MaxAttempts": 5, "ConnIdle": 60.0, "DialTimeout": 0.25},
         "Rules": {"DrainGrace": 0.5, "ColdFrom": 0.5, "Cold": 0.0, "FallMultiple": 3.0, "TipAfter": 3.0},
-        "Tiers": ["one"], "Zones": ["here"], "HostTypes": ["k"],
+        "Tiers": ["one"],
+        "Zones": ["here"],
+        "HostTypes": ["k"],
     }
 
 
@@ -155,7 +166,11 @@
 
 
 async def start(
-    stack: AsyncExitStack, cores: frozenset[int], *arguments: str, cwd: Path = ROOT, quiet: bool = False,
+    stack: AsyncExitStack,
+    cores: frozenset[int],
+    *arguments: str,
+    cwd: Path = ROOT,
+    quiet: bool = False,
     **environ: str,
 ) -> Process:
     """This interpreter with these arguments, on these cores; killed when the stack ends.
@@ -164,9 +179,14 @@
     """
     clean = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
     process = await asyncio.create_subprocess_exec(
-        sys.executable, *arguments, cwd=cwd, env=clean | {"OPENBLAS_NUM_THREADS": "1"} | environ,
-        stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-        stderr=asyncio.subprocess.DEVNULL if quiet else None, limit=16 << 20,
+        sys.executable,
+        *arguments,
+        cwd=cwd,
+        env=clean | {"OPENBLAS_NUM_THREADS": "1"} | environ,
+        stdin=asyncio.subprocess.PIPE,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.DEVNULL if quiet else None,
+        limit=16 << 20,
     )
     stack.push_async_callback(stop, process)
     os.sched_setaffinity(process.pid, cores)
@@ -261,11 +281,19 @@
     processes = []
     for n, (port, cores) in enumerate(zip(listens, placement.proxies, strict=True)):
         path = folder / f"n{n}.json"
-        path.write_text(json.dumps({
-            "name": f"n{n}", "listen": f"{HOST}:{port}", "discovery": f"{HOST}:{port_of(discovery)}",
-            "seed": f"{seed * 1000 + n:016x}", "limits": LIMITS, "known": known,
-            "settings": settings(len(listens), n),
-        }))
+        path.write_text(
+            json.dumps(
+                {
+                    "name": f"n{n}",
+                    "listen": f"{HOST}:{port}",
+                    "discovery": f"{HOST}:{port_of(discovery)}",
+                    "seed": f"{seed * 1000 + n:016x}",
+                    "limits": LIMITS,
+                    "known": known,
+                    "settings": settings(len(listens), n),
+                }
+            )
+        )
         processes.append(await start(stack, cores, "-m", "lugspur", RELAY_CONFIG=str(path)))
     await asyncio.gather(*map(healthy, listens))
     return processes, listens
@@ -277,13 +305,21 @@
     async with AsyncExitStack() as stack:
         length = WARMUP + trial.seconds + 3 * PATIENCE
         backend = await start(
-            stack, placement.backend, "-m", "emulator.backend",
-            "--ports", str(min(trial.rows, PORTS_MOST)), "--seconds", str(length),
+            stack,
+            placement.backend,
+            "-m",
+            "emulator.backend",
+            "--ports",
+            str(min(trial.rows, PORTS_MOST)),
+            "--seconds",
+            str(length),
         )
         ports = json.loads(await heard(backend, PATIENCE))
         processes, listens = await proxies(stack, trial, placement, seed, ports)
-        through = [Stream(f"n{n}", [port], rate) for n, (port, rate) in
-                   enumerate(zip(listens, trial.rates, strict=True))]
+        through = [
+            Stream(f"n{n}", [port], rate)
+            for n, (port, rate) in enumerate(zip(listens, trial.rates, strict=True))
+        ]
         plan = Plan(seed, WARMUP, trial.seconds, [*through, Stream("direct", ports, trial.direct)])
         caller = await start(stack, placement.caller, "-m", "emulator.caller")
         await say(caller, plan_line(plan))
@@ -334,16 +370,23 @@
     calls = sum(row["ended"].values())
     latencies = merged([row["histogram"]])
     return {
-        "rate": rate, "ended": row["ended"], "count": int(latencies.get_total_count()),
-        "us": quantiles(latencies), "cpu_ms_per_call": 1000.0 * (after.cpu - before.cpu) / max(1, calls),
-        "resident_mb": after.resident / 2**20, "resident_mb_before": before.resident / 2**20,
+        "rate": rate,
+        "ended": row["ended"],
+        "count": int(latencies.get_total_count()),
+        "us": quantiles(latencies),
+        "cpu_ms_per_call": 1000.0 * (after.cpu - before.cpu) / max(1, calls),
+        "resident_mb": after.resident / 2**20,
+        "resident_mb_before": before.resident / 2**20,
         "preempted": after.preempted - before.preempted,
     }
 
 
 def report(
-    trial: Trial, placement: Placement, answer: dict[str, Any],
-    before: Sequence[Usage], after: Sequence[Usage],
+    trial: Trial,
+    placement: Placement,
+    answer: dict[str, Any],
+    before: Sequence[Usage],
+    after: Sequence[Usage],
 ) -> dict[str, Any]:
     """A trial's figures, from the caller's answer and what the proxies, the backend and the caller used.
 
@@ -355,20 +398,27 @@
     groups = {"all": [row["histogram"] for row in rows[:-1]]}
     if len(set(trial.rates)) > 1:
         for rate in sorted(set(trial.rates)):
-            groups[f"{rate:.0f}/s"] = [row["histogram"] for row, own in zip(rows, trial.rates, strict=False)
-                                       if own == rate]
+            groups[f"{rate:.0f}/s"] = [
+                row["histogram"] for row, own in zip(rows, trial.rates, strict=False) if own == rate
+            ]
     latencies = {name: merged(encoded) for name, encoded in groups.items()}
     return {
-        "rows": trial.rows, "seconds": trial.seconds, "rates": list(trial.rates),
-        "cores": {"backend": sorted(placement.backend), "caller": sorted(placement.caller),
-                  "proxies": [sorted(share) for share in placement.proxies],
-                  "one_process_each": placement.own},
+        "rows": trial.rows,
+        "seconds": trial.seconds,
+        "rates": list(trial.rates),
+        "cores": {
+            "backend": sorted(placement.backend),
+            "caller": sorted(placement.caller),
+            "proxies": [sorted(share) for share in placement.proxies],
+            "one_process_each": placement.own,
+        },
         "direct": distribution(direct) | {"rate": trial.direct, "ended": rows[-1]["ended"]},
         "through": {name: distribution(one) for name, one in latencies.items()},
         "added_us": {name: difference(quantiles(one), quantiles(direct)) for name, one in latencies.items()},
         "proxies": [proxy_row(*each) for each in zip(trial.rates, rows[:-1], before, after, strict=False)],
         "disturbed": {
-            "caller_stalls": len(answer["stalls_us"]), "caller_stall_us": max(answer["stalls_us"], default=0),
+            "caller_stalls": len(answer["stalls_us"]),
+            "caller_stall_us": max(answer["stalls_us"], default=0),
             "backend_preempted": after[-2].preempted - before[-2].preempted,
             "caller_preempted": after[-1].preempted - before[-1].preempted,
             "backend_cpu": (after[-2].cpu - before[-2].cpu) / (WARMUP + trial.seconds),
@@ -378,11 +428,16 @@
 
 def budgeted(figures: dict[str, Any]) -> dict[str, float]:
     """The figures that have a budget, by its name: milliseconds added to 99 in 100 calls."""
-    names = {"added_p99": solo(AVERAGE, SERVICE, 0.0).name,
-             "added_p99_all_rows": solo(AVERAGE, ALL, 0.0).name,
-             "added_p99_fleet": fleet(0.0).name}
-    return {budget: figures[name]["added_us"]["all"]["p99"] / 1000.0
-            for budget, name in names.items() if name in figures}
+    names = {
+        "added_p99": solo(AVERAGE, SERVICE, 0.0).name,
+        "added_p99_all_rows": solo(AVERAGE, ALL, 0.0).name,
+        "added_p99_fleet": fleet(0.0).name,
+    }
+    return {
+        budget: figures[name]["added_us"]["all"]["p99"] / 1000.0
+        for budget, name in names.items()
+        if name in figures
+    }
 
 
 def summary(name: str, figures: dict[str, Any]) -> str:
@@ -391,13 +446,19 @@
     ms = ", ".join(f"{quantile} {added[quantile] / 1000.0:.2f}" for quantile in QUANTILES)
     cpu = [row["cpu_ms_per_call"] for row in figures["proxies"]]
     resident = max(row["resident_mb"] for row in figures["proxies"])
-    failed = sum(count for row in [*figures["proxies"], figures["direct"]]
-                 for how, count in row["ended"].items() if how != "200")
+    failed = sum(
+        count
+        for row in [*figures["proxies"], figures["direct"]]
+        for how, count in row["ended"].items()
+        if how != "200"
+    )
     disturbed = figures["disturbed"]
     stalls, longest = disturbed["caller_stalls"], disturbed["caller_stall_us"] / 1000.0
-    return (f"{name}: added ms: {ms}; {figures['through']['all']['count']} calls, {failed} not served; "
-            f"{sum(cpu) / len(cpu):.2f} ms of processor a call, {resident:.0f} MB at most; "
-            f"the caller's core was taken {stalls} times, {longest:.1f} ms at most")
+    return (
+        f"{name}: added ms: {ms}; {figures['through']['all']['count']} calls, {failed} not served; "
+        f"{sum(cpu) / len(cpu):.2f} ms of processor a call, {resident:.0f} MB at most; "
+        f"the caller's core was taken {stalls} times, {longest:.1f} ms at most"
+    )
 
 
 async def run(batches: Sequence[Sequence[Trial]], cores: Sequence[int], seed: int) -> dict[str, Any]:
@@ -415,10 +476,16 @@
 
 
 @click.command("added")
-@click.option("--seed", type=click.IntRange(0, 2**32 - 1), default=1, show_default=True,
-              help="Of the arrivals and the proxies.")
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path), default=RESULTS,
-              help="Folder for the result.")
+@click.option(
+    "--seed",
+    type=click.IntRange(0, 2**32 - 1),
+    default=1,
+    show_default=True,
+    help="Of the arrivals and the proxies.",
+)
+@click.option(
+    "--out", type=click.Path(file_okay=False, path_type=Path), default=RESULTS, help="Folder for the result."
+)
 @click.option("--quick", is_flag=True, help="One proxy for some 5 s instead of the whole, some 95 s.")
 def command(seed: int, out: Path, quick: bool) -> None:
     """The time that real proxies add to a call, against the same backend called directly."""
@@ -438,7 +505,12 @@
         sys.exit(1)
     finally:
         os.sched_setaffinity(0, cores)
-    body = {"cores": len(cores), "wall_s": time.monotonic() - began, "warmup_s": WARMUP, "trials": figures,
-            "figures": budgeted(figures)}
+    body = {
+        "cores": len(cores),
+        "wall_s": time.monotonic() - began,
+        "warmup_s": WARMUP,
+        "trials": figures,
+        "figures": budgeted(figures),
+    }
     path = write("added-quick" if quick else "added", seed, body, out)
     click.echo(f"added: {path}")
--- a/emulator/hollow.py
+++ b/emulator/hollow.py
@@ -148,8 +148,12 @@
             self._proxies += begun
         gc.collect()
         after = meter.own()
-        return {"processor": after.processor - before.processor, "memory": after.memory - before.memory,
-                "proxies": len(places), "resident": after.memory}
+        return {
+            "processor": after.processor - before.processor,
+            "memory": after.memory - before.memory,
+            "proxies": len(places),
+            "resident": after.memory,
+        }
 
     def freeze(self) -> None:
         """Spare the collector what is there now, as the real proxy does once it has its list."""
--- a/emulator/result.py
+++ b/emulator/result.py
@@ -19,8 +19,11 @@
 def machine() -> dict[str, Any]:
     """Processors (count, model), Python and kernel of this machine."""
     return {
-        "cpus": os.cpu_count(), "model": _processor(), "python": platform.python_version(),
-        "implementation": platform.python_implementation(), "kernel": platform.release(),
+        "cpus": os.cpu_count(),
+        "model": _processor(),
+        "python": platform.python_version(),
+        "implementation": platform.python_implementation(),
+        "kernel": platform.release(),
     }
 
 
@@ -72,8 +75,12 @@
     out.mkdir(parents=True, exist_ok=True)
     path = out / f"{name}.json"
     whole = {
-        "run": name, "seed": seed, "written": datetime.now(UTC).isoformat(timespec="seconds"),
-        "machine": machine(), "versions": versions(), **body,
+        "run": name,
+        "seed": seed,
+        "written": datetime.now(UTC).isoformat(timespec="seconds"),
+        "machine": machine(),
+        "versions": versions(),
+        **body,
     }
     path.write_text(json.dumps(whole, indent=1) + "\n", encoding="utf-8")
     return path
--- a/emulator/runs/fleet.py
+++ b/emulator/runs/fleet.py
@@ -151,14 +151,16 @@
         ports = {door.name: door.port for door in self._doors}
         self._held = [len(each) for each in dealt]
         for host, each in zip(self._hosts, dealt, strict=True):
-            host.send("add", [(place, ports[name]) for place, name in each], self.plan.proxies,
-                      self.plan.narrow)
+            host.send(
+                "add", [(place, ports[name]) for place, name in each], self.plan.proxies, self.plan.narrow
+            )
         added = [host.result() for host in self._hosts]
         call_all(self._hosts, "freeze")
         return {
             "memory_mb": sum(a["memory"] for a in added) / len(places) / MB,
             "processor": sum(a["processor"] for a in added) / len(places),
-            "processes": len(self._hosts), "resident_mb": sum(a["resident"] for a in added) / MB,
+            "processes": len(self._hosts),
+            "resident_mb": sum(a["resident"] for a in added) / MB,
         }
 
     def _door(self, doors: dict[str, _Door], number: int, place: int) -> _Door:
@@ -276,28 +278,36 @@
         after = self._sent()
         sent = sum(a["sent"] for a in after) - sum(b["sent"] for b in before)
         return {
-            "seconds": spent, "taken_in_after": ended - acted, "versions": len(self._stamps), "whole": whole,
+            "seconds": spent,
+            "taken_in_after": ended - acted,
+            "versions": len(self._stamps),
+            "whole": whole,
             "age": self._ages(),
             "proxy": {
                 "processor_mean": 100.0 * sum(s.growth() for s in hosts) / self.plan.proxies / spent,
-                "processor_worst": 100.0 * max(
-                    s.worst() / n for s, n in zip(hosts, self._held, strict=True)),
+                "processor_worst": 100.0 * max(s.worst() / n for s, n in zip(hosts, self._held, strict=True)),
                 "lists_worst": 100.0 * max(lists) / WORST_OVER,
-                "processor_each": sum(s.growth() for s in hosts) / self.plan.proxies
+                "processor_each": sum(s.growth() for s in hosts)
+                / self.plan.proxies
                 / max(1, len(self._stamps)),
                 "bytes_mean": sent / self.plan.proxies / spent,
                 # Of the control machine that told each of its watches the most.
                 "bytes_worst": max(
                     (a["sent"] - b["sent"]) / max(1, a["open"]) for a, b in zip(after, before, strict=True)
-                ) / max(WORST_OVER, spent),
+                )
+                / max(WORST_OVER, spent),
                 "bytes_each": sent / self.plan.proxies / max(1, len(self._stamps)),
             },
             "resident_mb": sum(sampler.memory) / MB,
             "machines": [
-                {"processor": a["processor"] - b["processor"], "sent": a["sent"] - b["sent"],
-                 "watches": a["open"], "begun": a["watches"] - b["watches"],
-                 "wholes": a["wholes"] - b["wholes"],
-                 "worst": 100.0 * sampler.series[len(hosts) + number].worst()}
+                {
+                    "processor": a["processor"] - b["processor"],
+                    "sent": a["sent"] - b["sent"],
+                    "watches": a["open"],
+                    "begun": a["watches"] - b["watches"],
+                    "wholes": a["wholes"] - b["wholes"],
+                    "worst": 100.0 * sampler.series[len(hosts) + number].worst(),
+                }
                 for number, (a, b) in enumerate(zip(after, before, strict=True))
             ],
         }
@@ -313,8 +323,11 @@
         for age in last.values():
             if age > 0.0:  # a change that concerns no proxy has no last one
                 at_last.record_value(max(1, round(age * 1e6)))
-        return {"all": _summary(everywhere), "last": _summary(at_last),
-                "missing": sum(missing for _, _, missing in found)}
+        return {
+            "all": _summary(everywhere),
+            "last": _summary(at_last),
+            "missing": sum(missing for _, _, missing in found),
+        }
 
 
 def _summary(histogram: HdrHistogram) -> dict[str, Any]:
@@ -322,8 +335,10 @@
     if not histogram.get_total_count():
         return {"count": 0}
     return {
-        "count": histogram.get_total_count(), "median": histogram.get_value_at_percentile(50.0) / 1e6,
-        "p99": histogram.get_value_at_percentile(99.0) / 1e6, "worst": histogram.get_max_value() / 1e6,
+        "count": histogram.get_total_count(),
+        "median": histogram.get_value_at_percentile(50.0) / 1e6,
+        "p99": histogram.get_value_at_percentile(99.0) / 1e6,
+        "worst": histogram.get_max_value() / 1e6,
         "hdr": histogram.encode().decode(),
     }
 
@@ -341,11 +356,18 @@
                 act = fleet.changes_at_rate if name == "changes" else getattr(fleet, name)
                 events[name] = found = fleet.measure(act)
                 proxy, last = found["proxy"], found["age"]["last"]
-                say("fleet", f"{plan.name}: {name}: age at the last {last.get('worst', 0.0):.3f} s; proxy's "
-                    f"worst 10 s: {proxy['processor_worst']:.2f} % of a core, {proxy['bytes_worst']:.0f} B/s")
+                say(
+                    "fleet",
+                    f"{plan.name}: {name}: age at the last {last.get('worst', 0.0):.3f} s; proxy's "
+                    f"worst 10 s: {proxy['processor_worst']:.2f} % of a core, {proxy['bytes_worst']:.0f} B/s",
+                )
             plans[plan.name] = {
-                "proxies": plan.proxies, "narrow": plan.narrow, "speed": plan.speed, "rows": plan.rows,
-                "start": fleet.started, "events": events,
+                "proxies": plan.proxies,
+                "narrow": plan.narrow,
+                "speed": plan.speed,
+                "rows": plan.rows,
+                "start": fleet.started,
+                "events": events,
             }
     figures = figures_of(plans)
     body = {"quick": options.quick, "plans": plans, "figures": figures, "duration": time.monotonic() - begun}
@@ -358,8 +380,10 @@
     return {
         # A process's mean over its proxies, or what lists alone cost the proxy that had most to do.
         "processor_worst": max(
-            max(event["proxy"]["processor_worst"], event["proxy"]["lists_worst"]) for event in events),
+            max(event["proxy"]["processor_worst"], event["proxy"]["lists_worst"]) for event in events
+        ),
         "bytes_worst": max(event["proxy"]["bytes_worst"] for event in events),
         "change_age": max(
-            plan["events"]["changes"]["age"]["last"].get("worst", 0.0) for plan in plans.values()),
+            plan["events"]["changes"]["age"]["last"].get("worst", 0.0) for plan in plans.values()
+        ),
     }
--- a/emulator/runs/hollow.py
+++ b/emulator/runs/hollow.py
@@ -27,18 +27,23 @@
 RATE = 10.0  # changes a second: each is taken in alone
 READY = 15.0  # seconds in which the real ones watch
 SETTLE = 1.0  # seconds after which what was told has been taken in
-NOTE = ("a hollow proxy has no connections of callers and backends, so it does not sweep them, keeps no "
-        "addresses of backends, and shares its interpreter's memory with the others of its process")
+NOTE = (
+    "a hollow proxy has no connections of callers and backends, so it does not sweep them, keeps no "
+    "addresses of backends, and shares its interpreter's memory with the others of its process"
+)
 ROOT = Path(__file__).parent.parent.parent
 
 
 def config(fleet: topology.Topology, place: int, listen: int, discovery: int) -> dict[str, Any]:
     """The configuration of one real proxy, as in DEPLOY."""
     return {
-        "name": fleet.entries[place]["name"], "listen": f"{HOST}:{listen}",
-        "discovery": f"{HOST}:{discovery}", "seed": f"{fleet.seed + place:016x}",
+        "name": fleet.entries[place]["name"],
+        "listen": f"{HOST}:{listen}",
+        "discovery": f"{HOST}:{discovery}",
+        "seed": f"{fleet.seed + place:016x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"index": 0, "snapshot": True, "endpoints": []}, "settings": topology.settings(fleet, place),
+        "known": {"index": 0, "snapshot": True, "endpoints": []},
+        "settings": topology.settings(fleet, place),
     }
 
 
@@ -52,10 +57,16 @@
             for place, port in enumerate(ports):
                 file = Path(folder) / f"{place}.json"
                 file.write_text(json.dumps(config(fleet, place, port, discovery)), encoding="utf-8")
-                running.append(subprocess.Popen(
-                    [sys.executable, "-m", "lugspur"], cwd=ROOT, env=clean | {"RELAY_CONFIG": str(file)},
-                    stdin=subprocess.DEVNULL, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
-                ))
+                running.append(
+                    subprocess.Popen(
+                        [sys.executable, "-m", "lugspur"],
+                        cwd=ROOT,
+                        env=clean | {"RELAY_CONFIG": str(file)},
+                        stdin=subprocess.DEVNULL,
+                        stdout=subprocess.DEVNULL,
+                        stderr=subprocess.DEVNULL,
+                    )
+                )
             yield [process.pid for process in running]
         finally:
             for process in running:
@@ -102,7 +113,8 @@
         still = idle[group]["processor"] / idle["seconds"] * event["seconds"] / event["events"]
         event[group]["processor_net"] = event[group]["processor"] - still
     event["difference_percent"]["processor_net"] = _difference(
-        event["hollow"]["processor_net"], event["real"]["processor_net"])
+        event["hollow"]["processor_net"], event["real"]["processor_net"]
+    )
 
 
 def _difference(hollow: float, real: float) -> float | None:
@@ -148,11 +160,16 @@
             time.sleep(idle)
             return 1
 
-        events = {"change": pair.measure(changes), "whole_list": pair.measure(whole_lists),
-                  "idle": pair.measure(empty_lines)}
-        memory = {"real_mb": total(real).memory / PROXIES / MB,
-                  "hollow_mb": added["memory"] / PROXIES / MB,
-                  "hollow_process_mb": of(hollow.pid).memory / MB}
+        events = {
+            "change": pair.measure(changes),
+            "whole_list": pair.measure(whole_lists),
+            "idle": pair.measure(empty_lines),
+        }
+        memory = {
+            "real_mb": total(real).memory / PROXIES / MB,
+            "hollow_mb": added["memory"] / PROXIES / MB,
+            "hollow_process_mb": of(hollow.pid).memory / MB,
+        }
     for name in ("change", "whole_list"):
         net_of_idle(events[name], events["idle"])
     for name, event in events.items():
@@ -161,8 +178,16 @@
     share = events["idle"]["real"]["processor"] / events["idle"]["seconds"]
     share += CHANGES_A_DAY / DAY * events["change"]["real"]["processor"]
     figures = {"memory": memory["real_mb"], "processor_mean": 100.0 * share}
-    body = {"quick": options.quick, "rows": topology.BACKENDS, "proxies": PROXIES, "events": events,
-            "memory": memory, "figures": figures, "note": NOTE, "duration": time.monotonic() - begun}
+    body = {
+        "quick": options.quick,
+        "rows": topology.BACKENDS,
+        "proxies": PROXIES,
+        "events": events,
+        "memory": memory,
+        "figures": figures,
+        "note": NOTE,
+        "duration": time.monotonic() - begun,
+    }
     return Done(figures, write(options.name("hollow"), options.seed, body, options.out))
 
 
--- a/emulator/runs/settings.py
+++ b/emulator/runs/settings.py
@@ -33,10 +33,12 @@
 RATE = 20.0  # calls a second at each proxy that is called
 PART = 2  # the memory is read this often over its swaps
 VERSION = b"version "
-NOTE = ("an age runs from before the first file of a change is written until a proxy's health check names "
-        "it; a reload is one SIGHUP with other settings, reading the file and its known list included; a "
-        "reread one with the same settings; their difference is the swap; what a proxy spends idle is taken "
-        "off")
+NOTE = (
+    "an age runs from before the first file of a change is written until a proxy's health check names "
+    "it; a reload is one SIGHUP with other settings, reading the file and its known list included; a "
+    "reread one with the same settings; their difference is the swap; what a proxy spends idle is taken "
+    "off"
+)
 
 
 @dataclass(slots=True, frozen=True)
@@ -66,7 +68,7 @@
     lines = body.split(b"\n")
     if not head.startswith(b"HTTP/1.") or len(lines) < 2 or not lines[1].startswith(VERSION):
         return None
-    return lines[1][len(VERSION):].strip().decode("latin-1") or None
+    return lines[1][len(VERSION) :].strip().decode("latin-1") or None
 
 
 def names(version: str | None, label: str) -> bool:
@@ -160,8 +162,12 @@
 
     def configure(self, number: int, label: str | None = None) -> None:
         """Put the file in place that holds the settings after so many changes."""
-        put(self.path, self.config | ({"version": label} if label else {})
-            | {"settings": settings_at(number, self.proxies, self.ordinal)})
+        put(
+            self.path,
+            self.config
+            | ({"version": label} if label else {})
+            | {"settings": settings_at(number, self.proxies, self.ordinal)},
+        )
 
     def hang_up(self) -> None:
         """SIGHUP; RuntimeError where the process has ended."""
@@ -205,12 +211,21 @@
             self.made += 1
             path = self.folder / f"n{self.made}.json"
             config = {
-                "name": f"n{self.made}", "listen": f"{HOST}:{port}", "limits": added.LIMITS, "known": known,
-                "discovery": f"{HOST}:{port_of(server)}", "seed": f"{self.options.seed * 1000 + self.made:x}",
+                "name": f"n{self.made}",
+                "listen": f"{HOST}:{port}",
+                "limits": added.LIMITS,
+                "known": known,
+                "discovery": f"{HOST}:{port_of(server)}",
+                "seed": f"{self.options.seed * 1000 + self.made:x}",
             }
             put(path, config | {"settings": settings_at(0, len(cores), ordinal)})
             process = await added.start(
-                self.stack, share, "-m", "lugspur", cwd=self.options.program, quiet=True,
+                self.stack,
+                share,
+                "-m",
+                "lugspur",
+                cwd=self.options.program,
+                quiet=True,
                 RELAY_CONFIG=str(path),
             )
             found.append(Proxy(process, port, path, config, len(cores), ordinal))
@@ -245,8 +260,12 @@
             every.add(age, in_force)
             by_kind[kind_of(number)].add(age, in_force)
         await asyncio.sleep(max(0.0, at + size.every - time.monotonic()))
-    return {"changes": number, "worst": every.worst(), "all": every.as_dict(),
-            "by_kind": {kind: ages.as_dict() for kind, ages in by_kind.items() if ages.worst()}}
+    return {
+        "changes": number,
+        "worst": every.worst(),
+        "all": every.as_dict(),
+        "by_kind": {kind: ages.as_dict() for kind, ages in by_kind.items() if ages.worst()},
+    }
 
 
 async def under_calls(rig: _Rig, size: Size, cores: Sequence[int]) -> dict[str, Any]:
@@ -264,8 +283,10 @@
     for process in (caller, *(proxy.process for proxy in proxies)):  # what follows has the cores alone
         await added.stop(process)
     latencies = added.merged([stream["histogram"] for stream in streams])
-    return found | {"calls": lost(stream["ended"] for stream in streams)
-                    | {"rate": RATE, "proxies": size.called, "latency": added.distribution(latencies)}}
+    return found | {
+        "calls": lost(stream["ended"] for stream in streams)
+        | {"rate": RATE, "proxies": size.called, "latency": added.distribution(latencies)}
+    }
 
 
 async def _spent(proxy: Proxy, first: int, count: int, gap: float, step: int) -> float:
@@ -292,8 +313,14 @@
     reload = await _spent(proxy, 0, size.swaps, size.gap, 1) - idle
     swaps = swapped(first, await proxy.version())
     reread, reload = reread / size.swaps, reload / (swaps or size.swaps)
-    return {"rows": rows, "signals": size.swaps, "swaps": swaps, "reload": reload, "reread": reread,
-            "swap": reload - reread}
+    return {
+        "rows": rows,
+        "signals": size.swaps,
+        "swaps": swaps,
+        "reload": reload,
+        "reread": reread,
+        "swap": reload - reread,
+    }
 
 
 async def memory(proxy: Proxy, size: Size) -> dict[str, Any]:
@@ -307,8 +334,12 @@
     proxy.configure(0)  # as at its start
     proxy.hang_up()
     await asyncio.sleep(size.gap)
-    return {"signals": PART * part, "swaps": swaps, "resident_mb": resident,
-            "grew_mb": resident[-1] - resident[0]}
+    return {
+        "signals": PART * part,
+        "swaps": swaps,
+        "resident_mb": resident,
+        "grew_mb": resident[-1] - resident[0],
+    }
 
 
 async def alone(rig: _Rig, size: Size, cores: Sequence[int]) -> dict[str, Any]:
@@ -319,23 +350,36 @@
     fits = {}
     if len(points) >= fit.LEAST:
         fits = {y: fit.both(size.rows, [point[y] for point in points]) for y in ("reload", "reread", "swap")}
-    return {"memory": grown, "points": points, "fits": fits,
-            "core_percent": 100.0 * points[-1]["reload"] * CHANGES_A_DAY / DAY}
+    return {
+        "memory": grown,
+        "points": points,
+        "fits": fits,
+        "core_percent": 100.0 * points[-1]["reload"] * CHANGES_A_DAY / DAY,
+    }
 
 
 async def _run(options: Options, size: Size, cores: Sequence[int]) -> dict[str, Any]:
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(TemporaryDirectory()))
         backend = await added.start(
-            stack, frozenset(cores[:1]), "-m", "emulator.backend", "--ports", str(added.PORTS_MOST),
-            "--seconds", str(60.0 + size.series),
+            stack,
+            frozenset(cores[:1]),
+            "-m",
+            "emulator.backend",
+            "--ports",
+            str(added.PORTS_MOST),
+            "--seconds",
+            str(60.0 + size.series),
         )
         ports = orjson.loads(await added.heard(backend, added.PATIENCE))
         rig = _Rig(options, stack, folder, ports, np.random.default_rng([options.seed, len(KINDS)]))
         found = {"changes": await under_calls(rig, size, cores)}
         told, calls = found["changes"]["all"], found["changes"]["calls"]
-        say("settings", f"{told['in_force']} of {told['of']} in force within {WITHIN:g} s, "
-            f"worst {found['changes']['worst']:.3f} s; {calls['lost']} of {calls['calls']} calls lost")
+        say(
+            "settings",
+            f"{told['in_force']} of {told['of']} in force within {WITHIN:g} s, "
+            f"worst {found['changes']['worst']:.3f} s; {calls['lost']} of {calls['calls']} calls lost",
+        )
         return found | await alone(rig, size, cores)
 
 
@@ -356,10 +400,20 @@
     finally:
         os.sched_setaffinity(0, cores)
     point, grown = body["points"][-1], body["memory"]
-    say("settings", f"{1e3 * point['reload']:.2f} ms of processor a reload at {point['rows']} rows, "
+    say(
+        "settings",
+        f"{1e3 * point['reload']:.2f} ms of processor a reload at {point['rows']} rows, "
         f"{1e3 * point['reread']:.2f} of it to read; {grown['grew_mb']:.2f} MB more "
-        f"after {grown['signals']} signals")
-    body |= {"quick": options.quick, "proxies": size.proxies, "rows": size.rows[-1], "cores": len(cores),
-             "program": commit(options.program), "figures": figures_of(body), "note": NOTE,
-             "duration": time.monotonic() - begun}
+        f"after {grown['signals']} signals",
+    )
+    body |= {
+        "quick": options.quick,
+        "proxies": size.proxies,
+        "rows": size.rows[-1],
+        "cores": len(cores),
+        "program": commit(options.program),
+        "figures": figures_of(body),
+        "note": NOTE,
+        "duration": time.monotonic() - begun,
+    }
     return Done(body["figures"], write(options.name("settings"), options.seed, body, options.out))
--- a/emulator/runs/slopes.py
+++ b/emulator/runs/slopes.py
@@ -38,8 +38,15 @@
     """All slopes; writes slopes.json."""
     begun = time.monotonic()
     body: dict[str, Any] = {"quick": options.quick}
-    parts = {"module": module, "fleet_size": fleet_size, "path": path, "changes": changes, "calls": calls,
-             "registry_watches": registry_watches, "registry_changes": registry_changes}
+    parts = {
+        "module": module,
+        "fleet_size": fleet_size,
+        "path": path,
+        "changes": changes,
+        "calls": calls,
+        "registry_watches": registry_watches,
+        "registry_changes": registry_changes,
+    }
     if options.quick:  # the parts behind the budgets, and one of each kind
         parts = {name: parts[name] for name in ("module", "path", "changes", "registry_watches")}
     for name, part in parts.items():
@@ -120,11 +127,16 @@
         fleet = topology.build(options.seed, rows)
         step = _Stepping(fleet, FULL)
         line = Registry(fleet.entries).state.whole(None)
-        points.append({
-            "rows": rows, "change": cost(step.change, spend), "whole": cost(step.whole, spend),
-            "read": cost(lambda line=line: read.endpoints(orjson.loads(line)), spend),  # type: ignore[misc]
-            "decision": cost(step.call, spend, 100), "whole_bytes": len(line),
-        })
+        points.append(
+            {
+                "rows": rows,
+                "change": cost(step.change, spend),
+                "whole": cost(step.whole, spend),
+                "read": cost(lambda line=line: read.endpoints(orjson.loads(line)), spend),  # type: ignore[misc]
+                "decision": cost(step.call, spend, 100),
+                "whole_bytes": len(line),
+            }
+        )
     return points, "rows", ["change", "whole", "read", "decision", "whole_bytes"]
 
 
@@ -135,10 +147,14 @@
     points = []
     for proxies in FLEETS:
         step = _Stepping(fleet, proxies)
-        points.append({
-            "proxies": proxies, "change": cost(step.change, spend), "whole": cost(step.whole, spend),
-            "decision": cost(step.call, spend, 100),
-        })
+        points.append(
+            {
+                "proxies": proxies,
+                "change": cost(step.change, spend),
+                "whole": cost(step.whole, spend),
+                "decision": cost(step.call, spend, 100),
+            }
+        )
     return points, "proxies", ["change", "whole", "decision"]
 
 
@@ -206,12 +222,16 @@
                 if not rig.host.call("had_wholes", number + 2, WITHIN):
                     raise RuntimeError(f"a whole list was not taken in within {WITHIN:g} s")
             last, sent_last = rig.reading()
-            points.append({
-                "rows": rows, "change": change / PROXIES, "change_bytes": change_bytes / PROXIES,
-                "whole": (last - after) / wholes / PROXIES,
-                "whole_bytes": (sent_last - sent_after) / wholes / PROXIES,
-                "memory_mb": rig.added["memory"] / PROXIES / MB,
-            })
+            points.append(
+                {
+                    "rows": rows,
+                    "change": change / PROXIES,
+                    "change_bytes": change_bytes / PROXIES,
+                    "whole": (last - after) / wholes / PROXIES,
+                    "whole_bytes": (sent_last - sent_after) / wholes / PROXIES,
+                    "memory_mb": rig.added["memory"] / PROXIES / MB,
+                }
+            )
     return points, "rows", ["change", "whole", "change_bytes", "whole_bytes", "memory_mb"]
 
 
@@ -229,11 +249,14 @@
             else:
                 time.sleep(seconds)  # empty lines alone
             (after, sent_after), spent = rig.reading(), time.monotonic() - begun
-            points.append({
-                "changes": rate, "processor": (after - before) / spent / proxies,
-                "bytes": (sent_after - sent) / spent / proxies,
-                "memory_mb": rig.host.call("spent").memory / MB,
-            })
+            points.append(
+                {
+                    "changes": rate,
+                    "processor": (after - before) / spent / proxies,
+                    "bytes": (sent_after - sent) / spent / proxies,
+                    "memory_mb": rig.host.call("spent").memory / MB,
+                }
+            )
             # The rate that was reached, not the one wanted: settling takes time too.
             points[-1]["changes"] = max(1, round(rate * seconds)) / spent if rate else 0.0
     return points, "changes", ["processor", "bytes", "memory_mb"]
@@ -252,10 +275,13 @@
             (before, _), begun = rig.reading(), time.monotonic()
             time.sleep(seconds)
             (after, _), spent = rig.reading(), time.monotonic() - begun
-            points.append({
-                "calls": rate, "processor": (after - before) / spent,
-                "memory_mb": rig.host.call("spent").memory / MB,
-            })
+            points.append(
+                {
+                    "calls": rate,
+                    "processor": (after - before) / spent,
+                    "memory_mb": rig.host.call("spent").memory / MB,
+                }
+            )
     return points, "calls", ["processor", "memory_mb"]
 
 
@@ -269,7 +295,9 @@
         registry.call("change", index + number + 1, [changed.any_row()])
     after, spent = registry.call("spent"), time.monotonic() - begun
     return {
-        "watches": after["open"], "changes": rate, "memory_mb": registry.usage().memory / MB,
+        "watches": after["open"],
+        "changes": rate,
+        "memory_mb": registry.usage().memory / MB,
         "processor": (after["processor"] - before["processor"]) / spent,
         "bytes": (after["sent"] - before["sent"]) / spent,
     }
--- a/emulator/topology.py
+++ b/emulator/topology.py
@@ -69,9 +69,14 @@
 
 def _entry(place: int, service: int, kind: str, group: int) -> Entry:
     return {
-        "name": f"s{service:02d}-{place:05d}", "address": f"10.{1 + place // 65536}.{place // 256 % 256}."
-        f"{place % 256}:8080", "zone": ZONES[place % len(ZONES)], "type": kind, "group": group,
-        "status": "in_service", "weight": WEIGHTS[kind], "since_ms": 0,
+        "name": f"s{service:02d}-{place:05d}",
+        "address": f"10.{1 + place // 65536}.{place // 256 % 256}.{place % 256}:8080",
+        "zone": ZONES[place % len(ZONES)],
+        "type": kind,
+        "group": group,
+        "status": "in_service",
+        "weight": WEIGHTS[kind],
+        "since_ms": 0,
     }
 
 
@@ -94,15 +99,28 @@
     entry = topology.entries[place % len(topology.entries)]
     fleet = fleet or len(topology.entries)
     return {
-        "Instances": fleet, "Ordinal": place % fleet, "RegistryMode": "pushed",
+        "Instances": fleet,
+        "Ordinal": place % fleet,
+        "RegistryMode": "pushed",
         "Services": [
             {"Name": "read", "Aim": 0.5, "HardLimit": 2.0, "Repeat": "retryable", "LateWorth": 0.5},
             {"Name": "book", "Aim": 1.0, "HardLimit": 3.0, "Repeat": "fragile", "LateWorth": 0.5},
         ],
         "Orgs": [{"Name": "acme", "Share": 1.0}],
-        "Tiers": ["front", "rest"], "Tier": 1, "Zones": list(ZONES), "Zone": ZONES.index(entry["zone"]),
+        "Tiers": ["front", "rest"],
+        "Tier": 1,
+        "Zones": list(ZONES),
+        "Zone": ZONES.index(entry["zone"]),
         "HostTypes": list(TYPES),
         "Bounds": {"Cancel": True, "MaxAttempts": 3, "ConnIdle": 15.0, "DialTimeout": 0.25},
-        "Rules": {"DrainGrace": 0.25, "ColdFrom": 0.1, "Cold": 30.0, "FallMultiple": 2.0, "TipAfter": 1.0,
-                  "ExtraFree": 5.0, "ExtraPerRequest": 0.2, "RatioSpan": 10.0},
+        "Rules": {
+            "DrainGrace": 0.25,
+            "ColdFrom": 0.1,
+            "Cold": 30.0,
+            "FallMultiple": 2.0,
+            "TipAfter": 1.0,
+            "ExtraFree": 5.0,
+            "ExtraPerRequest": 0.2,
+            "RatioSpan": 10.0,
+        },
     }
--- a/jaspershelf/__init__.py
+++ b/jaspershelf/__init__.py
@@ -24,7 +24,25 @@
 )
 
 __all__ = [
-    "Action", "Balancer", "Breaker", "Cancel", "Discovery", "Fail", "Group", "Limits", "ListKind",
-    "Outcome", "Refuse", "Repeat", "RequestClass", "Rules", "Send", "ServerRow",
-    "Settings", "State", "Subscribe", "Tenant", "Timer",
+    "Action",
+    "Balancer",
+    "Breaker",
+    "Cancel",
+    "Discovery",
+    "Fail",
+    "Group",
+    "Limits",
+    "ListKind",
+    "Outcome",
+    "Refuse",
+    "Repeat",
+    "RequestClass",
+    "Rules",
+    "Send",
+    "ServerRow",
+    "Settings",
+    "State",
+    "Subscribe",
+    "Tenant",
+    "Timer",
 ]
--- a/jaspershelf/adapter.py
+++ b/jaspershelf/adapter.py
@@ -196,7 +196,12 @@
     @staticmethod
     def _call(b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
         return b.request(
-            now, e["Ref"], e.get("Kind", 0), e.get("ClientGroup", 0), e.get("Deadline"), e.get("Effort", 0.0),
+            now,
+            e["Ref"],
+            e.get("Kind", 0),
+            e.get("ClientGroup", 0),
+            e.get("Deadline"),
+            e.get("Effort", 0.0),
             e.get("Retry", False),
         )
 
--- a/jaspershelf/decide.py
+++ b/jaspershelf/decide.py
@@ -118,7 +118,14 @@
     """The design's chance of refusing locally: a call to one server, or any request of a pool."""
 
     __slots__ = (
-        "_accepts", "_failing", "_failures", "_requests", "_ring", "_width", "baseline", "current",
+        "_accepts",
+        "_failing",
+        "_failures",
+        "_requests",
+        "_ring",
+        "_width",
+        "baseline",
+        "current",
         "last_pass",
     )
 
@@ -308,7 +315,13 @@
     """What an instance knows of one server of the next tier."""
 
     __slots__ = (
-        "breaker", "cold_credit", "cold_seen", "latency", "out", "row", "seen",
+        "breaker",
+        "cold_credit",
+        "cold_seen",
+        "latency",
+        "out",
+        "row",
+        "seen",
     )
 
     def __init__(self, row: ServerRow) -> None:
@@ -339,7 +352,6 @@
             latency = max(latency, now - next(iter(out)).sent)
         return latency * (len(out) + unseen + 1.0)
 
-
     def mostly_fails(self, now: float) -> bool:
         """Whether it is an outlier by its breaker."""
         return self.breaker is not None and self.breaker.mostly_fails(now)
@@ -362,8 +374,19 @@
     """A request that a final answer is owed for, or that still has attempts out."""
 
     __slots__ = (
-        "attempts", "bound", "cost", "deadline", "done", "id", "kind", "limits", "open", "pool", "room",
-        "row", "until",
+        "attempts",
+        "bound",
+        "cost",
+        "deadline",
+        "done",
+        "id",
+        "kind",
+        "limits",
+        "open",
+        "pool",
+        "room",
+        "row",
+        "until",
     )
 
     def __init__(self, rid: RequestId, kind: int, deadline: float, balancer: Balancer) -> None:
@@ -393,9 +416,29 @@
     Guards placement: every pick, first or further, comes from a list that holds open servers alone.
     """
 
-    __slots__ = ("begin", "born", "breaker", "ends", "groups", "held", "held_at", "kinds", "owed", "place",
-                 "rate", "ready", "sent", "served", "spare", "usual", "warm_from", "warm_part", "width",
-                 "subset", "zones")
+    __slots__ = (
+        "begin",
+        "born",
+        "breaker",
+        "ends",
+        "groups",
+        "held",
+        "held_at",
+        "kinds",
+        "owed",
+        "place",
+        "rate",
+        "ready",
+        "sent",
+        "served",
+        "spare",
+        "usual",
+        "warm_from",
+        "warm_part",
+        "width",
+        "subset",
+        "zones",
+    )
 
     def __init__(self, kinds: tuple[int, ...] | None, zones: tuple[int, ...] | None) -> None:
         self.place = kinds, zones
@@ -419,7 +462,8 @@
     def opens(self, row: ServerRow) -> bool:
         """Whether the classes of this pool may go to this server."""
         return (self.kinds is None or row.kind in self.kinds) and (
-            self.zones is None or row.zone in self.zones)
+            self.zones is None or row.zone in self.zones
+        )
 
     def part_rate(self, now: float) -> float:
         """What each server of the subset gets from here, in calls a second.
@@ -485,8 +529,12 @@
 
         Those that are not on the wire yet should be ended as void.
         """
-        return [(r.id, n) for r in self.requests.values() for n, a in enumerate(r.attempts)
-                if a.open and not r.pool.opens(a.server.row)]
+        return [
+            (r.id, n)
+            for r in self.requests.values()
+            for n, a in enumerate(r.attempts)
+            if a.open and not r.pool.opens(a.server.row)
+        ]
 
     def _configure(self, now: float, settings: Settings) -> None:
         """Take settings over. Guards customers against each other: what has no name in both starts anew."""
@@ -691,8 +739,9 @@
         # are cold each still gets its part of what all can do now, and the few warm ones no more than theirs.
         if self.rng.random() >= 0.5 * part:
             return True
-        pace = (1.0 + pool.warm_part) * part * sum(
-            p.part_rate(now) for p in self.pools if p.opens(server.row))
+        pace = (
+            (1.0 + pool.warm_part) * part * sum(p.part_rate(now) for p in self.pools if p.opens(server.row))
+        )
         if server.cold_seen <= 0.0:
             server.cold_credit = self.rng.random()  # instances must not all begin at the same moment
             server.cold_seen = now
@@ -704,8 +753,14 @@
     # ---- requests ------------------------------------------------------------------------
 
     def request(
-        self, now: float, rid: RequestId, kind: int = 0, tenant: int = 0, deadline: float | None = None,
-        cost: float = 0.0, retry: bool = False,
+        self,
+        now: float,
+        rid: RequestId,
+        kind: int = 0,
+        tenant: int = 0,
+        deadline: float | None = None,
+        cost: float = 0.0,
+        retry: bool = False,
     ) -> list[Action]:
         """A new request; exactly one final answer is owed from here on."""
         self.settings.check_request(kind, tenant, deadline, cost)
--- a/lugspur/discovery.py
+++ b/lugspur/discovery.py
@@ -125,8 +125,11 @@
     async def _run(self, address: Address, index: int) -> None:
         watched = index
         while True:
-            watch = _Watch(self.message, b"GET /v1/servers?follow=1&since=%d HTTP/1.1\r\nHost: %b\r\n\r\n" % (
-                watched, address[0].encode()))
+            watch = _Watch(
+                self.message,
+                b"GET /v1/servers?follow=1&since=%d HTTP/1.1\r\nHost: %b\r\n\r\n"
+                % (watched, address[0].encode()),
+            )
             await self._follow(address, watch)
             watched = self._index if watch.told else watched
             await asyncio.sleep((AGAIN if watch.spoke else RETRY) * (0.5 + random.random()))
@@ -164,9 +167,7 @@
 class _Watch(asyncio.Protocol):
     """The connection of one watch."""
 
-    def __init__(
-        self, tell: Callable[[_Watch, Mapping[str, Any] | None], None], request: bytes
-    ) -> None:
+    def __init__(self, tell: Callable[[_Watch, Mapping[str, Any] | None], None], request: bytes) -> None:
         self._tell = tell
         self._request = request
         self._transport: asyncio.Transport | None = None
--- a/lugspur/intake.py
+++ b/lugspur/intake.py
@@ -13,8 +13,16 @@
 WIRE_MOST = 8 * BODY_MOST  # bytes of a request on the wire: the smallest chunks take six times the body
 VERSIONS = ("1.1", "1.0")
 NAMED = frozenset(
-    {b"x-priority-class", b"x-tenant-id", b"x-timeout", b"x-request-id", b"x-retried", b"x-cost",
-     b"idempotency-key", b"host"}
+    {
+        b"x-priority-class",
+        b"x-tenant-id",
+        b"x-timeout",
+        b"x-request-id",
+        b"x-retried",
+        b"x-cost",
+        b"idempotency-key",
+        b"host",
+    }
 )
 
 
@@ -163,7 +171,14 @@
             self._reject(400, "the target is malformed")
         if self.fault is not None:
             return
-        self._deliver(Request(
-            self._parser.get_method(), target, self._headers, b"".join(self._lines),
-            b"".join(self._body), self.arrived, self._parser.should_keep_alive(),
-        ))
+        self._deliver(
+            Request(
+                self._parser.get_method(),
+                target,
+                self._headers,
+                b"".join(self._lines),
+                b"".join(self._body),
+                self.arrived,
+                self._parser.should_keep_alive(),
+            )
+        )
--- a/lugspur/proxy.py
+++ b/lugspur/proxy.py
@@ -78,7 +78,12 @@
         framed = request.body or request.method != b"GET"
         length = b"Content-Length: %d\r\n" % len(request.body) if framed else b""
         return b"%b %b HTTP/1.1\r\n%bX-Timeout: %.3f\r\n%b\r\n%b" % (
-            request.method, request.target, request.lines, max(left, 0.001), length, request.body
+            request.method,
+            request.target,
+            request.lines,
+            max(left, 0.001),
+            length,
+            request.body,
         )
 
 
@@ -125,8 +130,11 @@
         """
         before = self.front.config
         kept = {name: getattr(before, name) for name in IDENTITY}
-        lines = [f"{name} is another, which needs a restart: the one of the start stays"
-                 for name, value in kept.items() if getattr(config, name) != value]
+        lines = [
+            f"{name} is another, which needs a restart: the one of the start stays"
+            for name, value in kept.items()
+            if getattr(config, name) != value
+        ]
         moved = replace(before, discovery=config.discovery)
         config = replace(config, **kept)
         if config != moved and self.front.draining:  # Guards what the end goes by; the list still counts.
@@ -163,19 +171,24 @@
 
     def _numbered(self, config: Config) -> Settings:
         """The settings with the numbers that zones and types have for as long as this process lives."""
+
         def numbers(places: Places, names: dict[str, int], known: discovery.Numbers) -> Places:
             if places is None:
                 return None
             listed = list(names)
             return tuple(sorted({known.of(listed[place]) for place in places}))
 
-        return replace(config.settings, classes=tuple(
-            replace(
-                row, only_kinds=numbers(row.only_kinds, config.types, self._reader.types),
-                only_zones=numbers(row.only_zones, config.zones, self._reader.zones),
-            )
-            for row in config.settings.classes
-        ))
+        return replace(
+            config.settings,
+            classes=tuple(
+                replace(
+                    row,
+                    only_kinds=numbers(row.only_kinds, config.types, self._reader.types),
+                    only_zones=numbers(row.only_zones, config.zones, self._reader.zones),
+                )
+                for row in config.settings.classes
+            ),
+        )
 
     def _now(self) -> float:
         return self._loop.time() + self._epoch
@@ -246,10 +259,18 @@
         self._calls[call.rid] = call
         caller.gone = lambda: self._gone(call)
         call.timer = self._loop.call_at(deadline, self._overdue, call)
-        self._perform(self._decide(
-            self._balancer.request, call.rid, facts.kind, facts.tenant, deadline + self._epoch, facts.cost,
-            facts.retry, call=call,
-        ))
+        self._perform(
+            self._decide(
+                self._balancer.request,
+                call.rid,
+                facts.kind,
+                facts.tenant,
+                deadline + self._epoch,
+                facts.cost,
+                facts.retry,
+                call=call,
+            )
+        )
 
     def _gone(self, call: Call) -> None:
         self._settle(call)
@@ -330,9 +351,7 @@
         until = min(call.deadline, now + action.timeout) if action.timeout > 0.0 else call.deadline
         number = len(call.exchanges)
 
-        def report(
-            exchange: upstream.Exchange, outcome: Outcome, response: upstream.Response | None
-        ) -> None:
+        def report(exchange: upstream.Exchange, outcome: Outcome, response: upstream.Response | None) -> None:
             self._outcome(call, number, exchange, outcome, response)
 
         repeatable = call.row.repeat is not Repeat.UNSAFE
@@ -345,7 +364,11 @@
             self._gone(call)
 
     def _outcome(
-        self, call: Call, number: int, exchange: upstream.Exchange, outcome: Outcome,
+        self,
+        call: Call,
+        number: int,
+        exchange: upstream.Exchange,
+        outcome: Outcome,
         response: upstream.Response | None,
     ) -> None:
         now = self._loop.time()
@@ -361,8 +384,15 @@
             else:  # Guards the client's deadline against a late timer.
                 outcome = Outcome.TIMEOUT
         self._forget(call)
-        self._perform(self._decide(
-            self._balancer.outcome, call.rid, number, outcome, now - exchange.started, call.caller is None,
-            call=call,
-        ))
+        self._perform(
+            self._decide(
+                self._balancer.outcome,
+                call.rid,
+                number,
+                outcome,
+                now - exchange.started,
+                call.caller is None,
+                call=call,
+            )
+        )
         self._unsend(call)
--- a/lugspur/server.py
+++ b/lugspur/server.py
@@ -329,10 +329,17 @@
             raise Rejected(404, "no such path")
 
     def _write(self, status: int, head: bytes, body: bytes, keep: bool) -> None:
-        self._transport.write(b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b" % (
-            status, PHRASES.get(status, b"Other"), head, len(body),
-            b"" if keep else b"Connection: close\r\n", body,
-        ))
+        self._transport.write(
+            b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b"
+            % (
+                status,
+                PHRASES.get(status, b"Other"),
+                head,
+                len(body),
+                b"" if keep else b"Connection: close\r\n",
+                body,
+            )
+        )
 
     def reject(self, fault: Rejected) -> None:
         """Answer what is not served, for the last time: kept alive it would come again at full speed."""
--- a/lugspur/upstream.py
+++ b/lugspur/upstream.py
@@ -34,8 +34,17 @@
 REST = 0.01  # seconds after an answer in which something may come behind it: a second one, or a close
 STALL = 0.1  # seconds between two pieces of an answer: it comes in one go, and a second try needs about 0.2
 HOP_BY_HOP = frozenset(
-    {b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-     b"content-length", b"expect"}
+    {
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+        b"expect",
+    }
 )
 
 
@@ -113,12 +122,28 @@
 class Exchange:
     """One attempt on the wire: from its start to its one outcome."""
 
-    __slots__ = ("backend", "connection", "dial", "open", "repeatable", "started", "timer", "until", "wanted",
-                 "write", "_report")
+    __slots__ = (
+        "backend",
+        "connection",
+        "dial",
+        "open",
+        "repeatable",
+        "started",
+        "timer",
+        "until",
+        "wanted",
+        "write",
+        "_report",
+    )
 
     def __init__(
-        self, backend: Backend, started: float, until: float, write: Callable[[float], bytes],
-        report: Callable[[Exchange, Outcome, Response | None], None], repeatable: bool = True,
+        self,
+        backend: Backend,
+        started: float,
+        until: float,
+        write: Callable[[float], bytes],
+        report: Callable[[Exchange, Outcome, Response | None], None],
+        repeatable: bool = True,
         wanted: Callable[[], bool] = lambda: True,
     ) -> None:
         self.repeatable = repeatable  # whether it may be sent again when its connection breaks
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -83,9 +83,7 @@
         self.count += 1
         self.taken.append(self.now)
         rid = f"r{self.count}"
-        self.owed[rid] = Owed(
-            kind, self.now + wait, [self.settings.classes[kind]], [self.settings.limits]
-        )
+        self.owed[rid] = Owed(kind, self.now + wait, [self.settings.classes[kind]], [self.settings.limits])
         self.apply(self.balancer.request(self.now, rid, kind, tenant, self.now + wait))
         return rid
 
@@ -109,9 +107,7 @@
         if (how is Outcome.OK or owed.begun) and not owed.ended:
             owed.finals += 1
             owed.ended = True
-        self.apply(
-            self.balancer.outcome(self.now, rid, number, how, self.now - attempt.sent, owed.ended)
-        )
+        self.apply(self.balancer.outcome(self.now, rid, number, how, self.now - attempt.sent, owed.ended))
 
     def leave(self, rid: str) -> None:
         owed = self.owed[rid]
@@ -130,8 +126,12 @@
     def advance(self, span: float) -> None:
         target = self.now + span
         while True:
-            due = [(t.until, 0, rid, n) for rid, o in self.owed.items()
-                   for n, t in enumerate(o.tries) if t.how is None]
+            due = [
+                (t.until, 0, rid, n)
+                for rid, o in self.owed.items()
+                for n, t in enumerate(o.tries)
+                if t.how is None
+            ]
             due += [(at, 1, "", token) for at, token in self.timers]
             due = [d for d in due if d[0] <= target]
             if not due:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -37,7 +37,9 @@
     "Orgs": [{"Name": "acme", "Share": 1.0}],
     "Bounds": {"Cancel": True, "MaxAttempts": 5, "ConnIdle": 60.0, "DialTimeout": WIDE},
     "Rules": {"DrainGrace": 0.5, "ColdFrom": 0.5, "Cold": 0.0, "FallMultiple": 3.0, "TipAfter": 3.0},
-    "Tiers": ["one"], "Zones": ["here", "there"], "HostTypes": ["k"],
+    "Tiers": ["one"],
+    "Zones": ["here", "there"],
+    "HostTypes": ["k"],
 }
 
 
@@ -179,8 +181,16 @@
 
 def entry(name: str, address: str, status: str = "in_service", since_ms: int = 0) -> dict[str, Any]:
     """One entry of the list."""
-    return {"name": name, "address": address, "zone": "here", "type": "k", "group": 0, "status": status,
-            "weight": 1.0, "since_ms": since_ms}
+    return {
+        "name": name,
+        "address": address,
+        "zone": "here",
+        "type": "k",
+        "group": 0,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": since_ms,
+    }
 
 
 def free_port() -> int:
@@ -194,11 +204,20 @@
     """A proxy's configuration; by default nobody is at discovery's port."""
     settings: Settings = read_settings(WIRE)
     values: dict[str, Any] = {
-        "name": "n0", "listen": (HOST, 0), "discovery": (HOST, discovery), "seed": 1,
-        "sockets": 1024, "memory": 64 << 20,
-        "known": {"index": 7, "snapshot": True, "endpoints": entries}, "settings": settings,
-        "classes": {"read": 0, "book": 1, "once": 2}, "tenants": {"acme": 0},
-        "zones": {"here": 0, "there": 1}, "types": {"k": 0}, "conn_idle": 60.0, "dial_timeout": WIDE,
+        "name": "n0",
+        "listen": (HOST, 0),
+        "discovery": (HOST, discovery),
+        "seed": 1,
+        "sockets": 1024,
+        "memory": 64 << 20,
+        "known": {"index": 7, "snapshot": True, "endpoints": entries},
+        "settings": settings,
+        "classes": {"read": 0, "book": 1, "once": 2},
+        "tenants": {"acme": 0},
+        "zones": {"here": 0, "there": 1},
+        "types": {"k": 0},
+        "conn_idle": 60.0,
+        "dial_timeout": WIDE,
     }
     return Config(**(values | changed))
 
@@ -285,8 +304,13 @@
 def _request(
     method: str, kind: str, number: int, timeout: str, target: str, body: bytes, headers: dict[str, str]
 ) -> bytes:
-    fields = {"X-Request-ID": f"id{number}", "X-Priority-Class": kind, "X-Tenant-Id": "acme",
-              "X-Timeout": timeout, "Content-Length": str(len(body))}
+    fields = {
+        "X-Request-ID": f"id{number}",
+        "X-Priority-Class": kind,
+        "X-Tenant-Id": "acme",
+        "X-Timeout": timeout,
+        "Content-Length": str(len(body)),
+    }
     fields |= {name.replace("_", "-"): value for name, value in headers.items()}
     lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items() if value)
     return f"{method} {target} HTTP/1.1\r\nHost: h\r\n{lines}\r\n".encode() + body
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -25,16 +25,23 @@
         {"Name": "y", "Aim": 1.0, "HardLimit": 4.0, "Repeat": "fragile", "Credit": 5.0, "LateWorth": 0.8},
     ],
     "Bounds": {"Cancel": True, "MaxAttempts": 3, "MaxRetryAfter": 2.5, "RetryAfter": True, "Unheard": 1},
-    "Orgs": [{"Name": "o", "Share": 1.0, "AllowancePerS": 9.0}], "HostTypes": ["k"],
-    "Tiers": ["one"], "Zones": ["here"], "Novelty": {"a": 1},
+    "Orgs": [{"Name": "o", "Share": 1.0, "AllowancePerS": 9.0}],
+    "HostTypes": ["k"],
+    "Tiers": ["one"],
+    "Zones": ["here"],
+    "Novelty": {"a": 1},
 }
 ROWS: list[Message] = [{"Backend": 70 + i, "Readiness": "U", "Units": 1} for i in range(6)]
 
 
 def opened(instance: int, settings: Message = SETTINGS) -> list[Message]:
     return [
-        {"m": "OpenInstance", "ProxyId": instance, "Entropy": 11 + instance,
-         "Settings": {**settings, "Ordinal": instance}},
+        {
+            "m": "OpenInstance",
+            "ProxyId": instance,
+            "Entropy": 11 + instance,
+            "Settings": {**settings, "Ordinal": instance},
+        },
         {"m": "Register", "List": 0, "Rows": ROWS},
         {"m": "Members", "ProxyId": instance, "Mode": "stale_copy", "Version": 1, "List": 0},
     ]
@@ -47,8 +54,14 @@
 
 def converse(text: str, **env: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "jaspershelf.adapter"], input=text, capture_output=True, text=True,
-        cwd=ROOT, env={**os.environ, **env}, timeout=60, check=False,
+        [sys.executable, "-m", "jaspershelf.adapter"],
+        input=text,
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+        env={**os.environ, **env},
+        timeout=60,
+        check=False,
     )
 
 
@@ -76,10 +89,21 @@
     """Start, list, calls, outcomes, a drain, a restart."""
     text = batch(9.0, []) + batch(10.0, [e for i in instances for e in opened(i)])
     text += batch(10.1, [e for i in instances for e in calls(i, 0, 3)])
-    text += batch(10.2, [
-        {"m": "Returned", "ProxyId": i, "Ref": f"c{i}_0", "RoundNo": 0, "Backend": 70, "CostTime": 0.1,
-         "How": "overloaded"} for i in instances
-    ])
+    text += batch(
+        10.2,
+        [
+            {
+                "m": "Returned",
+                "ProxyId": i,
+                "Ref": f"c{i}_0",
+                "RoundNo": 0,
+                "Backend": 70,
+                "CostTime": 0.1,
+                "How": "overloaded",
+            }
+            for i in instances
+        ],
+    )
     drained = [{"m": "Register", "List": 3, "Rows": [{"Backend": 70, "Readiness": "L"}]}]
     told = [{"m": "Members", "ProxyId": i, "Mode": "patch", "Version": 2, "List": 3} for i in instances]
     text += batch(10.3, [*drained, *told, *(e for i in instances for e in calls(i, 3, 40))])
@@ -147,7 +171,8 @@
         (
             batch(1.0, opened(0))
             + batch(2.0, [{"m": "Members", "ProxyId": 0, "Mode": "whole", "Version": 2, "List": 9}]),
-            7, "unknown list number 9",
+            7,
+            "unknown list number 9",
         ),
         ('{"m":"Tick","Time":1}\n', 1, "the input ended inside a batch"),
     ],
@@ -167,8 +192,11 @@
 
 def test_a_reader_that_is_gone_ends_it_quietly() -> None:
     process = subprocess.Popen(
-        [sys.executable, "-m", "jaspershelf.adapter"], cwd=ROOT, stdin=subprocess.PIPE,
-        stdout=subprocess.PIPE, stderr=subprocess.PIPE,
+        [sys.executable, "-m", "jaspershelf.adapter"],
+        cwd=ROOT,
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
     )
     assert process.stdin and process.stdout and process.stderr
     process.stdout.close()
@@ -183,11 +211,16 @@
 
 
 def test_settings_of_the_wire() -> None:
-    settings = adapter.read_settings({
-        **SETTINGS, "RegistryMode": "on_request", "Report": {"Via": "pull", "Fields": ["rif", "x9"]},
-        "Penalties": {"Waste": 0.25, "Unheard": 1}, "FamilyInfo": {"PassesDeadline": False},
-        "ClientHabits": {"MarksRetry": True},
-    })
+    settings = adapter.read_settings(
+        {
+            **SETTINGS,
+            "RegistryMode": "on_request",
+            "Report": {"Via": "pull", "Fields": ["rif", "x9"]},
+            "Penalties": {"Waste": 0.25, "Unheard": 1},
+            "FamilyInfo": {"PassesDeadline": False},
+            "ClientHabits": {"MarksRetry": True},
+        }
+    )
     assert settings.classes[1].repeat is Repeat.UNSAFE and settings.classes[1].worth == 5.0
     assert settings.discovery is Discovery.ON_REQUEST
     assert settings.marks_retry
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -83,10 +83,15 @@
 @pytest.mark.parametrize(
     ("name", "values"),
     [
-        ("kind", {"kind": 1}), ("kind", {"kind": -1}), ("kind", {"kind": "0"}),
-        ("tenant", {"tenant": 1}), ("tenant", {"tenant": -1}),
-        ("deadline", {"deadline": math.nan}), ("deadline", {"deadline": "soon"}),
-        ("cost", {"cost": -1.0}), ("cost", {"cost": math.inf}),
+        ("kind", {"kind": 1}),
+        ("kind", {"kind": -1}),
+        ("kind", {"kind": "0"}),
+        ("tenant", {"tenant": 1}),
+        ("tenant", {"tenant": -1}),
+        ("deadline", {"deadline": math.nan}),
+        ("deadline", {"deadline": "soon"}),
+        ("cost", {"cost": -1.0}),
+        ("cost", {"cost": math.inf}),
         ("rid", {"rid": "open"}),
     ],
 )
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -114,8 +114,10 @@
         self.count = 0
         self.answered = self.offered = 0
         sizes = (1.0, 1.0, 2.0)
-        rows = [ServerRow(1000 + 7 * i, State.UP, i % ZONES, i // 5, sizes[i // ZONES % 3])
-                for i in range(case.servers)]
+        rows = [
+            ServerRow(1000 + 7 * i, State.UP, i % ZONES, i // 5, sizes[i // ZONES % 3])
+            for i in range(case.servers)
+        ]
         self.nodes = {row.server: Node(row, case.rules) for row in rows}
         self.changed = self.choose(rows)
         if case.joins:
@@ -137,8 +139,15 @@
     def process(self, me: int, rows: list[ServerRow]) -> Process:
         case = self.case
         config = Settings(
-            classes=CLASSES, balancers=case.instances, me=me, tier=case.tier, tiers=2, zone=me % ZONES,
-            zones=ZONES, limits=LIMITS, rules=case.rules,
+            classes=CLASSES,
+            balancers=case.instances,
+            me=me,
+            tier=case.tier,
+            tiers=2,
+            zone=me % ZONES,
+            zones=ZONES,
+            limits=LIMITS,
+            rules=case.rules,
         )
         balancer = Balancer(config, self.rng.getrandbits(32))
         balancer.members(self.now, ListKind.WHOLE, rows)
@@ -214,8 +223,11 @@
         elif isinstance(action, Timer):
             self.at(action.at, "timer", (process, process.life, action.token))
         elif isinstance(action, Cancel):
-            self.at(self.now, "end", (process, process.life, action.request, action.attempt,
-                                      Outcome.CANCELLED, self.now, None))
+            self.at(
+                self.now,
+                "end",
+                (process, process.life, action.request, action.attempt, Outcome.CANCELLED, self.now, None),
+            )
 
     def timer(self, of: tuple[Process, int, int]) -> None:
         process, life, token = of
@@ -243,8 +255,7 @@
                     self.at(self.now + took, "leave", node)
                     came = None, Outcome.TIMEOUT, timeout
         whose, how, took = came
-        self.at(self.now + took, "end",
-                (process, process.life, action.request, number, how, self.now, whose))
+        self.at(self.now + took, "end", (process, process.life, action.request, number, how, self.now, whose))
 
     def leave(self, node: Node) -> None:
         node.held -= 1
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -32,11 +32,17 @@
 
 def bad(**settings: Any) -> bytes:
     """A file with settings that can not be taken."""
-    return json.dumps({
-        "name": "n0", "listen": f"{HOST}:0", "discovery": f"{HOST}:9", "seed": "1",
-        "limits": {"sockets": 1024, "memory_mb": 64}, "known": {"index": 7, "endpoints": []},
-        "settings": WIRE | settings,
-    }).encode()
+    return json.dumps(
+        {
+            "name": "n0",
+            "listen": f"{HOST}:0",
+            "discovery": f"{HOST}:9",
+            "seed": "1",
+            "limits": {"sockets": 1024, "memory_mb": 64},
+            "known": {"index": 7, "endpoints": []},
+            "settings": WIRE | settings,
+        }
+    ).encode()
 
 
 def top(**entries: Any) -> bytes:
@@ -46,25 +52,47 @@
 
 
 BAD: dict[str, bytes] = {
-    "empty": b"", "broken": b"{", "no object": b"[]", "a number": b"7", "null": b"null", "text": b'"x"',
-    "no utf-8": b'{"name":"\xff\xfe"}', "nul": b"\0" * 64, "deep": b"[" * 100_000,
+    "empty": b"",
+    "broken": b"{",
+    "no object": b"[]",
+    "a number": b"7",
+    "null": b"null",
+    "text": b'"x"',
+    "no utf-8": b'{"name":"\xff\xfe"}',
+    "nul": b"\0" * 64,
+    "deep": b"[" * 100_000,
     "huge": b" " * (4 << 20) + bad(),
-    "no settings": top(settings=None), "no limits": top(limits=None), "no discovery": top(discovery=None),
-    "settings are a list": top(settings=[]), "settings are a text": top(settings="x"),
-    "address": top(discovery="nowhere"), "port": top(discovery=f"{HOST}:99999"),
+    "no settings": top(settings=None),
+    "no limits": top(limits=None),
+    "no discovery": top(discovery=None),
+    "settings are a list": top(settings=[]),
+    "settings are a text": top(settings="x"),
+    "address": top(discovery="nowhere"),
+    "port": top(discovery=f"{HOST}:99999"),
     "address 7": top(discovery=7),
-    "seed": top(seed="xyz"), "seed 7": top(seed=7), "sockets": top(limits={"sockets": "many"}),
-    "sockets over all": top(limits={"sockets": 1e308}), "no sockets": top(limits={"sockets": 0}),
+    "seed": top(seed="xyz"),
+    "seed 7": top(seed=7),
+    "sockets": top(limits={"sockets": "many"}),
+    "sockets over all": top(limits={"sockets": 1e308}),
+    "no sockets": top(limits={"sockets": 0}),
     "memory over all": top(limits={"sockets": 64, "memory_mb": 1e308}),
-    "version": top(version="a b"), "version true": top(version=True), "version list": top(version=[1]),
-    "no classes": bad(Services=[]), "a class is a number": bad(Services=[7]), "classes 7": bad(Services=7),
-    "two classes alike": bad(Services=[READ, READ]), "class name": bad(Services=[READ | {"Name": 7}]),
-    "aim": bad(Services=[READ | {"Aim": "soon"}]), "aim 0": bad(Services=[READ | {"Aim": 0}]),
+    "version": top(version="a b"),
+    "version true": top(version=True),
+    "version list": top(version=[1]),
+    "no classes": bad(Services=[]),
+    "a class is a number": bad(Services=[7]),
+    "classes 7": bad(Services=7),
+    "two classes alike": bad(Services=[READ, READ]),
+    "class name": bad(Services=[READ | {"Name": 7}]),
+    "aim": bad(Services=[READ | {"Aim": "soon"}]),
+    "aim 0": bad(Services=[READ | {"Aim": 0}]),
     "aim over a float": bad(Services=[READ | {"Aim": 7}]).replace(b'"Aim": 7', b'"Aim": 1e400'),
     "whole aim over a float": bad(Services=[READ | {"Aim": 7}]).replace(
-        b'"Aim": 7', b'"Aim": 1' + b"0" * 400),
+        b'"Aim": 7', b'"Aim": 1' + b"0" * 400
+    ),
     "deadline nan": bad(Services=[READ | {"HardLimit": float("nan")}]),
-    "worth": bad(Services=[READ | {"Credit": -1}]), "window": bad(Services=[READ | {"Window": True}]),
+    "worth": bad(Services=[READ | {"Credit": -1}]),
+    "window": bad(Services=[READ | {"Window": True}]),
     "repeat": bad(Services=[READ | {"Repeat": "maybe"}]),
     "repeat list": bad(Services=[READ | {"Repeat": []}]),
     "group": bad(Services=[ONCE | {"Group": "rack"}]),
@@ -75,16 +103,29 @@
     "bound 7": bad(Services=[READ | {"BoundTo": 7}]),
     "two tenants alike": bad(Orgs=[{"Name": "a"}, {"Name": "a"}]),
     "share": bad(Orgs=[{"Name": "a", "Share": 2}]),
-    "quota": bad(Orgs=[{"Name": "a", "AllowancePerS": -1}]), "tenants": bad(Orgs="acme"),
-    "zones": bad(Zones=[1, 2]), "zones alike": bad(Zones=["a", "a"]), "types": bad(HostTypes="k"),
-    "zone": bad(Zone=2), "attempts": bad(Bounds={"MaxAttempts": 0}), "cancel": bad(Bounds={"Cancel": "yes"}),
-    "idle": bad(Bounds={"ConnIdle": 0}), "idle nan": bad(Bounds={"ConnIdle": "nan"}),
-    "dial": bad(Bounds={"DialTimeout": -1}), "dial over all": bad(Bounds={"DialTimeout": 1e300}),
-    "bounds": bad(Bounds=[1]), "rule": bad(Rules={"Cold": -1}), "rules": bad(Rules=[7]),
-    "share of cold": bad(Rules={"ColdFrom": 2}), "fleet": bad(Instances=0), "place": bad(Ordinal=1),
-    "fleet over all": bad(Instances=1e300), "fleet true": bad(Instances=True),
+    "quota": bad(Orgs=[{"Name": "a", "AllowancePerS": -1}]),
+    "tenants": bad(Orgs="acme"),
+    "zones": bad(Zones=[1, 2]),
+    "zones alike": bad(Zones=["a", "a"]),
+    "types": bad(HostTypes="k"),
+    "zone": bad(Zone=2),
+    "attempts": bad(Bounds={"MaxAttempts": 0}),
+    "cancel": bad(Bounds={"Cancel": "yes"}),
+    "idle": bad(Bounds={"ConnIdle": 0}),
+    "idle nan": bad(Bounds={"ConnIdle": "nan"}),
+    "dial": bad(Bounds={"DialTimeout": -1}),
+    "dial over all": bad(Bounds={"DialTimeout": 1e300}),
+    "bounds": bad(Bounds=[1]),
+    "rule": bad(Rules={"Cold": -1}),
+    "rules": bad(Rules=[7]),
+    "share of cold": bad(Rules={"ColdFrom": 2}),
+    "fleet": bad(Instances=0),
+    "place": bad(Ordinal=1),
+    "fleet over all": bad(Instances=1e300),
+    "fleet true": bad(Instances=True),
     "mode": bad(RegistryMode="asked"),
-    "over share": bad(OverShareWorth=7), "marks": bad(ClientHabits={"MarksRetry": 1}),
+    "over share": bad(OverShareWorth=7),
+    "marks": bad(ClientHabits={"MarksRetry": 1}),
 }
 
 
@@ -102,8 +143,11 @@
 
 def test_a_configuration_tells_its_version_and_what_its_settings_are(path: Path) -> None:
     seen = set()
-    for data in (bad(), top(known=None, discovery=f"{HOST}:10"), json.dumps(
-            dict(reversed(json.loads(bad()).items()))).encode()):
+    for data in (
+        bad(),
+        top(known=None, discovery=f"{HOST}:10"),
+        json.dumps(dict(reversed(json.loads(bad()).items()))).encode(),
+    ):
         path.write_bytes(data)
         seen.add(load(os.environ).version(1))
     assert len(seen) == 1 and seen.pop().startswith("1-")
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -92,16 +92,25 @@
         registry, port, discovery = Watches(), free_port(), free_port()
         async with backend(lambda _: OK) as one:
             path, log = tmp_path / "c.json", tmp_path / "log"
-            path.write_text(json.dumps({
-                "name": "n0", "listen": f"{HOST}:{port}", "discovery": f"{HOST}:{discovery}", "seed": "1",
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
-                "known": {"index": 3, "snapshot": True, "endpoints": [entry("a", one.address)]},
-                "settings": WIRE,
-            }))
+            path.write_text(
+                json.dumps(
+                    {
+                        "name": "n0",
+                        "listen": f"{HOST}:{port}",
+                        "discovery": f"{HOST}:{discovery}",
+                        "seed": "1",
+                        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
+                        "known": {"index": 3, "snapshot": True, "endpoints": [entry("a", one.address)]},
+                        "settings": WIRE,
+                    }
+                )
+            )
             env = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
             with log.open("wb") as file:
                 process = await asyncio.create_subprocess_shell(
-                    f"ulimit -n {SOCKETS}; exec {sys.executable} -m lugspur", cwd=ROOT, stderr=file,
+                    f"ulimit -n {SOCKETS}; exec {sys.executable} -m lugspur",
+                    cwd=ROOT,
+                    stderr=file,
                     env=env | {"RELAY_CONFIG": str(path)},
                 )
             try:
--- a/tests/test_emulator_added.py
+++ b/tests/test_emulator_added.py
@@ -86,7 +86,11 @@
     through, direct = (added.merged([row["histogram"]]) for row in rows)
     assert added.quantiles(direct) == {"median": 500, "p99": 990, "p999": 999, "max": 1000}
     assert added.difference(added.quantiles(through), added.quantiles(direct)) == {
-        "median": 300, "p99": 300, "p999": 300, "max": 300}
+        "median": 300,
+        "p99": 300,
+        "p999": 300,
+        "max": 300,
+    }
     percents, values = zip(*added.curve(direct), strict=True)
     assert percents == tuple(sorted(percents)) and percents[-1] == 100.0
     assert values == tuple(sorted(values)) and values[-1] == 1000
@@ -121,10 +125,19 @@
 def test_a_proxy_can_read_its_configuration(tmp_path: Path) -> None:
     rows = added.endpoints(added.ALL, [8001, 8002])
     path = tmp_path / "n0.json"
-    path.write_text(json.dumps({
-        "name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "7",
-        "limits": added.LIMITS, "known": {"index": 1, "endpoints": rows}, "settings": added.settings(24, 3),
-    }))
+    path.write_text(
+        json.dumps(
+            {
+                "name": "n0",
+                "listen": "127.0.0.1:1",
+                "discovery": "127.0.0.1:2",
+                "seed": "7",
+                "limits": added.LIMITS,
+                "known": {"index": 1, "endpoints": rows},
+                "settings": added.settings(24, 3),
+            }
+        )
+    )
     config = load({"RELAY_CONFIG": str(path)})
     assert config.settings.balancers == 24 and config.settings.me == 3 and config.classes == {"read": 0}
     assert len({row["name"] for row in rows}) == 910
--- a/tests/test_emulator_command.py
+++ b/tests/test_emulator_command.py
@@ -14,12 +14,24 @@
 
 
 @pytest.mark.parametrize(
-    "words", [[], ["odd"], ["slopes", "--seed", "x"], ["fleet", "--odd"], ["hollow", "--out", __file__],
-              ["settings", "--program", __file__], ["slopes", "--program", "."]]
+    "words",
+    [
+        [],
+        ["odd"],
+        ["slopes", "--seed", "x"],
+        ["fleet", "--odd"],
+        ["hollow", "--out", __file__],
+        ["settings", "--program", __file__],
+        ["slopes", "--program", "."],
+    ],
 )
 def test_bad_arguments_are_one_line_and_2(words: list[str]) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "emulator", *words], cwd=ROOT, capture_output=True, text=True, timeout=60,
+        [sys.executable, "-m", "emulator", *words],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
         check=False,
     )
     assert done.returncode == 2
--- a/tests/test_emulator_parts.py
+++ b/tests/test_emulator_parts.py
@@ -67,8 +67,13 @@
 
 def test_what_idling_costs_is_taken_off_both() -> None:
     idle = {"seconds": 10.0, "real": {"processor": 1.0}, "hollow": {"processor": 0.0}}
-    event = {"seconds": 5.0, "events": 5, "real": {"processor": 0.3}, "hollow": {"processor": 0.1},
-             "difference_percent": {}}
+    event = {
+        "seconds": 5.0,
+        "events": 5,
+        "real": {"processor": 0.3},
+        "hollow": {"processor": 0.1},
+        "difference_percent": {},
+    }
     net_of_idle(event, idle)
     assert event["real"] == {"processor": 0.3, "processor_net": pytest.approx(0.2)}
     assert event["difference_percent"] == {"processor_net": pytest.approx(-50.0)}
--- a/tests/test_emulator_settings.py
+++ b/tests/test_emulator_settings.py
@@ -32,17 +32,20 @@
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n"
 
 
-@pytest.mark.parametrize(("answer", "version"), [
-    (HEAD + b"ok\nversion change-7-0123456789ab\n", "change-7-0123456789ab"),
-    (HEAD.replace(b"200 OK", b"503 Service Unavailable") + b"not ready\nversion 2-ab\n", "2-ab"),
-    (HEAD + b"ok\n", None),  # a program without the line
-    (HEAD + b"ok", None),
-    (HEAD + b"ok\nother 7\n", None),
-    (HEAD + b"version 7-ab\n", None),  # not the second line
-    (HEAD + b"ok\nversion \n", None),
-    (b"ok\nversion 7-ab\n", None),
-    (b"", None),
-])
+@pytest.mark.parametrize(
+    ("answer", "version"),
+    [
+        (HEAD + b"ok\nversion change-7-0123456789ab\n", "change-7-0123456789ab"),
+        (HEAD.replace(b"200 OK", b"503 Service Unavailable") + b"not ready\nversion 2-ab\n", "2-ab"),
+        (HEAD + b"ok\n", None),  # a program without the line
+        (HEAD + b"ok", None),
+        (HEAD + b"ok\nother 7\n", None),
+        (HEAD + b"version 7-ab\n", None),  # not the second line
+        (HEAD + b"ok\nversion \n", None),
+        (b"ok\nversion 7-ab\n", None),
+        (b"", None),
+    ],
+)
 def test_the_version_is_the_second_line_of_the_body(answer: bytes, version: str | None) -> None:
     assert version_of(answer) == version
 
@@ -75,8 +78,14 @@
 def test_the_proxy_takes_every_file_and_names_its_label(tmp_path: Path) -> None:
     path = tmp_path / "n.json"
     known = {"index": 1, "snapshot": True, "endpoints": added.endpoints(3, [9])}
-    config = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1",
-              "limits": added.LIMITS, "known": known}
+    config = {
+        "name": "n",
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:2",
+        "seed": "1",
+        "limits": added.LIMITS,
+        "known": known,
+    }
     for number in range(60):
         put(path, config | {"version": f"change-{number}", "settings": settings_at(number, 4, 3)})
         assert names(load({"RELAY_CONFIG": str(path)}).version(1), f"change-{number}")
@@ -108,7 +117,10 @@
 
 def test_calls_that_ended_otherwise_than_with_200_are_lost() -> None:
     assert lost([{"200": 5, "503": 1}, {"200": 4, "lost": 2, "unanswered": 0}]) == {
-        "calls": 12, "lost": 3, "otherwise": {"503": 1, "lost": 2}}
+        "calls": 12,
+        "lost": 3,
+        "otherwise": {"503": 1, "lost": 2},
+    }
     assert lost([]) == {"calls": 0, "lost": 0, "otherwise": {}}
 
 
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -597,9 +597,7 @@
         (1, Limits(retry_after=True, max_retry_after=2.5), 0.0, 0.0),
     ],
 )
-def test_refused_clients_hear_when_to_come_back(
-    tier: int, limits: Limits, least: float, most: float
-) -> None:
+def test_refused_clients_hear_when_to_come_back(tier: int, limits: Limits, least: float, most: float) -> None:
     checker = Checker(Settings(classes=(SAFE,), tier=tier, tiers=2, limits=limits), 3, ROWS)
     steady(checker, 4.0, 10.0)
     b = checker.balancer
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -70,8 +70,12 @@
                 await until(lambda: gate.waiting == 1)
                 if behind:  # what comes behind the request must not hide the close
                     client.writer.write(behind)
-                    await until(lambda: any(c._queue or c._intake.reading for c in up.proxy.front.callers)
-                                or behind == b"\r\n")
+                    await until(
+                        lambda: (
+                            any(c._queue or c._intake.reading for c in up.proxy.front.callers)
+                            or behind == b"\r\n"
+                        )
+                    )
                 leave(client, how)
                 await until(lambda: not up.proxy._calls and not up.proxy._balancer.requests)
                 gate.open.set()
@@ -218,8 +222,10 @@
 async def kept(clock: Clock, up: Running, client: Client, stubs: list[Backend]) -> None:
     """Let requests go until the proxy keeps a connection to each of the backends that has rested."""
     number = 500
-    while not all(any(c.backend.address[1] == int(stub.address.rpartition(":")[2])
-                      for c in up.proxy._upstream._idle) for stub in stubs):
+    while not all(
+        any(c.backend.address[1] == int(stub.address.rpartition(":")[2]) for c in up.proxy._upstream._idle)
+        for stub in stubs
+    ):
         number += 1
         client.writer.write(read(number))
         answer = asyncio.ensure_future(client.answer())
@@ -358,13 +364,17 @@
 
 
 def test_a_caller_that_ends_its_sending_with_answers_unread_is_noticed(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def play() -> None:
         part = b"HTTP/1.1 200 OK\r\nContent-Length: 16384\r\n\r\n" + b"x" * 16384
-        async with backend(lambda _: part) as one, running(
-            [entry("a", one.address)], dial_timeout=3 * WIDE  # the dial itself must not end it
-        ) as up:
+        async with (
+            backend(lambda _: part) as one,
+            running(
+                [entry("a", one.address)],
+                dial_timeout=3 * WIDE,  # the dial itself must not end it
+            ) as up,
+        ):
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.setblocking(False)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -333,6 +333,7 @@
 
     def start(self, data: bytes = b"", repeatable: bool = True) -> Exchange:
         """Start one."""
+
         def report(exchange: Exchange, outcome: Outcome, response: Response | None) -> None:
             self.ended.put_nowait(outcome)
 
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -173,8 +173,10 @@
 def learned(c: Checker) -> dict[str, tuple[float, int, int, int]]:
     """What is known of each class, by its name."""
     b = c.balancer
-    return {row.name: (b.took[n], b.answers[n], b.usual[n], len(b.lengths[n]))
-            for n, row in enumerate(b.settings.classes)}
+    return {
+        row.name: (b.took[n], b.answers[n], b.usual[n], len(b.lengths[n]))
+        for n, row in enumerate(b.settings.classes)
+    }
 
 
 def answer_all(c: Checker, kind: int, after: float, times: int = 8) -> None:
@@ -304,8 +306,11 @@
     for n in range(200):
         c.request(0, 4.0)
         names = (f"a{n}", f"b{n}")
-        c.reconfigure(Settings(classes=tuple(
-            replace(SAFE, name=name, only_zones=(n % 2, 5 + n)) for name in names), zones=2))
+        c.reconfigure(
+            Settings(
+                classes=tuple(replace(SAFE, name=name, only_zones=(n % 2, 5 + n)) for name in names), zones=2
+            )
+        )
         for rid, number in c.open_tries():
             c.end(rid, number, Outcome.OK)
     assert not c.balancer.requests and len(c.balancer.pools) <= 2
@@ -476,11 +481,13 @@
         limits = Limits(cancel=bool(a & 1), second_copies=bool(a & 2), max_attempts=1 + b)
         return replace(stated, limits=limits)
     elif what == 9:
-        return replace(stated, rules=(RULES, BUDGETED, replace(BUDGETED, extra_span=4.0), replace(
-            BUDGETED, extra_free=0.0))[b])
+        return replace(
+            stated,
+            rules=(RULES, BUDGETED, replace(BUDGETED, extra_span=4.0), replace(BUDGETED, extra_free=0.0))[b],
+        )
     elif what == 10:
         tenants = (Tenant("b", 0.4, 3.0 * a), Tenant("a", 0.6, 5.0), Tenant("c"))
-        return replace(stated, tenants=tenants[b % 3:])
+        return replace(stated, tenants=tenants[b % 3 :])
     return replace(stated, classes=tuple(rows))
 
 
@@ -491,12 +498,17 @@
     asks=st.booleans(),
     servers=st.integers(0, 14),
 )
-def test_rules_hold_while_settings_change(
-    steps: list[Any], seed: int, asks: bool, servers: int
-) -> None:
+def test_rules_hold_while_settings_change(steps: list[Any], seed: int, asks: bool, servers: int) -> None:
     stated = Settings(
-        classes=KINDS, tenants=(Tenant("a", 0.6, 5.0), Tenant("b", 0.4, 3.0)), zones=2, rules=RULES,
-        balancers=3, me=seed % 3, tier=seed % 2, tiers=2, over_share_worth=0.1,
+        classes=KINDS,
+        tenants=(Tenant("a", 0.6, 5.0), Tenant("b", 0.4, 3.0)),
+        zones=2,
+        rules=RULES,
+        balancers=3,
+        me=seed % 3,
+        tier=seed % 2,
+        tiers=2,
+        over_share_worth=0.1,
         discovery=Discovery.ON_REQUEST if asks else Discovery.PUSHED,
         limits=Limits(cancel=True, second_copies=True, max_attempts=4),
     )
@@ -520,9 +532,14 @@
     assert sum(pool.owed for pool in c.balancer.pools) == sum(not request.done for request in left)
 
 
-@pytest.mark.parametrize(("first", "now", "message"), [
-    (0, "later", "sent twice"), (1, "later", "refused although"), (0, "places", "not open"),
-])
+@pytest.mark.parametrize(
+    ("first", "now", "message"),
+    [
+        (0, "later", "sent twice"),
+        (1, "later", "refused although"),
+        (0, "places", "not open"),
+    ],
+)
 def test_a_module_that_takes_the_later_class_for_a_request_in_flight_is_caught(
     monkeypatch: pytest.MonkeyPatch, first: int, now: str, message: str
 ) -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -54,9 +54,13 @@
     def __init__(self, path: Path, known: list[dict[str, Any]], discovery: int = 9) -> None:
         self.path = path
         self.top: dict[str, Any] = {
-            "name": "n0", "listen": f"{HOST}:0", "discovery": f"{HOST}:{discovery}", "seed": "1",
+            "name": "n0",
+            "listen": f"{HOST}:0",
+            "discovery": f"{HOST}:{discovery}",
+            "seed": "1",
             "limits": {"sockets": 1024, "memory_mb": 64},
-            "known": {"index": 7, "snapshot": True, "endpoints": known}, "settings": WIRE,
+            "known": {"index": 7, "snapshot": True, "endpoints": known},
+            "settings": WIRE,
         }
         self.write()
 
@@ -104,11 +108,14 @@
 # ---- requests in flight ------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("services", [
-    [BOOK, READ, ONCE | {"Name": "new", "Repeat": "retryable"}],
-    [READ | {"Name": "new"}, READ],
-    [READ | {"Name": "new"}],
-])
+@pytest.mark.parametrize(
+    "services",
+    [
+        [BOOK, READ, ONCE | {"Name": "new", "Repeat": "retryable"}],
+        [READ | {"Name": "new"}, READ],
+        [READ | {"Name": "new"}],
+    ],
+)
 def test_classes_change_under_a_request(path: Path, services: list[dict[str, Any]]) -> None:
     async def play() -> None:
         async with backend(lambda _: None) as one, site(path, [entry("a", one.address)]) as up:
@@ -130,11 +137,14 @@
     asyncio.run(play())
 
 
-@pytest.mark.parametrize(("first", "then"), [
-    (book, [READ, BOOK | {"Repeat": "retryable"}]),  # may be repeated by now
-    (read, [READ | {"Repeat": "fragile"}, BOOK]),  # may not be repeated any more
-    (book, [READ]),  # gone
-])
+@pytest.mark.parametrize(
+    ("first", "then"),
+    [
+        (book, [READ, BOOK | {"Repeat": "retryable"}]),  # may be repeated by now
+        (read, [READ | {"Repeat": "fragile"}, BOOK]),  # may not be repeated any more
+        (book, [READ]),  # gone
+    ],
+)
 @pytest.mark.parametrize("end", ["resets", "errs"])
 def test_what_may_have_run_is_neither_sent_again_nor_refused(
     path: Path, first: Any, then: list[dict[str, Any]], end: str
@@ -180,10 +190,13 @@
                 client = await up.client()
                 client.writer.write(read(1))
                 calls = up.proxy._calls
-                await clock.until(lambda: any(
-                    exchange.connection is not None and exchange.connection._begun
-                    for call in calls.values() for exchange in call.exchanges
-                ))
+                await clock.until(
+                    lambda: any(
+                        exchange.connection is not None and exchange.connection._begun
+                        for call in calls.values()
+                        for exchange in call.exchanges
+                    )
+                )
                 up.reload(Services=[READ | {"Repeat": "fragile"}])
                 await clock.move(1.0)
                 one.open[0].write(OK[-2:])
@@ -269,8 +282,10 @@
                 client.writer.write(book(1))
                 await until(lambda: gate.waiting == 1)
                 reader = up.proxy._reader
-                up.proxy._told(ListKind.PATCH, reader.endpoints(
-                    {"endpoints": [entry("b", two.address) | {"zone": "there"}]}))
+                up.proxy._told(
+                    ListKind.PATCH,
+                    reader.endpoints({"endpoints": [entry("b", two.address) | {"zone": "there"}]}),
+                )
                 up.reload(Services=[READ, BOOK | {"AllowedIn": [1]}])
                 gate.open.set()
                 assert status(await client.answer()) == 200
@@ -394,8 +409,13 @@
 def test_what_identifies_the_process_stays(path: Path, capfd: pytest.CaptureFixture[str]) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, site(path, [entry("a", one.address)]) as up:
-            top = {"name": "n1", "listen": f"{HOST}:1", "seed": "2", "limits": {"sockets": 1, "memory_mb": 1},
-                   "known": {"index": 9, "endpoints": []}}
+            top = {
+                "name": "n1",
+                "listen": f"{HOST}:1",
+                "seed": "2",
+                "limits": {"sockets": 1, "memory_mb": 1},
+                "known": {"index": 9, "endpoints": []},
+            }
             up.reload(top)
             said = [line.split()[2] for line in lines(capfd)]
             assert said == ["name", "listen", "seed", "sockets", "memory", "known"]
@@ -408,7 +428,8 @@
 
 
 RESTART: dict[str, bytes] = {
-    "tier": bad(Tier=1, Tiers=["one", "two"]), "discovery": bad(RegistryMode="on_request"),
+    "tier": bad(Tier=1, Tiers=["one", "two"]),
+    "discovery": bad(RegistryMode="on_request"),
 }
 
 
@@ -483,8 +504,13 @@
             file.write()
             env = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "lugspur", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
-                env=env | {"RELAY_CONFIG": str(file.path)})
+                sys.executable,
+                "-m",
+                "lugspur",
+                cwd=ROOT,
+                stderr=asyncio.subprocess.PIPE,
+                env=env | {"RELAY_CONFIG": str(file.path)},
+            )
             assert process.stderr is not None
             await soon(old.asked.get())
             old.say(8, [entry("a", one.address)])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -86,14 +86,24 @@
     servers=st.integers(0, 14),
 )
 def test_rules_hold(
-    steps: list[tuple[int, int, int]], seed: int, flags: tuple[bool, bool, bool, bool], attempts: int,
+    steps: list[tuple[int, int, int]],
+    seed: int,
+    flags: tuple[bool, bool, bool, bool],
+    attempts: int,
     servers: int,
 ) -> None:
     second, cancel, asks, budget = flags
     rules = BUDGETED if budget else RULES
     config = Settings(
-        classes=KINDS, tenants=(Tenant("a", 0.6, 5.0), Tenant("b", 0.4, 3.0)), zones=2, rules=rules,
-        balancers=3, me=seed % 3, tier=seed % 2, tiers=2, over_share_worth=0.1,
+        classes=KINDS,
+        tenants=(Tenant("a", 0.6, 5.0), Tenant("b", 0.4, 3.0)),
+        zones=2,
+        rules=rules,
+        balancers=3,
+        me=seed % 3,
+        tier=seed % 2,
+        tiers=2,
+        over_share_worth=0.1,
         discovery=Discovery.ON_REQUEST if asks else Discovery.PUSHED,
         limits=Limits(cancel=cancel, second_copies=second, max_attempts=attempts),
     )
@@ -240,9 +250,7 @@
     steps = [(0, 1, 250), (4, 0, 1), (0, 4, 250), (4, 0, 1), (0, 3, 250), (4, 0, 1)] * 12
     rows = [ServerRow(1000 + i, State.UP, i % 2, i // 3) for i in range(9)]
     tenants = (Tenant("a"), Tenant("b"))
-    config = Settings(
-        classes=KINDS, zones=2, rules=RULES, limits=Limits(max_attempts=4), tenants=tenants
-    )
+    config = Settings(classes=KINDS, zones=2, rules=RULES, limits=Limits(max_attempts=4), tenants=tenants)
     play(Checker(config, 1, rows), steps)
     with monkeypatch.context() as patch:
         patch.setattr(decide.Balancer, "_among", lambda self, now, request: self.pool_of[request.kind].ready)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -100,7 +100,7 @@
 def test_split_kept_and_back_to_back_requests_are_answered_in_order() -> None:
     async def play() -> None:
         def script(request: bytes) -> bytes:
-            return b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + request[request.index(b"id") + 2:][:1]
+            return b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + request[request.index(b"id") + 2 :][:1]
 
         async with backend(script) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
@@ -108,7 +108,7 @@
             client.writer.write(whole)
             assert [(await client.answer())[-1:] for _ in range(3)] == [b"1", b"2", b"3"]
             for at in range(len(whole)):
-                client.writer.write(whole[at:at + 1])
+                client.writer.write(whole[at : at + 1])
                 await asyncio.sleep(0)
             assert [(await client.answer())[-1:] for _ in range(3)] == [b"1", b"2", b"3"]
             last = await client.ask(book(4, Connection="close"))
@@ -261,11 +261,19 @@
 
 
 def environment(path: Path, listen: str, discovery: str, known: list[dict[str, object]]) -> dict[str, str]:
-    path.write_text(json.dumps({
-        "name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"index": 3, "snapshot": True, "endpoints": known}, "settings": WIRE,
-    }))
+    path.write_text(
+        json.dumps(
+            {
+                "name": "n0",
+                "listen": listen,
+                "discovery": discovery,
+                "seed": "8c1f30d27a5be964",
+                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+                "known": {"index": 3, "snapshot": True, "endpoints": known},
+                "settings": WIRE,
+            }
+        )
+    )
     return {**os.environ, "RELAY_CONFIG": str(path), "RELAY_LISTEN": listen, "RELAY_DISCOVERY": discovery}
 
 
@@ -290,8 +298,9 @@
     async def play() -> None:
         async with watches() as registry, backend(lambda _: None) as one:
             port = free_port()
-            env = environment(tmp_path / "c.json", f"{HOST}:{port}", f"{HOST}:{registry.port}",
-                              [entry("a", one.address)])
+            env = environment(
+                tmp_path / "c.json", f"{HOST}:{port}", f"{HOST}:{registry.port}", [entry("a", one.address)]
+            )
             process = await asyncio.create_subprocess_exec(sys.executable, "-m", "lugspur", cwd=ROOT, env=env)
             await up_and_ready(port)
             idle, early = await connect(port), await connect(port)
@@ -318,7 +327,8 @@
             port, path = free_port(), tmp_path / "c.json"
             env = environment(path, f"{HOST}:{port}", f"{HOST}:{old.port}", [])
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "lugspur", cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE)
+                sys.executable, "-m", "lugspur", cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE
+            )
             assert process.stderr is not None
             await soon(old.asked.get())
             old.say(4, [entry("b", f"{HOST}:9", "terminating")])
@@ -369,8 +379,13 @@
 
 
 ODD_LIST = {
-    "name": "n0", "listen": f"{HOST}:0", "discovery": f"{HOST}:9", "seed": "1", "limits": {"sockets": 64},
-    "known": {"index": 1, "endpoints": [{"name": "a"}]}, "settings": WIRE,
+    "name": "n0",
+    "listen": f"{HOST}:0",
+    "discovery": f"{HOST}:9",
+    "seed": "1",
+    "limits": {"sockets": 64},
+    "known": {"index": 1, "endpoints": [{"name": "a"}]},
+    "settings": WIRE,
 }
 
 
@@ -413,8 +428,15 @@
     path.write_text(text)
     env = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
     for more in ({"RELAY_CONFIG": str(path)}, {"RELAY_CONFIG": str(path / "none")}, {}):
-        done = subprocess.run([sys.executable, "-m", "lugspur"], cwd=ROOT, env=env | more, timeout=WIDE,
-                              capture_output=True, text=True, check=False)
+        done = subprocess.run(
+            [sys.executable, "-m", "lugspur"],
+            cwd=ROOT,
+            env=env | more,
+            timeout=WIDE,
+            capture_output=True,
+            text=True,
+            check=False,
+        )
         assert done.returncode == 2 and done.stdout == ""
         [line] = done.stderr.splitlines()
         assert line.startswith("lugspur: ")
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -85,9 +85,7 @@
 
 def settings(mode: str, ask_within: float) -> Settings:
     """The usual settings, with lists pushed or asked for."""
-    return read_settings(
-        WIRE | {"RegistryMode": mode, "Rules": WIRE["Rules"] | {"AskEvery": ask_within}}
-    )
+    return read_settings(WIRE | {"RegistryMode": mode, "Rules": WIRE["Rules"] | {"AskEvery": ask_within}})
 
 
 def places(up: Running) -> list[int]:
@@ -221,8 +219,10 @@
         first = REPLACED | {"index": 8, "endpoints": [entry("a", f"{HOST}:1"), entry("b", f"{HOST}:2")]}
         change = {"index": index + 1, "snapshot": False, "endpoints": [entry("c", f"{HOST}:3")]}
         whole = REPLACED | {"index": index}
-        spoke, back = (b"".join(chunk(json.dumps(one).encode() + b"\n") for one in told)
-                       for told in ([first], [whole, change]))
+        spoke, back = (
+            b"".join(chunk(json.dumps(one).encode() + b"\n") for one in told)
+            for told in ([first], [whole, change])
+        )
         agent = Agent([(HEAD + spoke, b"")], HEAD + back)
         server = await asyncio.start_server(agent.serve, HOST, 0)
         clock = Clock()
