--- a/jaspershelf/__init__.py
+++ b/balancer/__init__.py
@@ -1,7 +1,7 @@
 """Load-balancing decisions for services that call services: a sans-I/O library."""
 
-from jaspershelf.decide import Balancer, Breaker
-from jaspershelf.model import (
+from balancer.decide import Balancer, Breaker
+from balancer.model import (
     Action,
     Cancel,
     Discovery,
--- a/jaspershelf/adapter.py
+++ b/balancer/adapter.py
@@ -9,8 +9,8 @@
 
 import orjson
 
-from jaspershelf.decide import Balancer
-from jaspershelf.model import (
+from balancer.decide import Balancer
+from balancer.model import (
     Action,
     Cancel,
     Discovery,
--- a/jaspershelf/decide.py
+++ b/balancer/decide.py
@@ -1,6 +1,6 @@
 """All decisions of the balancer: which server, whether at all, again, or not any more.
 
-Interface (settings, list rows, outcomes, actions): jaspershelf/model.py.
+Interface (settings, list rows, outcomes, actions): balancer/model.py.
 
 Pure and sans-I/O: every method takes the time, returns the actions to carry out, and reads no clock.
 All randomness comes from the seed. The design: each server has a breaker that refuses a call locally with
@@ -19,7 +19,7 @@
 from math import exp, inf, log, sqrt
 from random import Random
 
-from jaspershelf.model import (
+from balancer.model import (
     NEVER_RAN,
     Action,
     Cancel,
--- a/emulator/hollow.py
+++ b/emulator/hollow.py
@@ -14,11 +14,11 @@
 
 from hdrh.histogram import HdrHistogram
 
+from balancer.adapter import read_settings
+from balancer.decide import Balancer
+from balancer.model import Action, ListKind, Outcome, Send
 from emulator import meter, topology
 from emulator.registry import HOST
-from jaspershelf.adapter import read_settings
-from jaspershelf.decide import Balancer
-from jaspershelf.model import Action, ListKind, Outcome, Send
 from lugspur.discovery import Discovery, Endpoint, Reader, _Watch
 
 STEP = 0.02  # seconds between two feedings of calls
--- a/emulator/runs/slopes.py
+++ b/emulator/runs/slopes.py
@@ -10,6 +10,9 @@
 import numpy as np
 import orjson
 
+from balancer.adapter import read_settings
+from balancer.decide import Balancer
+from balancer.model import ListKind, Outcome, Send
 from emulator import fit, topology
 from emulator.child import Child
 from emulator.hollow import Host, Sinks, reader
@@ -17,9 +20,6 @@
 from emulator.registry import Registry
 from emulator.result import write
 from emulator.runs.common import CHANGES_A_DAY, DAY, Changes, Done, Options, cost, paced, say
-from jaspershelf.adapter import read_settings
-from jaspershelf.decide import Balancer
-from jaspershelf.model import ListKind, Outcome, Send
 from lugspur.discovery import Endpoint
 
 ROWS = (12, 91, 300, 910, 1820)
--- a/lugspur/__init__.py
+++ b/lugspur/__init__.py
@@ -1,1 +1,1 @@
-"""The request proxy: the decisions of `jaspershelf` on real sockets."""
+"""The request proxy: the decisions of `balancer` on real sockets."""
--- a/lugspur/config.py
+++ b/lugspur/config.py
@@ -10,8 +10,8 @@
 
 import orjson
 
-from jaspershelf.adapter import DISCOVERY, GROUPS, REPEATS, read_settings
-from jaspershelf.model import Repeat, Settings
+from balancer.adapter import DISCOVERY, GROUPS, REPEATS, read_settings
+from balancer.model import Repeat, Settings
 
 Address = tuple[str, int]
 CONFIG_MOST = 4 << 20  # bytes of the file: as much as one list of discovery may take
--- a/lugspur/discovery.py
+++ b/lugspur/discovery.py
@@ -12,7 +12,7 @@
 import httptools
 import orjson
 
-from jaspershelf.model import ListKind, ServerRow, State
+from balancer.model import ListKind, ServerRow, State
 from lugspur.config import Address, ConfigError, read_address
 
 STATES = {"in_service": State.UP, "terminating": State.DRAINING, "terminated": State.GONE}
--- a/lugspur/proxy.py
+++ b/lugspur/proxy.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from jaspershelf.decide import Balancer
-from jaspershelf.model import (
+from balancer.decide import Balancer
+from balancer.model import (
     Action,
     Cancel,
     Discovery,
--- a/lugspur/server.py
+++ b/lugspur/server.py
@@ -13,7 +13,7 @@
 from http import HTTPStatus
 from math import inf
 
-from jaspershelf.model import Repeat, RequestClass
+from balancer.model import Repeat, RequestClass
 from lugspur.config import Config
 from lugspur.intake import Intake, Rejected, Request
 
--- a/lugspur/upstream.py
+++ b/lugspur/upstream.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from jaspershelf.model import Outcome
+from balancer.model import Outcome
 from lugspur.config import Address
 
 BODY_MOST = 64 << 10  # bytes of a request's body, by the protocol
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field, replace
 
-from jaspershelf.decide import Balancer
-from jaspershelf.model import (
+from balancer.decide import Balancer
+from balancer.model import (
     NEVER_RAN,
     Action,
     Cancel,
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from jaspershelf.adapter import read_settings
-from jaspershelf.model import ListKind, Settings
+from balancer.adapter import read_settings
+from balancer.model import ListKind, Settings
 from lugspur.config import Config
 from lugspur.discovery import Reader
 from lugspur.proxy import Proxy
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from jaspershelf import adapter
-from jaspershelf.decide import Balancer
-from jaspershelf.model import Discovery, Outcome, Repeat
+from balancer import adapter
+from balancer.decide import Balancer
+from balancer.model import Discovery, Outcome, Repeat
 
 ROOT = Path(__file__).parent.parent
 Message = dict[str, Any]
@@ -54,7 +54,7 @@
 
 def converse(text: str, **env: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "jaspershelf.adapter"],
+        [sys.executable, "-m", "balancer.adapter"],
         input=text,
         capture_output=True,
         text=True,
@@ -192,7 +192,7 @@
 
 def test_a_reader_that_is_gone_ends_it_quietly() -> None:
     process = subprocess.Popen(
-        [sys.executable, "-m", "jaspershelf.adapter"],
+        [sys.executable, "-m", "balancer.adapter"],
         cwd=ROOT,
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from jaspershelf.decide import Balancer
-from jaspershelf.model import (
+from balancer.decide import Balancer
+from balancer.model import (
     Fail,
     Limits,
     ListKind,
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jaspershelf.decide import Breaker
+from balancer.decide import Breaker
 
 
 def test_error_ratio_with_k_falling() -> None:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -17,9 +17,9 @@
 
 import pytest
 
-from jaspershelf import decide
-from jaspershelf.decide import Balancer
-from jaspershelf.model import (
+from balancer import decide
+from balancer.decide import Balancer
+from balancer.model import (
     Action,
     Cancel,
     Group,
--- a/tests/test_emulator_parts.py
+++ b/tests/test_emulator_parts.py
@@ -6,10 +6,10 @@
 
 import pytest
 
+from balancer.adapter import read_settings
 from emulator import fit, topology
 from emulator.meter import Series
 from emulator.runs.hollow import net_of_idle
-from jaspershelf.adapter import read_settings
 
 
 def test_the_fleet_has_the_targets_counts() -> None:
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -10,8 +10,8 @@
 import pytest
 from harness import Checker
 
-from jaspershelf.decide import Balancer
-from jaspershelf.model import (
+from balancer.decide import Balancer
+from balancer.model import (
     Cancel,
     Fail,
     Limits,
@@ -299,7 +299,7 @@
 def test_whole_requests_are_throttled_where_each_server_is_seldom_seen(
     protection: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("jaspershelf.decide.POOL_PROTECTION", protection)
+    monkeypatch.setattr("balancer.decide.POOL_PROTECTION", protection)
     b = balancer(Settings(classes=(SAFE,), balancers=40), [ServerRow(i) for i in range(40)])
     sent = 0
     for n in range(20):  # four a second, each on another server, none answered
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -31,8 +31,8 @@
     until,
 )
 
-from jaspershelf.adapter import read_settings
-from jaspershelf.model import Settings
+from balancer.adapter import read_settings
+from balancer.model import Settings
 
 TIERS = {"first": {"Tier": 0, "Tiers": ["a", "b"]}, "later": {"Tier": 1, "Tiers": ["a", "b"]}}
 CANCELS = {"cancels": True, "no cancels": False}
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,7 +21,7 @@
 
 
 def test_policy_files_keep_the_limits() -> None:
-    assert POLICY == ["jaspershelf/decide.py"]
+    assert POLICY == ["balancer/decide.py"]
     assert faults("\n".join((ROOT / name).read_text() for name in POLICY)) == []
 
 
@@ -32,4 +32,4 @@
 
 def test_the_module_names_its_interface_at_the_top() -> None:
     head = (ROOT / POLICY[0]).read_text().splitlines()[:5]
-    assert re.search(r"jaspershelf/model\.py", "\n".join(head))
+    assert re.search(r"balancer/model\.py", "\n".join(head))
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -30,8 +30,8 @@
     watches,
 )
 
-from jaspershelf.adapter import read_settings
-from jaspershelf.model import Outcome, Refuse, Settings
+from balancer.adapter import read_settings
+from balancer.model import Outcome, Refuse, Settings
 from lugspur import upstream
 from lugspur.intake import Intake
 from lugspur.proxy import Call, Proxy
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -8,7 +8,7 @@
 import pytest
 from loopback import HOST, WIRE, Client, Clock, Gate, config, entry, free_port, status
 
-from jaspershelf.adapter import read_settings
+from balancer.adapter import read_settings
 from lugspur.__main__ import serve
 
 WITHIN = 10.0  # seconds in which nine in ten processes have to be ready
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 from test_rules import BUDGETED, KINDS, OUTCOMES, RULES, fail_unseen, play, step
 
-from jaspershelf import decide
-from jaspershelf.decide import Balancer
-from jaspershelf.model import (
+from balancer import decide
+from balancer.decide import Balancer
+from balancer.model import (
     Action,
     Cancel,
     Discovery,
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -36,8 +36,8 @@
 from test_config import BAD, bad, lines, path
 from test_server import ROOT, up_and_ready
 
-from jaspershelf import decide
-from jaspershelf.model import ListKind
+from balancer import decide
+from balancer.model import ListKind
 from lugspur import upstream
 from lugspur.__main__ import reload
 from lugspur.config import load
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,8 +11,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from jaspershelf import decide
-from jaspershelf.model import (
+from balancer import decide
+from balancer.model import (
     Discovery,
     Group,
     Limits,
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -9,9 +9,9 @@
 import pytest
 from loopback import HOST, WIRE, Clock, Running, entry, free_port, running
 
-from jaspershelf.adapter import read_settings
-from jaspershelf.decide import Balancer
-from jaspershelf.model import Action, Discovery, ListKind, Rules, Settings, Subscribe, Timer
+from balancer.adapter import read_settings
+from balancer.decide import Balancer
+from balancer.model import Action, Discovery, ListKind, Rules, Settings, Subscribe, Timer
 
 COUNTS = 6.0  # seconds after discovery had a change, and could be reached, at which it counts as told
 STEP = 0.05
