--- a/emulator/added.py
+++ b/emulator/added.py
@@ -294,7 +294,7 @@
                 }
             )
         )
-        processes.append(await start(stack, cores, "-m", "lugspur", RELAY_CONFIG=str(path)))
+        processes.append(await start(stack, cores, "-m", "proxy", RELAY_CONFIG=str(path)))
     await asyncio.gather(*map(healthy, listens))
     return processes, listens
 
--- a/emulator/hollow.py
+++ b/emulator/hollow.py
@@ -19,7 +19,7 @@
 from balancer.model import Action, ListKind, Outcome, Send
 from emulator import meter, topology
 from emulator.registry import HOST
-from lugspur.discovery import Discovery, Endpoint, Reader, _Watch
+from proxy.discovery import Discovery, Endpoint, Reader, _Watch
 
 STEP = 0.02  # seconds between two feedings of calls
 LATENCY = 0.004  # seconds that a fed call takes at its backend
--- a/emulator/runs/hollow.py
+++ b/emulator/runs/hollow.py
@@ -59,7 +59,7 @@
                 file.write_text(json.dumps(config(fleet, place, port, discovery)), encoding="utf-8")
                 running.append(
                     subprocess.Popen(
-                        [sys.executable, "-m", "lugspur"],
+                        [sys.executable, "-m", "proxy"],
                         cwd=ROOT,
                         env=clean | {"RELAY_CONFIG": str(file)},
                         stdin=subprocess.DEVNULL,
--- a/emulator/runs/settings.py
+++ b/emulator/runs/settings.py
@@ -223,7 +223,7 @@
                 self.stack,
                 share,
                 "-m",
-                "lugspur",
+                "proxy",
                 cwd=self.options.program,
                 quiet=True,
                 RELAY_CONFIG=str(path),
--- a/lugspur/__main__.py
+++ b/proxy/__main__.py
@@ -1,4 +1,4 @@
-"""Start, signals and shutdown: `python -m lugspur`."""
+"""Start, signals and shutdown: `python -m proxy`."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 import sys
 from contextlib import suppress
 
-from lugspur.config import Config, ConfigError, load
-from lugspur.discovery import Reader
-from lugspur.proxy import Proxy
-from lugspur.server import Front
+from proxy.config import Config, ConfigError, load
+from proxy.discovery import Reader
+from proxy.proxy import Proxy
+from proxy.server import Front
 
 LISTEN_LEAST, LISTEN_MOST = 0.45, 0.6  # seconds after SIGTERM in which new connections are still taken...
 LISTEN_QUIET = 0.1  # ...until none has come for so long
@@ -52,7 +52,7 @@
     except ConfigError as fault:
         lines = [f"refused, version {proxy.front.version} stays: {fault}"]
     for line in lines:
-        say(f"lugspur: reload: {line}")
+        say(f"proxy: reload: {line}")
 
 
 def say(line: str) -> None:
@@ -90,12 +90,12 @@
         config = load(os.environ)
         Reader(config.zones, config.types).check(config.known)
     except ConfigError as fault:
-        print(f"lugspur: {fault}", file=sys.stderr)
+        print(f"proxy: {fault}", file=sys.stderr)
         return 2
     try:
         asyncio.run(serve(config))
     except OSError as fault:
-        print(f"lugspur: {config.listen[0]}:{config.listen[1]}: {fault}", file=sys.stderr)
+        print(f"proxy: {config.listen[0]}:{config.listen[1]}: {fault}", file=sys.stderr)
         return 1
     return 0
 
--- a/lugspur/discovery.py
+++ b/proxy/discovery.py
@@ -13,7 +13,7 @@
 import orjson
 
 from balancer.model import ListKind, ServerRow, State
-from lugspur.config import Address, ConfigError, read_address
+from proxy.config import Address, ConfigError, read_address
 
 STATES = {"in_service": State.UP, "terminating": State.DRAINING, "terminated": State.GONE}
 SILENT = 2.5  # seconds without a whole line after which a watch is dead: one comes every 2 s, and within 6 s
@@ -219,7 +219,7 @@
             self._parser.feed_data(data)
             self._lines()
         except Exception as fault:  # Guards against a malformed list: the last one stays.
-            print(f"lugspur: discovery: {fault!r}", file=sys.stderr, flush=True)
+            print(f"proxy: discovery: {fault!r}", file=sys.stderr, flush=True)
             self.close()
 
     def _lines(self) -> None:
--- a/lugspur/intake.py
+++ b/proxy/intake.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from lugspur.upstream import BODY_MOST, HOP_BY_HOP
+from proxy.upstream import BODY_MOST, HOP_BY_HOP
 
 HEAD_MOST = 16 << 10  # bytes of a request's head: what backends commonly read
 WIRE_MOST = 8 * BODY_MOST  # bytes of a request on the wire: the smallest chunks take six times the body
--- a/lugspur/proxy.py
+++ b/proxy/proxy.py
@@ -27,10 +27,10 @@
     Timer,
     strict_class,
 )
-from lugspur import discovery, upstream
-from lugspur.config import Config, ConfigError
-from lugspur.intake import Rejected, Request
-from lugspur.server import Caller, Front
+from proxy import discovery, upstream
+from proxy.config import Config, ConfigError
+from proxy.intake import Rejected, Request
+from proxy.server import Caller, Front
 
 SPARE_SOCKETS = 48  # descriptors for the listener, discovery, the loop, and callers beyond the limit
 CALLERS_PART = 0.5  # of the other descriptors
--- a/lugspur/server.py
+++ b/proxy/server.py
@@ -14,8 +14,8 @@
 from math import inf
 
 from balancer.model import Repeat, RequestClass
-from lugspur.config import Config
-from lugspur.intake import Intake, Rejected, Request
+from proxy.config import Config
+from proxy.intake import Intake, Rejected, Request
 
 READ = 64 << 10  # bytes read in one go, into one buffer that all callers share
 FIRST_WITHIN = 2.0  # seconds from connecting in which the first request must be whole: 3 s are owed at most
--- a/lugspur/upstream.py
+++ b/proxy/upstream.py
@@ -12,7 +12,7 @@
 import httptools
 
 from balancer.model import Outcome
-from lugspur.config import Address
+from proxy.config import Address
 
 BODY_MOST = 64 << 10  # bytes of a request's body, by the protocol
 ANSWER_MOST = 1 << 20  # bytes of an answer: not all keep to the 64 KiB of the protocol, 350 KB were seen
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,9 +14,9 @@
 
 from balancer.adapter import read_settings
 from balancer.model import ListKind, Settings
-from lugspur.config import Config
-from lugspur.discovery import Reader
-from lugspur.proxy import Proxy
+from proxy.config import Config
+from proxy.discovery import Reader
+from proxy.proxy import Proxy
 
 WIDE = 20.0  # seconds that any wait may take on a loaded machine
 HOST = "127.0.0.1"
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,8 +10,8 @@
 import pytest
 from loopback import HOST, WIRE
 
-from lugspur.__main__ import main
-from lugspur.config import ConfigError, load
+from proxy.__main__ import main
+from proxy.config import ConfigError, load
 
 READ, BOOK, ONCE = WIRE["Services"]
 
@@ -138,7 +138,7 @@
         load(os.environ)
     assert main() == 2
     [line] = lines(capfd)
-    assert line.startswith(f"lugspur: {path}: " if "is not an address" not in line else "lugspur: ")
+    assert line.startswith(f"proxy: {path}: " if "is not an address" not in line else "proxy: ")
 
 
 def test_a_configuration_tells_its_version_and_what_its_settings_are(path: Path) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -108,7 +108,7 @@
             env = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
             with log.open("wb") as file:
                 process = await asyncio.create_subprocess_shell(
-                    f"ulimit -n {SOCKETS}; exec {sys.executable} -m lugspur",
+                    f"ulimit -n {SOCKETS}; exec {sys.executable} -m proxy",
                     cwd=ROOT,
                     stderr=file,
                     env=env | {"RELAY_CONFIG": str(path)},
--- a/tests/test_emulator_added.py
+++ b/tests/test_emulator_added.py
@@ -16,7 +16,7 @@
 from emulator.backend import ANSWER, HOST, listen, port_of
 from emulator.caller import OpenLoop, Plan, Stream, Tally, arrivals, draw, encode, plan_line, read_plan
 from emulator.runs.common import free_ports
-from lugspur.config import load
+from proxy.config import load
 
 
 def test_arrivals_are_drawn_ahead_ascending_and_the_same_for_a_seed() -> None:
--- a/tests/test_emulator_settings.py
+++ b/tests/test_emulator_settings.py
@@ -27,7 +27,7 @@
     taken,
     version_of,
 )
-from lugspur.config import load
+from proxy.config import load
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n"
 
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -7,8 +7,8 @@
 import pytest
 from loopback import HOST, OK, Client, Clock, backend, book, config, entry, read, status
 
-from lugspur.__main__ import drain
-from lugspur.proxy import Proxy
+from proxy.__main__ import drain
+from proxy.proxy import Proxy
 
 KILL = 3.0 + 0.7  # seconds after SIGTERM at which SIGKILL may come, by the protocol
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -32,12 +32,12 @@
 
 from balancer.adapter import read_settings
 from balancer.model import Outcome, Refuse, Settings
-from lugspur import upstream
-from lugspur.intake import Intake
-from lugspur.proxy import Call, Proxy
-from lugspur.server import Caller
-from lugspur.upstream import STALL, Connection, Exchange, Response, Upstream
-from lugspur.upstream import Backend as Known
+from proxy import upstream
+from proxy.intake import Intake
+from proxy.proxy import Call, Proxy
+from proxy.server import Caller
+from proxy.upstream import STALL, Connection, Exchange, Response, Upstream
+from proxy.upstream import Backend as Known
 
 
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back() -> None:
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -9,7 +9,7 @@
 from loopback import HOST, WIRE, Client, Clock, Gate, config, entry, free_port, status
 
 from balancer.adapter import read_settings
-from lugspur.__main__ import serve
+from proxy.__main__ import serve
 
 WITHIN = 10.0  # seconds in which nine in ten processes have to be ready
 TIER = 20  # processes
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -38,10 +38,10 @@
 
 from balancer import decide
 from balancer.model import ListKind
-from lugspur import upstream
-from lugspur.__main__ import reload
-from lugspur.config import load
-from lugspur.proxy import Proxy
+from proxy import upstream
+from proxy.__main__ import reload
+from proxy.config import load
+from proxy.proxy import Proxy
 
 READ, BOOK, ONCE = WIRE["Services"]
 __all__ = ["path"]  # a fixture
@@ -377,9 +377,9 @@
             [line] = lines(capfd)
             code, [word, second] = await up.health()
             assert code == 200 and second.startswith(b"version 2-") and second[10:] != first[10:]
-            assert line == f"lugspur: reload: {second.decode()} is in force"
+            assert line == f"proxy: reload: {second.decode()} is in force"
             up.reload({"version": 41}, Instances=2)
-            assert lines(capfd) == [f"lugspur: reload: version 41-{second[10:].decode()} is in force"]
+            assert lines(capfd) == [f"proxy: reload: version 41-{second[10:].decode()} is in force"]
             up.reload()
             assert (await up.health())[1][1] == b"version 4-" + first[10:]
             up.proxy.front.ready = False
@@ -400,7 +400,7 @@
                 up.reload(top)
             now = [balancer.settings, balancer.pools, balancer.took, balancer.due, proxy._upstream._sweeping]
             assert all(a is b for a, b in zip(kept, now, strict=True))
-            assert lines(capfd) == [f"lugspur: reload: discovery is at {HOST}:10"]
+            assert lines(capfd) == [f"proxy: reload: discovery is at {HOST}:10"]
             assert (await up.health())[1][1].startswith(b"version 1-")
 
     asyncio.run(play())
@@ -450,7 +450,7 @@
                 path.write_bytes(data)
             reload(up.proxy)
             [line] = lines(capfd)
-            assert line.startswith(f"lugspur: reload: refused, version {version} stays: ")
+            assert line.startswith(f"proxy: reload: refused, version {version} stays: ")
             assert "Traceback" not in line and len(line) < 600 and line.isprintable()
             assert up.proxy.front.config is before and up.proxy._balancer.settings is settings
             assert status(await (await up.client()).ask(read(1))) == 200
@@ -506,7 +506,7 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "lugspur",
+                "proxy",
                 cwd=ROOT,
                 stderr=asyncio.subprocess.PIPE,
                 env=env | {"RELAY_CONFIG": str(file.path)},
@@ -522,9 +522,9 @@
             file.top["discovery"] = f"{HOST}:{new.port}"
             file.write({"version": "v2"}, Services=[READ, READ | {"Name": "new"}])
             process.send_signal(signal.SIGHUP)
-            assert (await soon(process.stderr.readline())).startswith(b"lugspur: reload: version v2-")
+            assert (await soon(process.stderr.readline())).startswith(b"proxy: reload: version v2-")
             line = await soon(process.stderr.readline())
-            assert line.decode() == f"lugspur: reload: discovery is at {HOST}:{new.port}\n"
+            assert line.decode() == f"proxy: reload: discovery is at {HOST}:{new.port}\n"
             await soon(new.asked.get())
             for _ in range(5):  # the same file again and again: nothing to say
                 process.send_signal(signal.SIGHUP)
@@ -541,7 +541,7 @@
             file.write(Services=[READ])
             process.send_signal(signal.SIGHUP)
             line = await soon(process.stderr.readline())
-            assert line.startswith(b"lugspur: reload: the process is ending: version v2-")
+            assert line.startswith(b"proxy: reload: the process is ending: version v2-")
             for writer in one.open:
                 writer.write(OK)
             for waiting in (caller, other, late):
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -31,8 +31,8 @@
     watches,
 )
 
-from lugspur.__main__ import drain
-from lugspur.proxy import Proxy
+from proxy.__main__ import drain
+from proxy.proxy import Proxy
 
 ROOT = Path(__file__).parent.parent
 CHUNKED = book(Content_Length="", Transfer_Encoding="chunked", body=b"2\r\nro\r\n2\r\nom\r\n0\r\n\r\n")
@@ -129,7 +129,7 @@
             client.writer.close()
             await until(lambda: not up.proxy.front.callers and not up.proxy.front.leaving)
 
-    monkeypatch.setattr("lugspur.server.FIRST_WITHIN", 0.5)
+    monkeypatch.setattr("proxy.server.FIRST_WITHIN", 0.5)
     asyncio.run(play())
 
 
@@ -141,7 +141,7 @@
             assert await soon(client.reader.read()) == b""
             assert not up.proxy.front.callers
 
-    monkeypatch.setattr("lugspur.server.IDLE_MOST", 0.1)
+    monkeypatch.setattr("proxy.server.IDLE_MOST", 0.1)
     asyncio.run(play())
 
 
@@ -180,8 +180,8 @@
                 assert status(await half.ask(book(2)[-1:])) == 200
 
     for name in ("FIRST_WITHIN", "WHOLE_WITHIN", "IDLE_LEAST", "IDLE_MOST", "LINGER"):
-        monkeypatch.setattr(f"lugspur.server.{name}", 3 * WIDE)
-    monkeypatch.setattr("lugspur.server.SETTLE", 0.0)
+        monkeypatch.setattr(f"proxy.server.{name}", 3 * WIDE)
+    monkeypatch.setattr("proxy.server.SETTLE", 0.0)
     asyncio.run(play())
 
 
@@ -301,7 +301,7 @@
             env = environment(
                 tmp_path / "c.json", f"{HOST}:{port}", f"{HOST}:{registry.port}", [entry("a", one.address)]
             )
-            process = await asyncio.create_subprocess_exec(sys.executable, "-m", "lugspur", cwd=ROOT, env=env)
+            process = await asyncio.create_subprocess_exec(sys.executable, "-m", "proxy", cwd=ROOT, env=env)
             await up_and_ready(port)
             idle, early = await connect(port), await connect(port)
             early.writer.write(book(1, timeout="15"))
@@ -327,7 +327,7 @@
             port, path = free_port(), tmp_path / "c.json"
             env = environment(path, f"{HOST}:{port}", f"{HOST}:{old.port}", [])
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "lugspur", cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE
+                sys.executable, "-m", "proxy", cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE
             )
             assert process.stderr is not None
             await soon(old.asked.get())
@@ -335,7 +335,7 @@
             await up_and_ready(port)
             path.write_text("{")
             process.send_signal(signal.SIGHUP)  # can't be read: one line, and all stays
-            assert (await soon(process.stderr.readline())).startswith(b"lugspur: reload: ")
+            assert (await soon(process.stderr.readline())).startswith(b"proxy: reload: ")
             environment(path, f"{HOST}:{port}", f"{HOST}:{new.port}", [])
             for _ in range(3):
                 process.send_signal(signal.SIGHUP)
@@ -363,7 +363,7 @@
         env = environment(tmp_path / "c.json", f"{HOST}:{port}", f"{HOST}:9", [entry("a", f"{HOST}:9")])
         with open(tmp_path / "log", "wb") as log:
             process = await asyncio.create_subprocess_shell(
-                f"ulimit -n 30; exec {sys.executable} -m lugspur", cwd=ROOT, env=env, stderr=log
+                f"ulimit -n 30; exec {sys.executable} -m proxy", cwd=ROOT, env=env, stderr=log
             )
         await up_and_ready(port)
         many = [socket.create_connection((HOST, port)) for _ in range(60)]
@@ -429,7 +429,7 @@
     env = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
     for more in ({"RELAY_CONFIG": str(path)}, {"RELAY_CONFIG": str(path / "none")}, {}):
         done = subprocess.run(
-            [sys.executable, "-m", "lugspur"],
+            [sys.executable, "-m", "proxy"],
             cwd=ROOT,
             env=env | more,
             timeout=WIDE,
@@ -439,4 +439,4 @@
         )
         assert done.returncode == 2 and done.stdout == ""
         [line] = done.stderr.splitlines()
-        assert line.startswith("lugspur: ")
+        assert line.startswith("proxy: ")
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -24,7 +24,7 @@
     watches,
 )
 
-from lugspur.__main__ import serve
+from proxy.__main__ import serve
 
 BEAT = 2.0  # seconds between two empty lines, by the protocol
 COUNTS = 6.0  # seconds after a watch fell silent at which what it misses counts as told
