--- a/balancer/__init__.py
+++ b/balancer/__init__.py
@@ -1,48 +1,55 @@
-"""Load-balancing decisions for services that call services: a sans-I/O library."""
+"""Load-balancing decisions for services that call services: a sans-I/O library.
 
-from balancer.decide import Balancer, Breaker
-from balancer.model import (
+`Balancer` takes events and returns the actions to carry out; `settings`, `endpoints` and `events` hold the types
+that it speaks.
+"""
+
+from balancer.decide import Balancer, CircuitBreaker
+from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
+from balancer.errors import InvalidValueError, RowandealError
+from balancer.events import (
     Action,
-    Cancel,
-    Discovery,
+    CancelAttempt,
     Fail,
-    Group,
-    Limits,
-    ListKind,
     Outcome,
-    Refuse,
-    Repeat,
+    PollEndpoints,
+    Reject,
+    SetTimer,
+    StartAttempt,
+)
+from balancer.settings import (
+    DeduplicationScope,
+    DiscoveryMode,
+    Idempotency,
+    Limits,
     RequestClass,
     Rules,
-    Send,
-    ServerRow,
     Settings,
-    State,
-    Subscribe,
     Tenant,
-    Timer,
 )
 
 __all__ = [
     "Action",
     "Balancer",
-    "Breaker",
-    "Cancel",
-    "Discovery",
+    "CancelAttempt",
+    "CircuitBreaker",
+    "DeduplicationScope",
+    "DiscoveryMode",
+    "Endpoint",
+    "EndpointStatus",
     "Fail",
-    "Group",
+    "Idempotency",
+    "InvalidValueError",
     "Limits",
-    "ListKind",
     "Outcome",
-    "Refuse",
-    "Repeat",
+    "PollEndpoints",
+    "Reject",
     "RequestClass",
+    "RowandealError",
     "Rules",
-    "Send",
-    "ServerRow",
+    "SetTimer",
     "Settings",
-    "State",
-    "Subscribe",
+    "StartAttempt",
     "Tenant",
-    "Timer",
+    "UpdateKind",
 ]
--- a/balancer/decide.py
+++ b/balancer/decide.py
@@ -1,6 +1,6 @@
 """All decisions of the balancer: which server, whether at all, again, or not any more.
 
-Interface (settings, list rows, outcomes, actions): balancer/model.py.
+Interface (settings, list rows, outcomes, actions): balancer/settings.py, endpoints.py, events.py.
 
 Pure and sans-I/O: every method takes the time, returns the actions to carry out, and reads no clock.
 All randomness comes from the seed. The design: each server has a breaker that refuses a call locally with
@@ -19,27 +19,26 @@
 from math import exp, inf, log, sqrt
 from random import Random
 
-from balancer.model import (
+from balancer.endpoints import Endpoint, EndpointId, EndpointStatus, UpdateKind
+from balancer.events import (
     NEVER_RAN,
     Action,
-    Cancel,
-    Discovery,
+    CancelAttempt,
     Fail,
-    Group,
-    ListKind,
     Outcome,
-    Refuse,
-    Repeat,
+    PollEndpoints,
+    Reject,
     RequestId,
-    Send,
-    ServerId,
-    ServerRow,
+    SetTimer,
+    StartAttempt,
+)
+from balancer.settings import (
+    DeduplicationScope,
+    DiscoveryMode,
+    Idempotency,
     Settings,
-    State,
-    Subscribe,
-    Timer,
-    strict_class,
-    strict_limits,
+    narrow_class,
+    narrow_limits,
 )
 
 WINDOW = 10.0  # seconds that the error ratio looks back
@@ -105,7 +104,7 @@
 LENGTHS_MOST = 256  # lengths of tries that are told apart; rarer ones are forgotten first
 
 #: Outcomes that speak of too much work for the servers there are.
-STRAIN = frozenset({Outcome.FULL, Outcome.TIMEOUT, Outcome.UNREACHABLE})
+STRAIN = frozenset({Outcome.OVERLOADED, Outcome.TIMEOUT, Outcome.UNREACHABLE})
 
 Placement = tuple[tuple[int, ...] | None, tuple[int, ...] | None]  # kinds and zones that a class is bound to
 
@@ -114,7 +113,7 @@
 SUBSCRIBE = 1  # timer token; those above it are of second copies
 
 
-class Breaker:
+class CircuitBreaker:
     """The design's chance of refusing locally: a call to one server, or any request of a pool."""
 
     __slots__ = (
@@ -263,7 +262,7 @@
         return self._events / self._time if self._events >= USUAL_LEAST and self._time > 0.0 else inf
 
 
-class Budget:
+class RetryBudget:
     """The retry budget: attempts beyond each request's first against the requests taken, in any span.
 
     Guards against retries that feed an overload, and keeps the rule where one is stated. Could harm where
@@ -282,7 +281,7 @@
         """Change its figures; what was spent still counts."""
         self._free, self._share, self._span = free, share, span
 
-    def absorb(self, other: Budget) -> None:
+    def absorb(self, other: RetryBudget) -> None:
         """Count what another has spent on the same requests."""
         self._extra = deque(sorted((*self._extra, *other._extra)))
         self._forgotten = max(self._forgotten, other._forgotten)
@@ -311,7 +310,7 @@
             self._forgotten = self._extra.popleft()
 
 
-class Server:
+class EndpointState:
     """What an instance knows of one server of the next tier."""
 
     __slots__ = (
@@ -324,10 +323,10 @@
         "seen",
     )
 
-    def __init__(self, row: ServerRow) -> None:
+    def __init__(self, row: Endpoint) -> None:
         self.row = row
-        self.breaker: Breaker | None = None  # made at the first call: most rows of a big list see none
-        self.out: dict[Attempt, None] = {}  # attempts in flight, oldest first
+        self.breaker: CircuitBreaker | None = None  # made at the first call: most rows of a big list see none
+        self.out: dict[AttemptState, None] = {}  # attempts in flight, oldest first
         self.latency = 0.0  # the breaker's current latency, failures counted as the time-out
         self.seen = 0.0
         self.cold_credit = self.cold_seen = 0.0
@@ -357,12 +356,12 @@
         return self.breaker is not None and self.breaker.mostly_fails(now)
 
 
-class Attempt:
+class AttemptState:
     """One send of a request."""
 
     __slots__ = ("maybe_ran", "open", "sent", "server", "strained")
 
-    def __init__(self, server: Server, sent: float) -> None:
+    def __init__(self, server: EndpointState, sent: float) -> None:
         self.server = server
         self.sent = sent
         self.open = True
@@ -370,7 +369,7 @@
         self.strained = False  # whether its end speaks of too much work for the servers there are
 
 
-class Request:
+class RequestState:
     """A request that a final answer is owed for, or that still has attempts out."""
 
     __slots__ = (
@@ -399,18 +398,18 @@
         self.room = balancer.room[kind]
         self.deadline = deadline
         self.until = deadline  # no attempt is waited for longer than this
-        self.attempts: list[Attempt] = []
+        self.attempts: list[AttemptState] = []
         self.open = 0
         self.done = False
         self.cost = 1.0  # the work that is expected of it
         self.bound = False  # a stream has begun: the request belongs to one attempt
 
-    def first_maybe(self) -> Attempt | None:
+    def first_maybe(self) -> AttemptState | None:
         """The first attempt that may have run, or may be running."""
         return next((a for a in self.attempts if a.maybe_ran), None)
 
 
-class Pool:
+class EndpointPool:
     """The servers that some of the classes may go to, and the subset of them that ordinary picks draw from.
 
     Guards placement: every pick, first or further, comes from a list that holds open servers alone.
@@ -444,24 +443,26 @@
         self.place = kinds, zones
         self.kinds = kinds
         self.zones = zones
-        self.ready: list[Server] = []
-        self.subset: list[Server] = []  # the part of `ready` that ordinary picks draw from...
+        self.ready: list[EndpointState] = []
+        self.subset: list[EndpointState] = []  # the part of `ready` that ordinary picks draw from...
         self.ends: list[float] = []  # ...where each one's stretch of the subset ends, by size...
         self.begin = self.width = 0.0  # ...and the subset
-        self.spare: list[Server] = []  # the servers that follow the subset on the ring
-        self.groups: dict[tuple[Group, int], list[Server]] = {}  # which servers drop each other's repeats
+        self.spare: list[EndpointState] = []  # the servers that follow the subset on the ring
+        self.groups: dict[
+            tuple[DeduplicationScope, int], list[EndpointState]
+        ] = {}  # which servers drop each other's repeats
         self.rate, self.sent, self.served = Rate(), Rate(), Rate()  # requests offered, attempts, served
         self.usual = UsualRate()  # attempts while all of the subset were warm
         self.born = float("inf")  # when the first request came
         self.owed = 0  # requests that a final answer is owed for...
         self.held = self.held_at = 0.0  # ...and how many they were lately, as of then
-        self.breaker = Breaker()  # of requests, whichever servers they went to
+        self.breaker = CircuitBreaker()  # of requests, whichever servers they went to
         self.warm_from = float("inf")  # when the next of the cold servers is warm
         self.warm_part = 1.0
 
-    def opens(self, row: ServerRow) -> bool:
+    def opens(self, row: Endpoint) -> bool:
         """Whether the classes of this pool may go to this server."""
-        return (self.kinds is None or row.kind in self.kinds) and (
+        return (self.kinds is None or row.machine_type in self.kinds) and (
             self.zones is None or row.zone in self.zones
         )
 
@@ -482,19 +483,21 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         settings.check()
         self.rng = Random(seed)
-        self.servers: dict[ServerId, Server] = {}
-        self.pools: list[Pool] = []  # also such as only requests in flight still hold
-        self.pool_of: list[Pool] = []  # by class
+        self.servers: dict[EndpointId, EndpointState] = {}
+        self.pools: list[EndpointPool] = []  # also such as only requests in flight still hold
+        self.pool_of: list[EndpointPool] = []  # by class
         self.shares: list[float] = []  # what of each tenant is due here...
         self.due: list[float] = []  # ...how many requests of it now...
         self.due_at: list[float] = []  # ...as of then
         self.look_at = 0.0
         self.pooled = 0.0  # current latency of the tier...
         self.spread = 0.0  # ...and its mean deviation
-        self.copies: dict[int, tuple[Request, Attempt]] = {}  # by timer token: what may get a copy then
+        self.copies: dict[
+            int, tuple[RequestState, AttemptState]
+        ] = {}  # by timer token: what may get a copy then
         self.tokens = SUBSCRIBE
-        self.requests: dict[RequestId, Request] = {}
-        self.budget = self.copy_budget = Budget(EXTRA_FREE, EXTRA_SHARE, EXTRA_SPAN)
+        self.requests: dict[RequestId, RequestState] = {}
+        self.budget = self.copy_budget = RetryBudget(EXTRA_FREE, EXTRA_SHARE, EXTRA_SPAN)
         self.asking = False
         self.backoff = 1.0
         self.pace = 0.0  # baseline of latency for each unit of cost...
@@ -519,12 +522,12 @@
         """
         if settings == self.settings:
             return []
-        self.settings.check_swap(settings)
+        self.settings.check_reload(settings)
         self._configure(now, settings)
         self._arrange(now)
         return []
 
-    def misplaced(self) -> list[tuple[RequestId, int]]:
+    def misplaced_attempts(self) -> list[tuple[RequestId, int]]:
         """Attempts out on servers that their requests may not go to any more; call after `reconfigure`.
 
         Those that are not on the wire yet should be ended as void.
@@ -543,16 +546,19 @@
         tenants = () if settings.tier else settings.tenants  # only the first tier sheds by share
         places = {t.name: n for n, t in enumerate(self.settings.tenants)}
         due = [self._due(now, places[t.name]) if t.name in places else float("inf") for t in tenants]
-        self.shares = [t.quota / settings.balancers for t in tenants]
+        self.shares = [t.quota / settings.fleet_size for t in tenants]
         self.due = [min(was, 1.0 + SHARE_SPAN * share) for was, share in zip(due, self.shares, strict=True)]
         self.due_at = [now] * len(due)
-        pools: dict[Placement, Pool] = {}
+        pools: dict[Placement, EndpointPool] = {}
         for row, n in zip(settings.classes, kept, strict=True):
-            if n >= 0 and self.pool_of[n].place == (row.only_kinds, row.only_zones):
+            if n >= 0 and self.pool_of[n].place == (row.allowed_machine_types, row.allowed_zones):
                 pools[self.pool_of[n].place] = self.pool_of[n]
         for row in settings.classes:
-            pools.setdefault((row.only_kinds, row.only_zones), Pool(row.only_kinds, row.only_zones))
-        self.pool_of = [pools[row.only_kinds, row.only_zones] for row in settings.classes]
+            pools.setdefault(
+                (row.allowed_machine_types, row.allowed_zones),
+                EndpointPool(row.allowed_machine_types, row.allowed_zones),
+            )
+        self.pool_of = [pools[row.allowed_machine_types, row.allowed_zones] for row in settings.classes]
         self.took = [self.took[n] if n >= 0 else 0.0 for n in kept]
         self.answers = [self.answers[n] if n >= 0 else 0 for n in kept]
         self.lengths = [self.lengths[n] if n >= 0 else {} for n in kept]
@@ -560,19 +566,19 @@
         if max(kept) < 0:  # none is left: what was learned of all of them together goes too
             self.pooled = self.spread = self.mean = self.calm = self.pace = 0.0
             self.paced = 0
-        dearest = max(c.worth for c in settings.classes) or 1.0
+        dearest = max(c.priority_weight for c in settings.classes) or 1.0
         span = (ROOM - ROOM_LEAST) / dearest
-        self.crowd = min(1.0, max(0, settings.balancers - CROWD_ALONE) / (CROWD_MANY - CROWD_ALONE))
-        self.alone = ROOM_ALONE if settings.balancers <= settings.zones else 0.0
-        self.room = [c.aim * (ROOM_LEAST + span * c.worth) for c in settings.classes]
-        self.worth = [c.worth / dearest for c in settings.classes]
+        self.crowd = min(1.0, max(0, settings.fleet_size - CROWD_ALONE) / (CROWD_MANY - CROWD_ALONE))
+        self.alone = ROOM_ALONE if settings.fleet_size <= settings.zone_count else 0.0
+        self.room = [c.latency_objective * (ROOM_LEAST + span * c.priority_weight) for c in settings.classes]
+        self.worth = [c.priority_weight / dearest for c in settings.classes]
         self.accept_worth = [1.0 / (POOL_KEEPS - POOL_WORTH * worth) for worth in self.worth]
         self._state_budgets(settings)
         self.settings = settings
         places = {c.name: n for n, c in enumerate(settings.classes)}
-        narrowed: dict[Placement, Pool] = {}
+        narrowed: dict[Placement, EndpointPool] = {}
         for request in self.requests.values():
-            request.limits = strict_limits(request.limits, settings.limits)
+            request.limits = narrow_limits(request.limits, settings.limits)
             request.kind = places.get(request.row.name, -1)
             if request.kind >= 0:  # else its class is gone, and it is finished as it was admitted
                 self._narrow(request, narrowed)
@@ -582,8 +588,8 @@
 
     def _state_budgets(self, settings: Settings) -> None:
         rules = settings.rules
-        if rules.extra_span > 0.0:
-            self.budget.state(rules.extra_free, rules.extra_share, rules.extra_span)
+        if rules.retry_budget_window > 0.0:
+            self.budget.state(rules.retry_budget_floor, rules.retry_budget_ratio, rules.retry_budget_window)
             if self.copy_budget is not self.budget:
                 self.budget.absorb(self.copy_budget)
             self.copy_budget = self.budget  # the rule counts copies too
@@ -594,14 +600,14 @@
             self.copy_budget = deepcopy(self.budget)
         self.copy_budget.state(COPY_FREE, COPY_SHARE, EXTRA_SPAN)
 
-    def _narrow(self, request: Request, pools: dict[Placement, Pool]) -> None:
+    def _narrow(self, request: RequestState, pools: dict[Placement, EndpointPool]) -> None:
         """Leave to a request in flight what both its own class and the one in force allow."""
-        request.row = row = strict_class(request.row, self.settings.classes[request.kind])
-        place = row.only_kinds, row.only_zones
+        request.row = row = narrow_class(request.row, self.settings.classes[request.kind])
+        place = row.allowed_machine_types, row.allowed_zones
         if request.pool.place != place:
             pool = self.pool_of[request.kind]
             if pool.place != place:
-                pool = pools.setdefault(place, Pool(*place))
+                pool = pools.setdefault(place, EndpointPool(*place))
             request.pool.owed -= not request.done
             pool.owed += not request.done
             request.pool = pool
@@ -610,36 +616,36 @@
 
     def start(self, now: float) -> list[Action]:
         """Call once, after the first list was given."""
-        if self.settings.discovery is not Discovery.ON_REQUEST:
+        if self.settings.discovery is not DiscoveryMode.POLLED:
             return []
         # All instances start together: spread the first calls over what the rules allow unasked.
-        return self._ask_in(now, min(0.4 * self.settings.rules.ask_within, ASK_MOST) * self.rng.random())
+        return self._ask_in(now, min(0.4 * self.settings.rules.poll_interval, ASK_MOST) * self.rng.random())
 
     def _ask_in(self, now: float, delay: float) -> list[Action]:
         if self.asking:
             return []
         self.asking = True
-        return [Timer(now + delay, SUBSCRIBE)]
+        return [SetTimer(now + delay, SUBSCRIBE)]
 
-    def members(self, now: float, kind: ListKind, rows: Sequence[ServerRow]) -> list[Action]:
+    def on_endpoints_updated(self, now: float, kind: UpdateKind, rows: Sequence[Endpoint]) -> list[Action]:
         """A list, a change to it, or the news that a call to discovery failed."""
-        if kind is ListKind.BROKEN:
+        if kind is UpdateKind.FAILED:
             # Jittered and doubling: every instance lost the same service at the same time.
             delay = self.backoff * (0.5 + self.rng.random())
-            self.backoff = min(2.0 * self.backoff, max(1.0, self.settings.rules.ask_within), ASK_MOST)
+            self.backoff = min(2.0 * self.backoff, max(1.0, self.settings.rules.poll_interval), ASK_MOST)
             return self._ask_in(now, delay)
-        if kind is not ListKind.STALE:
+        if kind is not UpdateKind.CACHED:
             self.backoff = 1.0
-        if kind is not ListKind.PATCH:
-            listed = {row.server for row in rows}
+        if kind is not UpdateKind.DELTA:
+            listed = {row.id for row in rows}
             for server in self.servers.values():
-                if server.row.server not in listed:
+                if server.row.id not in listed:
                     # Size and start time are kept: it may come back as the same process, still cold.
-                    server.row = replace(server.row, state=State.GONE)
+                    server.row = replace(server.row, status=EndpointStatus.GONE)
         for row in rows:
-            known = self.servers.get(row.server)
+            known = self.servers.get(row.id)
             if known is None:
-                self.servers[row.server] = Server(row)
+                self.servers[row.id] = EndpointState(row)
                 continue
             if row.started > known.row.started:
                 known.breaker = None  # a new process: nothing learned of the old one holds
@@ -659,20 +665,24 @@
         the same process.
         """
         for key, server in tuple(self.servers.items()):
-            if server.row.state is State.GONE and not server.out and self._cold_until(server) <= now:
+            if (
+                server.row.status is EndpointStatus.GONE
+                and not server.out
+                and self._cold_until(server) <= now
+            ):
                 del self.servers[key]
 
     def _arrange(self, now: float) -> None:
         """Rebuild the lists of ready servers; drained and gone ones leave them at once."""
         # A ring in scattered order, the same at every instance.
-        ready = [s for s in self.servers.values() if s.row.state is State.UP]
-        ready.sort(key=lambda s: (s.row.server * 0x9E3779B1 & 0xFFFFFFFF, s.row.server))
+        ready = [s for s in self.servers.values() if s.row.status is EndpointStatus.UP]
+        ready.sort(key=lambda s: (s.row.id * 0x9E3779B1 & 0xFFFFFFFF, s.row.id))
         for pool in self.pools:
             pool.ready = [s for s in ready if pool.opens(s.row)]
             pool.groups = {}
             for server in pool.ready:
-                pool.groups.setdefault((Group.ZONE, server.row.zone), []).append(server)
-                pool.groups.setdefault((Group.CELL, server.row.cell), []).append(server)
+                pool.groups.setdefault((DeduplicationScope.ZONE, server.row.zone), []).append(server)
+                pool.groups.setdefault((DeduplicationScope.CELL, server.row.cell), []).append(server)
         self._resize(now)
 
     def _resize(self, now: float) -> None:
@@ -687,9 +697,9 @@
             total = sum(s.row.size or 1.0 for s in pool.ready)
             mean = total / max(1, len(pool.ready))
             want = mean * (1.0 + SUBSET_SPREAD * sqrt(pool.rate.read(now) * self.pooled))
-            step = total / self.settings.balancers  # only whole steps cover every server alike
+            step = total / self.settings.fleet_size  # only whole steps cover every server alike
             pool.width = min(total, step * max(1, round(want / step))) if total else 0.0
-            pool.begin = step * self.settings.me
+            pool.begin = step * self.settings.ordinal
             pool.subset = []
             pool.ends = []
             at = 0.0
@@ -703,7 +713,7 @@
             self._count_warm(now, pool)
 
     @staticmethod
-    def _following(pool: Pool) -> list[Server]:
+    def _following(pool: EndpointPool) -> list[EndpointState]:
         """The servers that stand in for a busy subset: the next ones on the ring.
 
         Guards servers against a connection from every proxy of a large fleet: each new one costs them a
@@ -716,17 +726,17 @@
         count = SPARE_LEAST + SPARE_SPREAD * len(pool.subset)
         return [server for server in ring[:count] if server not in pool.subset]
 
-    def _count_warm(self, now: float, pool: Pool) -> None:
+    def _count_warm(self, now: float, pool: EndpointPool) -> None:
         until = [self._cold_until(s) for s in pool.subset]
         cold = [t for t in until if t > now]
         pool.warm_from = min(cold, default=float("inf"))
         pool.warm_part = 1.0 - len(cold) / len(until) if until else 1.0
 
-    def _cold_until(self, server: Server) -> float:
+    def _cold_until(self, server: EndpointState) -> float:
         started = server.row.started
-        return started + self.settings.rules.cold_for if started > 0.0 else 0.0
+        return started + self.settings.rules.warmup_duration if started > 0.0 else 0.0
 
-    def _spares_cold(self, now: float, server: Server, pool: Pool) -> bool:
+    def _spares_cold(self, now: float, server: EndpointState, pool: EndpointPool) -> bool:
         """Whether a cold server is passed over for this call.
 
         Guards against pushing it over: this instance alone gives it at most the part of a warm peer's
@@ -734,7 +744,9 @@
         """
         rules = self.settings.rules
         age = max(0.0, now - server.row.started)
-        part = rules.cold_from + (1.0 - rules.cold_from) * min(1.0, age / max(rules.cold_for, 1e-6))
+        part = rules.warmup_initial_capacity + (1.0 - rules.warmup_initial_capacity) * min(
+            1.0, age / max(rules.warmup_duration, 1e-6)
+        )
         # Half, as an idle one wins over its rival; draws go on until there are two candidates, so where many
         # are cold each still gets its part of what all can do now, and the few warm ones no more than theirs.
         if self.rng.random() >= 0.5 * part:
@@ -745,31 +757,31 @@
         if server.cold_seen <= 0.0:
             server.cold_credit = self.rng.random()  # instances must not all begin at the same moment
             server.cold_seen = now
-        most = max(1.0, pace * rules.fall_after)
+        most = max(1.0, pace * rules.overload_interval)
         server.cold_credit = min(most, server.cold_credit + pace * (now - server.cold_seen))
         server.cold_seen = now
         return server.cold_credit < 1.0
 
     # ---- requests ------------------------------------------------------------------------
 
-    def request(
+    def on_request(
         self,
         now: float,
         rid: RequestId,
-        kind: int = 0,
+        class_index: int = 0,
         tenant: int = 0,
         deadline: float | None = None,
         cost: float = 0.0,
         retry: bool = False,
     ) -> list[Action]:
         """A new request; exactly one final answer is owed from here on."""
-        self.settings.check_request(kind, tenant, deadline, cost)
+        self.settings.check_request(class_index, tenant, deadline, cost)
         if rid in self.requests:
             raise ValueError(f"rid: {rid!r} is open already")
         if deadline is None:
-            deadline = now + self.settings.classes[kind].deadline
-        request = Request(rid, kind, deadline, self)
-        request.until = self._worth_until(now, kind, deadline, retry)
+            deadline = now + self.settings.classes[class_index].deadline
+        request = RequestState(rid, class_index, deadline, self)
+        request.until = self._worth_until(now, class_index, deadline, retry)
         self.requests[rid] = request
         self.budget.take(now)
         if self.copy_budget is not self.budget:
@@ -787,14 +799,14 @@
         if hopeless:
             self.pace *= 0.94  # a refusal teaches nothing: no unfair baseline stays for good
         over = self._over_share(now, tenant)
-        taken = not hopeless and self._admits(now, kind, over)
+        taken = not hopeless and self._admits(now, class_index, over)
         # The list stands in for a dead subset, less its cold servers: others' subsets share their budget.
         rest = (pool.subset, True), (pool.ready, False)
         if not taken or not any(self._send(now, request, among, first, out) for among, first in rest):
             self._answer(now, request, out)
         return out
 
-    def _least(self, request: Request) -> float:
+    def _least(self, request: RequestState) -> float:
         return HOPELESS * self.pace * request.cost if self.paced >= PACED else 0.0
 
     def _over_share(self, now: float, tenant: int) -> bool:
@@ -841,7 +853,7 @@
         longer = max(1.0, self.mean / took) if took > 0.0 else 1.0
         room = (1.0 - (1.0 - ROOM_LOST) * shrink) * self.room[kind] * longer
         if over:
-            room *= 1.0 - (1.0 - self.settings.over_share_worth) * shrink
+            room *= 1.0 - (1.0 - self.settings.over_quota_weight) * shrink
         age = now - pool.born
         # Guards the start: nothing can have been served yet, and smoothed rates still count from zero.
         served = pool.rate.read(now) * (1.0 if age < room else ROOM_TRIED)
@@ -856,7 +868,7 @@
             return False
         return True
 
-    def _crowded(self, now: float, pool: Pool, kind: int, served: float) -> bool:
+    def _crowded(self, now: float, pool: EndpointPool, kind: int, served: float) -> bool:
         """Whether to refuse by chance as latency leaves its baseline: the design's latency term, for a tier.
 
         Guards servers that do less the more they hold: what all proxies may hold by the aims alone is far
@@ -882,7 +894,7 @@
         mark their repeats an unmarked try is the first, however short: that client has little patience.
         """
         row = self.settings.classes[kind]
-        if row.late_worth > LATE_KEPT or row.streaming:
+        if row.late_weight > LATE_KEPT or row.streaming:
             return deadline
         begun = now
         if self.settings.tier == 0:
@@ -892,21 +904,21 @@
                 self.lengths[kind] = seen = {k: n // 2 for k, n in seen.items() if n > 1}
             if seen[length] > seen.get(self.usual[kind], 0):
                 self.usual[kind] = length
-            may_repeat = retry or not self.settings.marks_retry
+            may_repeat = retry or not self.settings.clients_mark_retries
             if may_repeat and abs(length - self.usual[kind]) > 1 and seen[self.usual[kind]] >= 4:
                 begun = min(now, deadline - row.deadline)
-        elif self.settings.passes_deadline:
+        elif self.settings.propagates_deadline:
             return deadline
-        return min(deadline, begun + AIM_PART * row.aim)
+        return min(deadline, begun + AIM_PART * row.latency_objective)
 
     def _send(
-        self, now: float, request: Request, among: list[Server], first: bool, out: list[Action]
+        self, now: float, request: RequestState, among: list[EndpointState], first: bool, out: list[Action]
     ) -> bool:
         """Send an attempt to the best candidate whose breaker does not refuse; False if there is none."""
-        timeout = request.row.aim
+        timeout = request.row.latency_objective
         for server in self._offers(now, request, among, first):
             if server.breaker is None:
-                server.breaker = Breaker()
+                server.breaker = CircuitBreaker()
             if not server.breaker.refuses(now, timeout, self.rng):
                 break
         else:
@@ -915,7 +927,7 @@
             server.cold_credit -= 1.0
         if request.attempts:
             self._budget(request).spend(now)
-        attempt = Attempt(server, now)
+        attempt = AttemptState(server, now)
         server.out[attempt] = None
         pool = request.pool
         pool.sent.add(now)
@@ -923,12 +935,12 @@
         request.attempts.append(attempt)
         request.open += 1
         within = request.until - now if request.until < request.deadline else 0.0
-        out.append(Send(request.id, server.row.server, within))
+        out.append(StartAttempt(request.id, server.row.id, within))
         if request.open == 1:
             self._watch(now, request, attempt, out)
         return True
 
-    def _watch(self, now: float, request: Request, attempt: Attempt, out: list[Action]) -> None:
+    def _watch(self, now: float, request: RequestState, attempt: AttemptState, out: list[Action]) -> None:
         """Ask for a look at an attempt that may be lost, while there is time for a second copy.
 
         Guards what is safe to repeat against attempts that are never answered: a hung server, an answer lost
@@ -937,18 +949,20 @@
         bounds the copies, and where latency is a large part of the time there are none.
         """
         kind = request.row
-        if self.settings.tier < self.settings.tiers - 1:
+        if self.settings.tier < self.settings.tier_count - 1:
             return
-        if kind.repeat is not Repeat.SAFE or kind.streaming or not request.limits.second_copies:
+        if kind.idempotency is not Idempotency.IDEMPOTENT or kind.streaming or not request.limits.hedging:
             return
         delay = max(self.pooled + COPY_SPREADS * self.spread, COPY_LEAST * self.pooled)
         if self.pooled <= 0.0 or now + delay + COPY_NEEDS * self.pooled > request.until:
             return
         self.tokens += 1
         self.copies[self.tokens] = (request, attempt)
-        out.append(Timer(now + delay, self.tokens))
+        out.append(SetTimer(now + delay, self.tokens))
 
-    def _offers(self, now: float, request: Request, among: list[Server], first: bool) -> list[Server]:
+    def _offers(
+        self, now: float, request: RequestState, among: list[EndpointState], first: bool
+    ) -> list[EndpointState]:
         """The candidates, the best first.
 
         Guards requests against waiting behind others in a subset while servers outside it stand idle, most of
@@ -956,7 +970,7 @@
         or outliers, two of all servers are drawn too, taken to hold of others' what ours hold of ours on
         average. Could harm where others have far more traffic: their servers are busier than they seem.
         """
-        pooled = self.pooled or request.row.aim  # before any answer all are alike
+        pooled = self.pooled or request.row.latency_objective  # before any answer all are alike
         scores = {s: s.score(now, pooled) for s in self._candidates(now, request, among, first)}
         if first and all(server.out or server.mostly_fails(now) for server in scores):
             pool = request.pool
@@ -966,17 +980,19 @@
             for server in self._candidates(now, request, behind, False):
                 if server not in pool.subset:
                     scores[server] = server.score(now, pooled, unseen)
-        if request.row.repeat is Repeat.UNSAFE:
+        if request.row.idempotency is Idempotency.NON_IDEMPOTENT:
             # Guards what can't be tried again against an outlier: its breaker lets calls through until it has
             # seen enough, and once a second then. What can be goes on finding out whether it has recovered.
             # Could harm where requests themselves are at fault: their server is shunned for a window.
             return sorted(scores, key=lambda s: (s.mostly_fails(now), scores[s]))
         return sorted(scores, key=scores.__getitem__)
 
-    def _candidates(self, now: float, request: Request, among: list[Server], first: bool) -> list[Server]:
+    def _candidates(
+        self, now: float, request: RequestState, among: list[EndpointState], first: bool
+    ) -> list[EndpointState]:
         """Two random ready servers, fewer where there are no more."""
         count = len(among)
-        found: list[Server] = []
+        found: list[EndpointState] = []
         pool = request.pool
         if now >= pool.warm_from:
             self._count_warm(now, pool)
@@ -996,27 +1012,36 @@
                 break
         return found
 
-    def _among(self, now: float, request: Request) -> list[Server]:
+    def _among(self, now: float, request: RequestState) -> list[EndpointState]:
         """Where a further attempt may go by the rules; empty if nowhere.
 
         Guards the rule against doing an effect twice.
         """
         kind, pool = request.row, request.pool
         first = request.first_maybe()
-        if first is None or kind.repeat is Repeat.SAFE:
+        if first is None or kind.idempotency is Idempotency.IDEMPOTENT:
             return pool.ready
-        if kind.repeat is Repeat.UNSAFE or now - first.sent >= WINDOW_MARGIN * kind.window:
+        if (
+            kind.idempotency is Idempotency.NON_IDEMPOTENT
+            or now - first.sent >= WINDOW_MARGIN * kind.deduplication_window
+        ):
             return []
-        if kind.group is Group.ALL:
+        if kind.deduplication_scope is DeduplicationScope.ALL:
             return pool.ready
         row = first.server.row
-        return pool.groups.get((kind.group, row.zone if kind.group is Group.ZONE else row.cell), [])
+        return pool.groups.get(
+            (
+                kind.deduplication_scope,
+                row.zone if kind.deduplication_scope is DeduplicationScope.ZONE else row.cell,
+            ),
+            [],
+        )
 
-    def _budget(self, request: Request) -> Budget:
+    def _budget(self, request: RequestState) -> RetryBudget:
         """What a further attempt counts against: it is a copy while an earlier one is out."""
         return self.copy_budget if request.open else self.budget
 
-    def _again(self, now: float, request: Request, out: list[Action]) -> bool:
+    def _again(self, now: float, request: RequestState, out: list[Action]) -> bool:
         """Try a further attempt within the rules and the retry budget."""
         if request.done or request.bound or now >= request.until:
             return False
@@ -1026,7 +1051,7 @@
             return False
         return self._send(now, request, self._among(now, request), False, out)
 
-    def _answer(self, now: float, request: Request, out: list[Action]) -> None:
+    def _answer(self, now: float, request: RequestState, out: list[Action]) -> None:
         """The final answer: refused where that promise holds, else failed."""
         # Guards admission against failures that no load made, from spoilt answers to a server's own faults:
         # refusing work does not cure them. Could harm: an overloaded tier that fails fast, as proxies that
@@ -1034,9 +1059,11 @@
         if any(attempt.strained for attempt in request.attempts):
             request.pool.breaker.failed(now)
         kind = request.row
-        free = kind.repeat is Repeat.SAFE or (kind.repeat is Repeat.KEYED and kind.group is Group.ALL)
+        free = kind.idempotency is Idempotency.IDEMPOTENT or (
+            kind.idempotency is Idempotency.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
+        )
         if free or request.first_maybe() is None:
-            out.append(Refuse(request.id, self._come_back()))
+            out.append(Reject(request.id, self._come_back()))
         else:
             out.append(Fail(request.id))
         self._finish(request, out)
@@ -1052,7 +1079,7 @@
             return 0.0
         return min(COME_BACK * self.pooled, limits.max_retry_after or COME_BACK_MOST)
 
-    def _finish(self, request: Request, out: list[Action]) -> None:
+    def _finish(self, request: RequestState, out: list[Action]) -> None:
         request.done = True
         request.pool.owed -= 1
         if not request.bound:
@@ -1060,12 +1087,14 @@
         if not request.open:
             self.requests.pop(request.id, None)
 
-    def _cancels(self, request: Request, spared: int = -1) -> list[Action]:
+    def _cancels(self, request: RequestState, spared: int = -1) -> list[Action]:
         if not request.limits.cancel:
             return []
-        return [Cancel(request.id, n) for n, a in enumerate(request.attempts) if a.open and n != spared]
+        return [
+            CancelAttempt(request.id, n) for n, a in enumerate(request.attempts) if a.open and n != spared
+        ]
 
-    def outcome(
+    def on_attempt_finished(
         self, now: float, rid: RequestId, number: int, how: Outcome, latency: float, last: bool = False
     ) -> list[Action]:
         """An attempt ended; unknown ones are ignored."""
@@ -1080,8 +1109,8 @@
         # An error that took longer than the room speaks of a time-out behind.
         attempt.strained = how in STRAIN or latency > request.room
         request.open -= 1
-        self._learn(now, attempt, how, latency, request.row.aim)
-        if how is Outcome.OK and request.kind >= 0:
+        self._learn(now, attempt, how, latency, request.row.latency_objective)
+        if how is Outcome.SUCCESS and request.kind >= 0:
             gap = latency / request.cost - self.pace
             self.pace += gap / (4.0 if gap < 0.0 else 100.0) if self.paced else gap
             self.paced += 1
@@ -1094,7 +1123,7 @@
         if request.done:
             if not request.open:
                 self.requests.pop(rid, None)
-        elif last or how is Outcome.OK:
+        elif last or how is Outcome.SUCCESS:
             request.pool.served.add(now)
             request.pool.breaker.accepted(now)
             self._finish(request, out)
@@ -1102,13 +1131,13 @@
             self._answer(now, request, out)
         return out
 
-    def _learn(self, now: float, attempt: Attempt, how: Outcome, latency: float, timeout: float) -> None:
+    def _learn(self, now: float, attempt: AttemptState, how: Outcome, latency: float, timeout: float) -> None:
         server = attempt.server
         server.out.pop(attempt, None)
         breaker = server.breaker
-        if breaker is None or how is Outcome.VOID or attempt.sent < server.row.started:
+        if breaker is None or how is Outcome.NOT_SENT or attempt.sent < server.row.started:
             return
-        if how is Outcome.OK:
+        if how is Outcome.SUCCESS:
             breaker.accepted(now)
             if breaker.current <= 0.0 and self.pooled > 0.0:
                 breaker.sample(min(latency, self.pooled))  # no baseline from one slow answer alone
@@ -1128,7 +1157,7 @@
             # Guards against a server that fails fast and so looks quick: a failure costs a time-out.
             server.learn(now, max(latency, timeout))
 
-    def begun(self, now: float, rid: RequestId, number: int) -> list[Action]:
+    def on_response_started(self, now: float, rid: RequestId, number: int) -> list[Action]:
         """The answer of a streamed class has begun: the request belongs to this attempt."""
         request = self.requests.get(rid)
         if request is None or request.done:
@@ -1136,7 +1165,7 @@
         request.bound = True
         return self._cancels(request, number)
 
-    def gone(self, now: float, rid: RequestId) -> list[Action]:
+    def on_client_disconnected(self, now: float, rid: RequestId) -> list[Action]:
         """The client left; no answer is owed any more."""
         request = self.requests.get(rid)
         out: list[Action] = []
@@ -1144,14 +1173,14 @@
             self._finish(request, out)
         return out
 
-    def timer(self, now: float, token: int) -> list[Action]:
+    def on_timer(self, now: float, token: int) -> list[Action]:
         """A timer fell due; stale ones are ignored."""
         if token == SUBSCRIBE and self.asking:
             self.asking = False
-            return [Subscribe()]
+            return [PollEndpoints()]
         out: list[Action] = []
         if token in self.copies:
             request, attempt = self.copies.pop(token)
-            if attempt.open and request.limits.second_copies and request.row.repeat is Repeat.SAFE:
+            if attempt.open and request.limits.hedging and request.row.idempotency is Idempotency.IDEMPOTENT:
                 self._again(now, request, out)
         return out
--- /dev/null
+++ b/balancer/events.py
@@ -0,0 +1,83 @@
+"""What goes into the decisions and comes out of them: how attempts ended, and the actions to carry out.
+
+Times are seconds on the caller's clock, timeouts are durations in seconds.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+from balancer.endpoints import EndpointId
+
+RequestId = str
+
+
+class Outcome(Enum):
+    """How an attempt ended.
+
+    OVERLOADED is an answer that says that the endpoint had no capacity and did nothing. UNREACHABLE means that
+    no connection came up, CONNECTION_LOST that one broke under the request. CANCELLED and NOT_SENT are no fault
+    of the endpoint: the attempt was called off, or never put on the wire.
+    """
+
+    SUCCESS = "success"
+    ERROR = "error"
+    OVERLOADED = "overloaded"
+    TIMEOUT = "timeout"
+    UNREACHABLE = "unreachable"
+    CONNECTION_LOST = "connection_lost"
+    CANCELLED = "cancelled"
+    NOT_SENT = "not_sent"
+
+
+#: Outcomes that prove that the endpoint did no work for the attempt.
+NEVER_RAN = frozenset({Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NOT_SENT})
+
+
+@dataclass(slots=True)
+class StartAttempt:
+    """Send the request to an endpoint; `timeout` 0 means until the client gives up."""
+
+    request: RequestId
+    endpoint: EndpointId
+    timeout: float = 0.0
+
+
+@dataclass(slots=True)
+class Reject:
+    """Give the final answer "rejected": the client may repeat the request without harm."""
+
+    request: RequestId
+    retry_after: float = 0.0
+
+
+@dataclass(slots=True)
+class Fail:
+    """Give the final answer "failed", which promises nothing about whether the request ran."""
+
+    request: RequestId
+
+
+@dataclass(slots=True)
+class CancelAttempt:
+    """Stop waiting for one attempt; `attempt` counts the attempts of the request from 0."""
+
+    request: RequestId
+    attempt: int
+
+
+@dataclass(slots=True)
+class SetTimer:
+    """Call `Balancer.on_timer(now, token)` at `at` or soon after."""
+
+    at: float
+    token: int
+
+
+@dataclass(slots=True)
+class PollEndpoints:
+    """Ask discovery for changes of the endpoint list from here on."""
+
+
+Action = StartAttempt | Reject | Fail | CancelAttempt | SetTimer | PollEndpoints
--- /dev/null
+++ b/balancer/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""Runs the decisions on the simulator's wire: batches of JSON lines in, actions out; it decides nothing."""
--- /dev/null
+++ b/balancer/validation.py
@@ -0,0 +1,32 @@
+"""Checks of single values; each raises InvalidValueError with the field's name, the value and what is expected."""
+
+from __future__ import annotations
+
+import sys
+
+from balancer.errors import InvalidValueError
+
+
+def check_number(field: str, value: float, low: float = 0.0, high: float = sys.float_info.max) -> None:
+    """Require a number from `low` to `high`; booleans, NaN and infinity are none."""
+    # Integers have no limit: the comparison also rejects those that no float holds, where float() would overflow.
+    if not isinstance(value, (int, float)) or isinstance(value, bool) or not low <= value <= high:
+        raise InvalidValueError(field, f"{value!r} is not a number from {low} to {high}")
+
+
+def check_flag(field: str, value: bool) -> None:
+    """Require a boolean."""
+    if not isinstance(value, bool):
+        raise InvalidValueError(field, f"{value!r} is neither true nor false")
+
+
+def check_text(field: str, value: str) -> None:
+    """Require a string."""
+    if not isinstance(value, str):
+        raise InvalidValueError(field, f"{value!r} is not a text")
+
+
+def check_index(field: str, value: int, count: int) -> None:
+    """Require an index into a sequence of `count` items."""
+    if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < count:
+        raise InvalidValueError(field, f"{value!r} is not a whole number from 0 to {count - 1}")
--- a/emulator/hollow.py
+++ b/emulator/hollow.py
@@ -14,12 +14,13 @@
 
 from hdrh.histogram import HdrHistogram
 
-from balancer.adapter import read_settings
 from balancer.decide import Balancer
-from balancer.model import Action, ListKind, Outcome, Send
+from balancer.endpoints import UpdateKind
+from balancer.events import Action, Outcome, StartAttempt
+from balancer.settings_reader import read_settings
 from emulator import meter, topology
 from emulator.registry import HOST
-from proxy.discovery import Discovery, Endpoint, Reader, _Watch
+from proxy.discovery import DiscoveredEndpoint, DiscoveryClient, EndpointReader, WatchConnection
 
 STEP = 0.02  # seconds between two feedings of calls
 LATENCY = 0.004  # seconds that a fed call takes at its backend
@@ -35,21 +36,21 @@
     return HdrHistogram(1, AGE_MOST, 3)
 
 
-def reader() -> Reader:
+def reader() -> EndpointReader:
     """What reads the entries of a topology."""
-    return Reader(
+    return EndpointReader(
         {name: place for place, name in enumerate(topology.ZONES)},
         {name: place for place, name in enumerate(topology.TYPES)},
     )
 
 
-class MeteredDiscovery(Discovery):
+class MeteredDiscovery(DiscoveryClient):
     """The real watch, which notes when it took in which versions and what that cost."""
 
     taken: list[tuple[float, int, int]]  # monotonic time, the version before, the version taken in
     spent: dict[int, float]  # processor time of reading and taking in entries, in each whole second
 
-    def message(self, watch: _Watch, message: Mapping[str, Any] | None) -> None:
+    def message(self, watch: WatchConnection, message: Mapping[str, Any] | None) -> None:
         """One object of a watch."""
         if message is None:
             super().message(watch, message)
@@ -70,7 +71,7 @@
     """One proxy without callers and backends."""
 
     def __init__(
-        self, wire: dict[str, Any], seed: int, port: int, read: Reader, view: frozenset[str] | None
+        self, wire: dict[str, Any], seed: int, port: int, read: EndpointReader, view: frozenset[str] | None
     ) -> None:
         loop = asyncio.get_running_loop()
         self._loop, self._epoch = loop, time.time() - loop.time()
@@ -85,21 +86,21 @@
     def _now(self) -> float:
         return self._loop.time() + self._epoch
 
-    def _told(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
-        if endpoints or kind is not ListKind.PATCH:
-            self.balancer.members(self._now(), kind, [endpoint.row for endpoint in endpoints])
-            self.wholes += kind is ListKind.WHOLE
+    def _told(self, kind: UpdateKind, endpoints: list[DiscoveredEndpoint]) -> None:
+        if endpoints or kind is not UpdateKind.DELTA:
+            self.balancer.on_endpoints_updated(self._now(), kind, [endpoint.row for endpoint in endpoints])
+            self.wholes += kind is UpdateKind.SNAPSHOT
         self.told.set()
 
     def call(self) -> None:
         """One call from its arrival to its answer, as the module sees it."""
         self._calls += 1
         rid, now = str(self._calls), self._now()
-        self._answer(now + LATENCY, rid, self.balancer.request(now, rid, self._calls % 2), 0)
+        self._answer(now + LATENCY, rid, self.balancer.on_request(now, rid, self._calls % 2), 0)
 
     def _answer(self, now: float, rid: str, actions: list[Action], number: int) -> None:
-        if any(isinstance(action, Send) for action in actions):
-            self.balancer.outcome(now, rid, number, Outcome.OK, LATENCY, True)
+        if any(isinstance(action, StartAttempt) for action in actions):
+            self.balancer.on_attempt_finished(now, rid, number, Outcome.SUCCESS, LATENCY, True)
 
     def behind(self, latest: Mapping[str, int]) -> bool:
         """Whether it has not taken in the latest version of a backend that it is told."""
--- a/emulator/runs/slopes.py
+++ b/emulator/runs/slopes.py
@@ -10,9 +10,10 @@
 import numpy as np
 import orjson
 
-from balancer.adapter import read_settings
 from balancer.decide import Balancer
-from balancer.model import ListKind, Outcome, Send
+from balancer.endpoints import UpdateKind
+from balancer.events import Outcome, StartAttempt
+from balancer.settings_reader import read_settings
 from emulator import fit, topology
 from emulator.child import Child
 from emulator.hollow import Host, Sinks, reader
@@ -20,7 +21,7 @@
 from emulator.registry import Registry
 from emulator.result import write
 from emulator.runs.common import CHANGES_A_DAY, DAY, Changes, Done, Options, cost, paced, say
-from proxy.discovery import Endpoint
+from proxy.discovery import DiscoveredEndpoint
 
 ROWS = (12, 91, 300, 910, 1820)
 FLEETS = (100, 303, 455, 910, 1820)  # proxies by the settings
@@ -77,11 +78,11 @@
 # ---- the module alone, in this process -------------------------------------------------------
 
 
-def _balancer(fleet: topology.Topology, proxies: int) -> tuple[Balancer, list[Endpoint]]:
+def _balancer(fleet: topology.Topology, proxies: int) -> tuple[Balancer, list[DiscoveredEndpoint]]:
     """A balancer that holds the whole list of a fleet, and that list."""
     listed = reader().endpoints({"endpoints": fleet.entries})
     balancer = Balancer(read_settings(topology.settings(fleet, 0, proxies)), fleet.seed)
-    balancer.members(0.0, ListKind.WHOLE, [endpoint.row for endpoint in listed])
+    balancer.on_endpoints_updated(0.0, UpdateKind.SNAPSHOT, [endpoint.row for endpoint in listed])
     return balancer, listed
 
 
@@ -102,21 +103,23 @@
         """One row changes."""
         self.now += 1.0
         row = self._reader.endpoint(self._changes.any_row()).row
-        self.balancer.members(self.now, ListKind.PATCH, [row])
+        self.balancer.on_endpoints_updated(self.now, UpdateKind.DELTA, [row])
 
     def whole(self) -> None:
         """The whole list is told."""
         self.now += 1.0
-        self.balancer.members(self.now, ListKind.WHOLE, [endpoint.row for endpoint in self.listed])
+        self.balancer.on_endpoints_updated(
+            self.now, UpdateKind.SNAPSHOT, [endpoint.row for endpoint in self.listed]
+        )
 
     def call(self) -> None:
         """One request at the target's mean rate, and its answer."""
         self.now += 1.0 / 154.0
         self._calls += 1
         rid = str(self._calls)
-        sent = self.balancer.request(self.now, rid, self._calls % 2)
-        if any(isinstance(action, Send) for action in sent):
-            self.balancer.outcome(self.now + LATENCY, rid, 0, Outcome.OK, LATENCY, True)
+        sent = self.balancer.on_request(self.now, rid, self._calls % 2)
+        if any(isinstance(action, StartAttempt) for action in sent):
+            self.balancer.on_attempt_finished(self.now + LATENCY, rid, 0, Outcome.SUCCESS, LATENCY, True)
 
 
 def module(options: Options) -> tuple[list[Point], str, list[str]]:
--- a/proxy/__main__.py
+++ b/proxy/__main__.py
@@ -12,7 +12,7 @@
 from contextlib import suppress
 
 from proxy.config import Config, ConfigError, load
-from proxy.discovery import Reader
+from proxy.discovery import EndpointReader
 from proxy.proxy import Proxy
 from proxy.server import Front
 
@@ -88,7 +88,7 @@
     """Run with the configuration that the environment names."""
     try:
         config = load(os.environ)
-        Reader(config.zones, config.types).check(config.known)
+        EndpointReader(config.zones, config.types).check(config.known)
     except ConfigError as fault:
         print(f"proxy: {fault}", file=sys.stderr)
         return 2
--- a/proxy/config.py
+++ b/proxy/config.py
@@ -10,8 +10,8 @@
 
 import orjson
 
-from balancer.adapter import DISCOVERY, GROUPS, REPEATS, read_settings
-from balancer.model import Repeat, Settings
+from balancer.settings import Idempotency, Settings
+from balancer.settings_reader import DEDUPLICATION_SCOPES, DISCOVERY_MODES, IDEMPOTENCIES, read_settings
 
 Address = tuple[str, int]
 CONFIG_MOST = 4 << 20  # bytes of the file: as much as one list of discovery may take
@@ -90,11 +90,13 @@
     """Raise ValueError where there is no class, or a word means nothing: a slip must not become a default."""
     if not wire.get("Services"):
         raise ValueError("Services: at least one class is needed")
-    stated: list[tuple[str, Any, Mapping[str, Any]]] = [("RegistryMode", wire.get("RegistryMode"), DISCOVERY)]
+    stated: list[tuple[str, Any, Mapping[str, Any]]] = [
+        ("RegistryMode", wire.get("RegistryMode"), DISCOVERY_MODES)
+    ]
     for n, row in enumerate(wire.get("Services") or ()):
-        stated.append((f"Services[{n}].Repeat", row.get("Repeat"), REPEATS))
-        if REPEATS.get(row.get("Repeat")) is Repeat.KEYED:  # it says nothing of others
-            stated.append((f"Services[{n}].Group", row.get("Group"), GROUPS))
+        stated.append((f"Services[{n}].Repeat", row.get("Repeat"), IDEMPOTENCIES))
+        if IDEMPOTENCIES.get(row.get("Repeat")) is Idempotency.KEYED:  # it says nothing of others
+            stated.append((f"Services[{n}].Group", row.get("Group"), DEDUPLICATION_SCOPES))
     for at, word, words in stated:
         if word is not None and word not in words:
             raise ValueError(f"{at}: {word!r} is not one of {', '.join(words)}")
@@ -103,7 +105,7 @@
 def _check_places(settings: Settings, zones: dict[str, int], types: dict[str, int]) -> None:
     """Raise ValueError where a class is bound to a zone or type that is not listed."""
     for row in settings.classes:
-        for places, names in ((row.only_zones, zones), (row.only_kinds, types)):
+        for places, names in ((row.allowed_zones, zones), (row.allowed_machine_types, types)):
             if any(place >= len(names) for place in places or ()):
                 raise ValueError(f"class {row.name}: bound to a zone or type that is not listed")
 
--- a/proxy/discovery.py
+++ b/proxy/discovery.py
@@ -12,10 +12,14 @@
 import httptools
 import orjson
 
-from balancer.model import ListKind, ServerRow, State
+from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
 from proxy.config import Address, ConfigError, read_address
 
-STATES = {"in_service": State.UP, "terminating": State.DRAINING, "terminated": State.GONE}
+STATES = {
+    "in_service": EndpointStatus.UP,
+    "terminating": EndpointStatus.DRAINING,
+    "terminated": EndpointStatus.GONE,
+}
 SILENT = 2.5  # seconds without a whole line after which a watch is dead: one comes every 2 s, and within 6 s
 # there has to be time for another watch that says nothing, its two pauses and a connect that times out
 CONNECT = 0.25  # seconds that a connect may take: the agent is on this machine
@@ -26,10 +30,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Endpoint:
+class DiscoveredEndpoint:
     """One entry of the list: what the module sees of a backend, and where it listens."""
 
-    row: ServerRow
+    row: Endpoint
     address: Address
 
 
@@ -38,7 +42,7 @@
     return int.from_bytes(name.encode(), "big")
 
 
-class Numbers:
+class NameIndex:
     """Numbers of zones or types: a name keeps its own for as long as the process lives.
 
     Guards placement across a change of settings: rows read before it still say where they are, and a number
@@ -58,15 +62,15 @@
         return self._numbers.setdefault(name, max(self._numbers.values(), default=-1) + 1)
 
 
-class Reader:
+class EndpointReader:
     """Turns entries of discovery's form into endpoints; names of zones and types become numbers."""
 
     def __init__(self, zones: Mapping[str, int], types: Mapping[str, int]) -> None:
-        self.zones, self.types = Numbers(zones), Numbers(types)
+        self.zones, self.types = NameIndex(zones), NameIndex(types)
 
-    def endpoint(self, entry: Mapping[str, Any]) -> Endpoint:
+    def endpoint(self, entry: Mapping[str, Any]) -> DiscoveredEndpoint:
         """One entry; no class is bound to a zone or type that the settings don't name."""
-        row = ServerRow(
+        row = Endpoint(
             server_id(entry["name"]),
             STATES[entry["status"]],
             self.zones.of(entry.get("zone", "")),
@@ -75,9 +79,9 @@
             entry.get("since_ms", 0) / 1000.0,
             self.types.of(entry.get("type", "")),
         )
-        return Endpoint(row, read_address(entry["address"]))
+        return DiscoveredEndpoint(row, read_address(entry["address"]))
 
-    def endpoints(self, message: Mapping[str, Any]) -> list[Endpoint]:
+    def endpoints(self, message: Mapping[str, Any]) -> list[DiscoveredEndpoint]:
         """All entries of a message."""
         return [self.endpoint(entry) for entry in message["endpoints"]]
 
@@ -90,11 +94,15 @@
             raise ConfigError(f"the known list can't be read: {fault!r}") from fault
 
 
-class Discovery:
+class DiscoveryClient:
     """Keeps one watch open, whatever happens to it, and hands on what it tells."""
 
     def __init__(
-        self, address: Address, reader: Reader, index: int, told: Callable[[ListKind, list[Endpoint]], None]
+        self,
+        address: Address,
+        reader: EndpointReader,
+        index: int,
+        told: Callable[[UpdateKind, list[DiscoveredEndpoint]], None],
     ) -> None:
         self._address = address
         self._reader = reader
@@ -125,7 +133,7 @@
     async def _run(self, address: Address, index: int) -> None:
         watched = index
         while True:
-            watch = _Watch(
+            watch = WatchConnection(
                 self.message,
                 b"GET /v1/servers?follow=1&since=%d HTTP/1.1\r\nHost: %b\r\n\r\n"
                 % (watched, address[0].encode()),
@@ -134,7 +142,7 @@
             watched = self._index if watch.told else watched
             await asyncio.sleep((AGAIN if watch.spoke else RETRY) * (0.5 + random.random()))
 
-    async def _follow(self, address: Address, watch: _Watch) -> None:
+    async def _follow(self, address: Address, watch: WatchConnection) -> None:
         """One watch, until it ends."""
         try:
             async with asyncio.timeout(CONNECT):
@@ -145,13 +153,13 @@
         finally:
             watch.close()
 
-    def message(self, watch: _Watch, message: Mapping[str, Any] | None) -> None:
+    def message(self, watch: WatchConnection, message: Mapping[str, Any] | None) -> None:
         """One object of a watch; None tells only that it lives."""
         if watch.task is not self._task and watch.task is not self._former:
             return  # Guards the list against a watch that has been replaced and is not closed yet.
         watch.spoke = True
         if message is None:
-            self._told(ListKind.PATCH, [])
+            self._told(UpdateKind.DELTA, [])
             return
         endpoints = self._reader.endpoints(message)
         index = int(message["index"])
@@ -161,13 +169,15 @@
             self._former = None
         watch.told = True
         self._index = index
-        self._told(ListKind.WHOLE if message.get("snapshot") else ListKind.PATCH, endpoints)
+        self._told(UpdateKind.SNAPSHOT if message.get("snapshot") else UpdateKind.DELTA, endpoints)
 
 
-class _Watch(asyncio.Protocol):
+class WatchConnection(asyncio.Protocol):
     """The connection of one watch."""
 
-    def __init__(self, tell: Callable[[_Watch, Mapping[str, Any] | None], None], request: bytes) -> None:
+    def __init__(
+        self, tell: Callable[[WatchConnection, Mapping[str, Any] | None], None], request: bytes
+    ) -> None:
         self._tell = tell
         self._request = request
         self._transport: asyncio.Transport | None = None
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -10,23 +10,18 @@
 from dataclasses import replace
 
 from balancer.decide import Balancer
-from balancer.model import (
+from balancer.endpoints import EndpointStatus, UpdateKind
+from balancer.events import (
     Action,
-    Cancel,
-    Discovery,
+    CancelAttempt,
     Fail,
-    ListKind,
     Outcome,
-    Refuse,
-    Repeat,
-    RequestClass,
-    Send,
-    Settings,
-    State,
-    Subscribe,
-    Timer,
-    strict_class,
+    PollEndpoints,
+    Reject,
+    SetTimer,
+    StartAttempt,
 )
+from balancer.settings import DiscoveryMode, Idempotency, RequestClass, Settings, narrow_class
 from proxy import discovery, upstream
 from proxy.config import Config, ConfigError
 from proxy.intake import Rejected, Request
@@ -58,13 +53,13 @@
         self.caller: Caller | None = caller  # None once nothing is owed
         self.deadline = deadline  # in the loop's time
         self.exchanges: list[upstream.Exchange] = []
-        self.last = Outcome.VOID  # how its latest attempt ended
+        self.last = Outcome.NOT_SENT  # how its latest attempt ended
         self.timer: asyncio.TimerHandle | None = None
 
     def narrow(self, stated: RequestClass) -> None:
         """The settings have changed: the request may do only what its own class and the stated one allow."""
-        self.row = strict_class(self.row, stated)
-        if self.row.repeat is Repeat.UNSAFE:
+        self.row = narrow_class(self.row, stated)
+        if self.row.idempotency is Idempotency.NON_IDEMPOTENT:
             for exchange in self.exchanges:
                 exchange.once()
 
@@ -94,7 +89,7 @@
         self._loop = asyncio.get_running_loop()
         # One epoch for good: the list's times are comparable, and steps of the system's clock do no harm.
         self._epoch = time.time() - self._loop.time()
-        self._reader = discovery.Reader(config.zones, config.types)
+        self._reader = discovery.EndpointReader(config.zones, config.types)
         self._balancer = Balancer(self._numbered(config), config.seed)
         self._taken = 1  # configurations, one after another
         self._backends: dict[int, upstream.Backend] = {}
@@ -108,13 +103,13 @@
             sockets - callers, config.conn_idle, config.dial_timeout, config.memory
         )
         self.front = Front(config, callers, self._request)
-        self._discovery = discovery.Discovery(
+        self._discovery = discovery.DiscoveryClient(
             config.discovery, self._reader, config.known["index"], self._told
         )
         self.loaded = asyncio.Event()  # the list was told, or nobody is there to tell it
-        self._members(ListKind.STALE, self._reader.endpoints(config.known))
+        self._members(UpdateKind.CACHED, self._reader.endpoints(config.known))
         self._perform(self._decide(self._balancer.start))
-        if config.settings.discovery is Discovery.PUSHED:
+        if config.settings.discovery is DiscoveryMode.PUSHED:
             self._discovery.open()
         # Guards against a discovery that is down at the start: an old list serves better than none.
         wait = self._loaded if config.known["endpoints"] else self.loaded.set
@@ -162,17 +157,17 @@
         for call in self._calls.values():
             call.narrow(rows.get(call.row.name, call.row))
         self._upstream.reconfigure(config.conn_idle, config.dial_timeout)
-        self._upstream.share(len(self._backends), config.settings.balancers)
-        for rid, number in self._balancer.misplaced():
+        self._upstream.share(len(self._backends), config.settings.fleet_size)
+        for rid, number in self._balancer.misplaced_attempts():
             exchanges = self._calls[rid].exchanges if rid in self._calls else []
             # Guards placement: what has not begun goes elsewhere.
             if exchanges and exchanges[number].connection is None:
-                exchanges[number].end(Outcome.VOID)
+                exchanges[number].end(Outcome.NOT_SENT)
 
     def _numbered(self, config: Config) -> Settings:
         """The settings with the numbers that zones and types have for as long as this process lives."""
 
-        def numbers(places: Places, names: dict[str, int], known: discovery.Numbers) -> Places:
+        def numbers(places: Places, names: dict[str, int], known: discovery.NameIndex) -> Places:
             if places is None:
                 return None
             listed = list(names)
@@ -183,8 +178,10 @@
             classes=tuple(
                 replace(
                     row,
-                    only_kinds=numbers(row.only_kinds, config.types, self._reader.types),
-                    only_zones=numbers(row.only_zones, config.zones, self._reader.zones),
+                    allowed_machine_types=numbers(
+                        row.allowed_machine_types, config.types, self._reader.types
+                    ),
+                    allowed_zones=numbers(row.allowed_zones, config.zones, self._reader.zones),
                 )
                 for row in config.settings.classes
             ),
@@ -215,8 +212,8 @@
 
     # ---- the list ----------------------------------------------------------------------------
 
-    def _told(self, kind: ListKind, endpoints: list[discovery.Endpoint]) -> None:
-        if endpoints or kind is not ListKind.PATCH:
+    def _told(self, kind: UpdateKind, endpoints: list[discovery.DiscoveredEndpoint]) -> None:
+        if endpoints or kind is not UpdateKind.DELTA:
             self._members(kind, endpoints)
         self._loaded()
 
@@ -224,20 +221,22 @@
         self.front.ready = True
         self.loaded.set()
 
-    def _members(self, kind: ListKind, endpoints: list[discovery.Endpoint]) -> None:
-        listed = {endpoint.row.server for endpoint in endpoints}
-        if kind is not ListKind.PATCH:
+    def _members(self, kind: UpdateKind, endpoints: list[discovery.DiscoveredEndpoint]) -> None:
+        listed = {endpoint.row.id for endpoint in endpoints}
+        if kind is not UpdateKind.DELTA:
             for server in self._backends.keys() - listed:
                 self._remove(server)
         for endpoint in endpoints:
             row = endpoint.row
-            if row.state is State.GONE:
-                self._remove(row.server)
+            if row.status is EndpointStatus.GONE:
+                self._remove(row.id)
                 continue
-            backend = self._backends.setdefault(row.server, upstream.Backend(endpoint.address))
-            self._upstream.update(backend, endpoint.address, row.started, row.state is State.UP)
-        self._upstream.share(len(self._backends), self._balancer.settings.balancers)
-        self._perform(self._decide(self._balancer.members, kind, [endpoint.row for endpoint in endpoints]))
+            backend = self._backends.setdefault(row.id, upstream.Backend(endpoint.address))
+            self._upstream.update(backend, endpoint.address, row.started, row.status is EndpointStatus.UP)
+        self._upstream.share(len(self._backends), self._balancer.settings.fleet_size)
+        self._perform(
+            self._decide(self._balancer.on_endpoints_updated, kind, [endpoint.row for endpoint in endpoints])
+        )
 
     def _remove(self, server: int) -> None:
         """Guards memory against backends that are gone for good; attempts that are out keep theirs."""
@@ -261,7 +260,7 @@
         call.timer = self._loop.call_at(deadline, self._overdue, call)
         self._perform(
             self._decide(
-                self._balancer.request,
+                self._balancer.on_request,
                 call.rid,
                 facts.kind,
                 facts.tenant,
@@ -274,7 +273,7 @@
 
     def _gone(self, call: Call) -> None:
         self._settle(call)
-        self._perform(self._decide(self._balancer.gone, call.rid, call=call))
+        self._perform(self._decide(self._balancer.on_client_disconnected, call.rid, call=call))
         self._unsend(call)
 
     def _unsend(self, call: Call) -> None:
@@ -282,7 +281,7 @@
         if call.caller is None:
             for exchange in tuple(call.exchanges):
                 if exchange.connection is None:
-                    exchange.end(Outcome.VOID)
+                    exchange.end(Outcome.NOT_SENT)
 
     def _overdue(self, call: Call) -> None:
         """The client's time is up: an answer is owed now, whatever the module says."""
@@ -294,7 +293,7 @@
     def _abandon(self, call: Call) -> None:
         """Fail a request that the module did not answer, and tell it so."""
         self._answer(call, 504 if self._loop.time() >= call.deadline else 500, b"", b"")
-        self._perform(self._decide(self._balancer.gone, call.rid))
+        self._perform(self._decide(self._balancer.on_client_disconnected, call.rid))
         for exchange in tuple(call.exchanges):
             exchange.end(Outcome.CANCELLED)
 
@@ -322,31 +321,31 @@
 
     def _perform(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Timer):
+            if isinstance(action, SetTimer):
                 self._loop.call_at(action.at - self._epoch, self._timer, action.token)
-            elif isinstance(action, Subscribe):
+            elif isinstance(action, PollEndpoints):
                 self._discovery.open()
             else:
                 self._act(action)
 
     def _timer(self, token: int) -> None:
-        self._perform(self._decide(self._balancer.timer, token))
+        self._perform(self._decide(self._balancer.on_timer, token))
 
-    def _act(self, action: Send | Refuse | Fail | Cancel) -> None:
+    def _act(self, action: StartAttempt | Reject | Fail | CancelAttempt) -> None:
         call = self._calls.get(action.request)
         if call is None:
             return
-        if isinstance(action, Send):
+        if isinstance(action, StartAttempt):
             self._send(call, action)
-        elif isinstance(action, Cancel):
+        elif isinstance(action, CancelAttempt):
             call.exchanges[action.attempt].end(Outcome.CANCELLED)
-        elif isinstance(action, Refuse):
+        elif isinstance(action, Reject):
             head = b"Retry-After: %.3f\r\n" % action.retry_after if action.retry_after > 0.0 else b""
             self._answer(call, 503, head, b"refused\n")
         else:
             self._answer(call, 504 if call.last is Outcome.TIMEOUT else 502, b"", b"failed\n")
 
-    def _send(self, call: Call, action: Send) -> None:
+    def _send(self, call: Call, action: StartAttempt) -> None:
         now = self._loop.time()
         until = min(call.deadline, now + action.timeout) if action.timeout > 0.0 else call.deadline
         number = len(call.exchanges)
@@ -354,8 +353,8 @@
         def report(exchange: upstream.Exchange, outcome: Outcome, response: upstream.Response | None) -> None:
             self._outcome(call, number, exchange, outcome, response)
 
-        repeatable = call.row.repeat is not Repeat.UNSAFE
-        backend = self._backends[action.server]
+        repeatable = call.row.idempotency is not Idempotency.NON_IDEMPOTENT
+        backend = self._backends[action.endpoint]
         exchange = upstream.Exchange(backend, now, until, call.bytes_for, report, repeatable, call.wanted)
         call.exchanges.append(exchange)
         if exchange.wanted():
@@ -376,9 +375,9 @@
         if response is not None and 400 <= response.status < 500 and response.status not in RETRIABLE:
             # Guards backends against callers: the request is at fault, and would be anywhere else.
             self._answer(call, response.status, b"", b"rejected\n")
-            self._perform(self._decide(self._balancer.gone, call.rid, call=call))
-            outcome = Outcome.VOID
-        elif outcome is Outcome.OK and response is not None:
+            self._perform(self._decide(self._balancer.on_client_disconnected, call.rid, call=call))
+            outcome = Outcome.NOT_SENT
+        elif outcome is Outcome.SUCCESS and response is not None:
             if now <= call.deadline:
                 self._answer(call, 200, response.head, response.body)
             else:  # Guards the client's deadline against a late timer.
@@ -386,7 +385,7 @@
         self._forget(call)
         self._perform(
             self._decide(
-                self._balancer.outcome,
+                self._balancer.on_attempt_finished,
                 call.rid,
                 number,
                 outcome,
--- a/proxy/server.py
+++ b/proxy/server.py
@@ -13,7 +13,7 @@
 from http import HTTPStatus
 from math import inf
 
-from balancer.model import Repeat, RequestClass
+from balancer.settings import Idempotency, RequestClass
 from proxy.config import Config
 from proxy.intake import Intake, Rejected, Request
 
@@ -36,7 +36,11 @@
 TIME = re.compile(rb"\d{1,9}(\.\d{1,9})?")
 ID = re.compile(rb"[0-9A-Za-z._-]{1,64}")
 PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}  # backends may send others
-METHODS = {Repeat.SAFE: (b"GET", False), Repeat.KEYED: (b"POST", True), Repeat.UNSAFE: (b"POST", False)}
+METHODS = {
+    Idempotency.IDEMPOTENT: (b"GET", False),
+    Idempotency.KEYED: (b"POST", True),
+    Idempotency.NON_IDEMPOTENT: (b"POST", False),
+}
 
 
 @dataclass(slots=True)
@@ -156,7 +160,7 @@
         if kind is None:
             raise Rejected(400, "unknown class")
         row = self.config.settings.classes[kind]
-        method, keyed = METHODS[row.repeat]
+        method, keyed = METHODS[row.idempotency]
         if request.method != method or (keyed and not get(b"idempotency-key")):
             raise Rejected(400, "the method does not fit the class")
         tenant: int | None = 0
--- a/proxy/upstream.py
+++ b/proxy/upstream.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from balancer.model import Outcome
+from balancer.events import Outcome
 from proxy.config import Address
 
 BODY_MOST = 64 << 10  # bytes of a request's body, by the protocol
@@ -185,7 +185,7 @@
 
     def broke(self) -> None:
         """The connection is no good any more."""
-        self.end(Outcome.BROKEN if self._may_have_run() else Outcome.UNREACHABLE)
+        self.end(Outcome.CONNECTION_LOST if self._may_have_run() else Outcome.UNREACHABLE)
 
     def begun(self, now: float) -> None:
         """A piece of the answer has come, and more is owed.
@@ -378,8 +378,8 @@
 
     def _outcome(self, status: int) -> Outcome:
         if status == 200:
-            return Outcome.OK
-        return Outcome.FULL if status in (503, 504) and self._unseen else Outcome.ERROR
+            return Outcome.SUCCESS
+        return Outcome.OVERLOADED if status in (503, 504) and self._unseen else Outcome.ERROR
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._let_go()
@@ -518,7 +518,7 @@
         stale = left <= 0.0 or not backend.in_service or connection.life != backend.life
         if not exchange.open or stale or not exchange.wanted():
             self.release(connection)
-            self._loop.call_soon(exchange.end, Outcome.VOID)
+            self._loop.call_soon(exchange.end, Outcome.NOT_SENT)
             return
         if not connection.usable():
             connection.abandon()
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -5,32 +5,26 @@
 from dataclasses import dataclass, field, replace
 
 from balancer.decide import Balancer
-from balancer.model import (
+from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
+from balancer.events import (
     NEVER_RAN,
     Action,
-    Cancel,
+    CancelAttempt,
     Fail,
-    Group,
-    Limits,
-    ListKind,
     Outcome,
-    Refuse,
-    Repeat,
-    RequestClass,
-    Send,
-    ServerRow,
-    Settings,
-    State,
-    Subscribe,
-    Timer,
+    PollEndpoints,
+    Reject,
+    SetTimer,
+    StartAttempt,
 )
+from balancer.settings import DeduplicationScope, Idempotency, Limits, RequestClass, Settings
 
 
 @dataclass
 class Try:
     """One attempt as the checker sees it."""
 
-    row: ServerRow
+    row: Endpoint
     sent: float
     until: float
     how: Outcome | None = None
@@ -57,11 +51,11 @@
 class Checker:
     """Feeds events to one balancer; every broken rule is an AssertionError."""
 
-    def __init__(self, settings: Settings, seed: int, rows: list[ServerRow]) -> None:
+    def __init__(self, settings: Settings, seed: int, rows: list[Endpoint]) -> None:
         self.settings = settings
         self.balancer = Balancer(settings, seed)
         self.now = 100.0
-        self.rows: dict[int, ServerRow] = {}
+        self.rows: dict[int, Endpoint] = {}
         self.owed: dict[str, Owed] = {}
         self.timers: list[tuple[float, int]] = []
         self.sends: dict[int, list[float]] = {}
@@ -69,22 +63,22 @@
         self.count = 0
         self.taken: list[float] = []
         self.further: list[float] = []
-        self.members(ListKind.STALE, rows)
+        self.members(UpdateKind.CACHED, rows)
         self.apply(self.balancer.start(self.now))
 
-    def members(self, kind: ListKind, rows: list[ServerRow]) -> None:
-        if kind in (ListKind.STALE, ListKind.WHOLE):
-            self.rows = {r.server: r for r in rows}
-        elif kind is ListKind.PATCH:
-            self.rows.update({r.server: r for r in rows})
-        self.apply(self.balancer.members(self.now, kind, rows))
+    def members(self, kind: UpdateKind, rows: list[Endpoint]) -> None:
+        if kind in (UpdateKind.CACHED, UpdateKind.SNAPSHOT):
+            self.rows = {r.id: r for r in rows}
+        elif kind is UpdateKind.DELTA:
+            self.rows.update({r.id: r for r in rows})
+        self.apply(self.balancer.on_endpoints_updated(self.now, kind, rows))
 
     def request(self, kind: int, wait: float, tenant: int = 0) -> str:
         self.count += 1
         self.taken.append(self.now)
         rid = f"r{self.count}"
         self.owed[rid] = Owed(kind, self.now + wait, [self.settings.classes[kind]], [self.settings.limits])
-        self.apply(self.balancer.request(self.now, rid, kind, tenant, self.now + wait))
+        self.apply(self.balancer.on_request(self.now, rid, kind, tenant, self.now + wait))
         return rid
 
     def reconfigure(self, settings: Settings) -> None:
@@ -104,22 +98,24 @@
         owed = self.owed[rid]
         attempt = owed.tries[number]
         attempt.how = how
-        if (how is Outcome.OK or owed.begun) and not owed.ended:
+        if (how is Outcome.SUCCESS or owed.begun) and not owed.ended:
             owed.finals += 1
             owed.ended = True
-        self.apply(self.balancer.outcome(self.now, rid, number, how, self.now - attempt.sent, owed.ended))
+        self.apply(
+            self.balancer.on_attempt_finished(self.now, rid, number, how, self.now - attempt.sent, owed.ended)
+        )
 
     def leave(self, rid: str) -> None:
         owed = self.owed[rid]
         if not owed.ended:
             owed.ended = True
             owed.finals += 1  # nothing is owed any more
-        self.apply(self.balancer.gone(self.now, rid))
+        self.apply(self.balancer.on_client_disconnected(self.now, rid))
 
     def begin(self, rid: str, number: int) -> None:
         """The answer has begun as a stream: it belongs to one attempt and knows no deadline."""
         owed = self.owed[rid]
-        self.apply(self.balancer.begun(self.now, rid, number))
+        self.apply(self.balancer.on_response_started(self.now, rid, number))
         owed.begun = True
         owed.tries[number].until = owed.deadline = float("inf")
 
@@ -140,7 +136,7 @@
             self.now = max(self.now, at)
             if what:
                 self.timers.remove((at, n))
-                self.apply(self.balancer.timer(self.now, n))
+                self.apply(self.balancer.on_timer(self.now, n))
             else:
                 self.end(rid, n, Outcome.TIMEOUT)
         self.now = target
@@ -151,14 +147,14 @@
 
     def apply(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Timer):
+            if isinstance(action, SetTimer):
                 assert action.at >= self.now
                 self.timers.append((max(action.at, self.now + 1e-6), action.token))
-            elif isinstance(action, Subscribe):
+            elif isinstance(action, PollEndpoints):
                 self.subscribed += 1
-            elif isinstance(action, Send):
+            elif isinstance(action, StartAttempt):
                 self.sent(action)
-            elif isinstance(action, Cancel):
+            elif isinstance(action, CancelAttempt):
                 owed = self.owed[action.request]
                 assert all(limits.cancel for limits in owed.limits), "cancel is not permitted"
                 attempt = owed.tries[action.attempt]
@@ -167,50 +163,54 @@
             else:
                 self.final(action)
 
-    def sent(self, action: Send) -> None:
+    def sent(self, action: StartAttempt) -> None:
         owed = self.owed[action.request]
         assert not owed.ended, "sent after the final answer"
         assert not owed.begun, "sent after its stream began"
-        row = self.rows[action.server]
-        assert row.state is State.UP, "sent to a server that drains or is gone"
+        row = self.rows[action.endpoint]
+        assert row.status is EndpointStatus.UP, "sent to a server that drains or is gone"
         for limits in owed.limits:
             assert len(owed.tries) < limits.max_attempts
             if any(t.how is None for t in owed.tries):
-                assert limits.second_copies, "a second copy is not permitted"
+                assert limits.hedging, "a second copy is not permitted"
         for kind in owed.classes:
             self.placed(owed, kind, row)
         rules = self.settings.rules
         if owed.tries:
             self.further.append(self.now)
-        if owed.tries and rules.extra_span:
-            since = self.now - rules.extra_span
-            most = rules.extra_free + rules.extra_share * sum(t > since for t in self.taken)
+        if owed.tries and rules.retry_budget_window:
+            since = self.now - rules.retry_budget_window
+            most = rules.retry_budget_floor + rules.retry_budget_ratio * sum(t > since for t in self.taken)
             assert sum(t >= since for t in self.further) <= most, "beyond the attempt budget"
         until = owed.deadline
         if action.timeout > 0.0:
             until = min(until, self.now + action.timeout)
         owed.tries.append(Try(replace(row), self.now, until))
-        self.sends.setdefault(action.server, []).append(self.now)
+        self.sends.setdefault(action.endpoint, []).append(self.now)
 
-    def placed(self, owed: Owed, kind: RequestClass, row: ServerRow) -> None:
-        for bound, place in ((kind.only_kinds, row.kind), (kind.only_zones, row.zone)):
+    def placed(self, owed: Owed, kind: RequestClass, row: Endpoint) -> None:
+        for bound, place in ((kind.allowed_machine_types, row.machine_type), (kind.allowed_zones, row.zone)):
             assert bound is None or place in bound, "sent to a server that is not open to its class"
         maybe = [t for t in owed.tries if t.maybe_ran]
-        if maybe and kind.repeat is not Repeat.SAFE:
-            assert kind.repeat is Repeat.KEYED, "an unsafe request was sent twice"
-            assert self.now - min(t.sent for t in maybe) <= kind.window, "repeated after its window"
+        if maybe and kind.idempotency is not Idempotency.IDEMPOTENT:
+            assert kind.idempotency is Idempotency.KEYED, "an unsafe request was sent twice"
+            assert self.now - min(t.sent for t in maybe) <= kind.deduplication_window, (
+                "repeated after its window"
+            )
             for t in maybe:
-                if kind.group is Group.ZONE:
+                if kind.deduplication_scope is DeduplicationScope.ZONE:
                     assert t.row.zone == row.zone, "repeated in another zone"
-                if kind.group is Group.CELL:
+                if kind.deduplication_scope is DeduplicationScope.CELL:
                     assert t.row.cell == row.cell, "repeated in another cell"
 
-    def final(self, action: Refuse | Fail) -> None:
+    def final(self, action: Reject | Fail) -> None:
         owed = self.owed[action.request]
         assert not owed.ended, "a second final answer"
-        for kind in owed.classes if isinstance(action, Refuse) else ():
-            harmless = kind.repeat is Repeat.SAFE or not any(t.maybe_ran for t in owed.tries)
-            harmless = harmless or (kind.repeat is Repeat.KEYED and kind.group is Group.ALL)
+        for kind in owed.classes if isinstance(action, Reject) else ():
+            harmless = kind.idempotency is Idempotency.IDEMPOTENT or not any(t.maybe_ran for t in owed.tries)
+            harmless = harmless or (
+                kind.idempotency is Idempotency.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
+            )
             assert harmless, "refused although it may have run"
         owed.ended = True
         owed.finals += 1
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,10 +12,11 @@
 
 import pytest
 
-from balancer.adapter import read_settings
-from balancer.model import ListKind, Settings
+from balancer.endpoints import UpdateKind
+from balancer.settings import Settings
+from balancer.settings_reader import read_settings
 from proxy.config import Config
-from proxy.discovery import Reader
+from proxy.discovery import EndpointReader
 from proxy.proxy import Proxy
 
 WIDE = 20.0  # seconds that any wait may take on a loaded machine
@@ -271,8 +272,8 @@
 
     def tell(self, entries: list[dict[str, Any]]) -> None:
         """Changes of the list, as if discovery had told them."""
-        reader = Reader({"here": 0, "there": 1}, {"k": 0})
-        self.proxy._told(ListKind.PATCH, reader.endpoints({"endpoints": entries}))
+        reader = EndpointReader({"here": 0, "there": 1}, {"k": 0})
+        self.proxy._told(UpdateKind.DELTA, reader.endpoints({"endpoints": entries}))
 
     async def client(self) -> Client:
         """A new connection to it."""
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -9,20 +9,9 @@
 import pytest
 
 from balancer.decide import Balancer
-from balancer.model import (
-    Fail,
-    Limits,
-    ListKind,
-    Outcome,
-    Refuse,
-    RequestClass,
-    Rules,
-    Send,
-    ServerRow,
-    Settings,
-    State,
-    Tenant,
-)
+from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
+from balancer.events import Fail, Outcome, Reject, StartAttempt
+from balancer.settings import Limits, RequestClass, Rules, Settings, Tenant
 
 BAD_NUMBERS: list[Any] = [math.nan, math.inf, -math.inf, -1.0, "1", None]
 PARTS: dict[str, Any] = {"rules": Rules}
@@ -40,7 +29,7 @@
 
 
 @pytest.mark.parametrize("bad", BAD_NUMBERS)
-@pytest.mark.parametrize("name", ["aim", "deadline", "window", "worth", "late_worth"])
+@pytest.mark.parametrize("name", ["latency_objective", "deadline", "deduplication_window", "priority_weight", "late_weight"])
 def test_numbers_in_classes(name: str, bad: Any) -> None:
     values: dict[str, Any] = {name: bad}
     with pytest.raises(ValueError, match=rf"classes\[1\]\.{name}"):
@@ -61,7 +50,7 @@
         Balancer(Settings(tenants=(Tenant("t", bad),)), 1)
 
 
-@pytest.mark.parametrize("name", ["me", "tier", "zone"])
+@pytest.mark.parametrize("name", ["ordinal", "tier", "zone"])
 @pytest.mark.parametrize("bad", [-1, 1, 0.5, True, "0"])
 def test_an_index_out_of_range(name: str, bad: Any) -> None:
     values: dict[str, Any] = {name: bad}
@@ -76,16 +65,16 @@
 
 def ready() -> Balancer:
     made = Balancer(Settings(), 1)
-    made.members(1.0, ListKind.STALE, [ServerRow(1), ServerRow(2)])
+    made.on_endpoints_updated(1.0, UpdateKind.CACHED, [Endpoint(1), Endpoint(2)])
     return made
 
 
 @pytest.mark.parametrize(
     ("name", "values"),
     [
-        ("kind", {"kind": 1}),
-        ("kind", {"kind": -1}),
-        ("kind", {"kind": "0"}),
+        ("class_index", {"class_index": 1}),
+        ("class_index", {"class_index": -1}),
+        ("class_index", {"class_index": "0"}),
         ("tenant", {"tenant": 1}),
         ("tenant", {"tenant": -1}),
         ("deadline", {"deadline": math.nan}),
@@ -98,43 +87,47 @@
 def test_a_request_that_makes_no_sense_changes_nothing(name: str, values: dict[str, Any]) -> None:
     b, twin = ready(), ready()
     for one in (b, twin):
-        one.request(2.0, "open")
+        one.on_request(2.0, "open")
     with pytest.raises(ValueError, match=name):
-        b.request(3.0, **{"rid": "new", **values})
+        b.on_request(3.0, **{"rid": "new", **values})
     assert list(b.requests) == ["open"] and b.pools[0].owed == twin.pools[0].owed
     # the same random numbers follow: nothing was drawn either
-    assert b.request(4.0, "next") == twin.request(4.0, "next")
+    assert b.on_request(4.0, "next") == twin.on_request(4.0, "next")
 
 
 def test_a_deadline_already_past_is_answered_at_once() -> None:
-    assert ready().request(5.0, "late", 0, 0, 4.0) == [Refuse("late")]
+    assert ready().on_request(5.0, "late", 0, 0, 4.0) == [Reject("late")]
 
 
 def test_events_for_unknown_or_ended_requests_are_ignored() -> None:
     b = ready()
-    assert isinstance(b.request(2.0, "r")[0], Send)
-    b.outcome(2.1, "r", 0, Outcome.OK, 0.1, True)
+    assert isinstance(b.on_request(2.0, "r")[0], StartAttempt)
+    b.on_attempt_finished(2.1, "r", 0, Outcome.SUCCESS, 0.1, True)
     for rid in ("r", "never"):
-        assert b.outcome(3.0, rid, 0, Outcome.OK, 0.1) == []
-        assert b.outcome(3.0, rid, 7, Outcome.ERROR, 0.1) == []
-        assert b.gone(3.0, rid) == []
-        assert b.begun(3.0, rid, 0) == []
-    assert b.timer(3.0, 999) == []
+        assert b.on_attempt_finished(3.0, rid, 0, Outcome.SUCCESS, 0.1) == []
+        assert b.on_attempt_finished(3.0, rid, 7, Outcome.ERROR, 0.1) == []
+        assert b.on_client_disconnected(3.0, rid) == []
+        assert b.on_response_started(3.0, rid, 0) == []
+    assert b.on_timer(3.0, 999) == []
 
 
 @pytest.mark.parametrize(
     "rows",
-    [[], [ServerRow(1, State.DRAINING), ServerRow(2, State.DRAINING)], [ServerRow(1, State.GONE)]],
+    [
+        [],
+        [Endpoint(1, EndpointStatus.DRAINING), Endpoint(2, EndpointStatus.DRAINING)],
+        [Endpoint(1, EndpointStatus.GONE)],
+    ],
 )
-def test_nowhere_to_send(rows: list[ServerRow]) -> None:
+def test_nowhere_to_send(rows: list[Endpoint]) -> None:
     b = Balancer(Settings(), 1)
-    b.members(1.0, ListKind.STALE, rows)
-    assert b.request(2.0, "r") == [Refuse("r")]
+    b.on_endpoints_updated(1.0, UpdateKind.CACHED, rows)
+    assert b.on_request(2.0, "r") == [Reject("r")]
 
 
 def test_all_cold_answers_every_request() -> None:
     b = Balancer(Settings(), 1)
-    b.members(100.0, ListKind.STALE, [ServerRow(i, started=100.0) for i in range(4)])
+    b.on_endpoints_updated(100.0, UpdateKind.CACHED, [Endpoint(i, started=100.0) for i in range(4)])
     for n in range(50):
-        [action] = b.request(100.0 + n / 100, f"r{n}")
-        assert isinstance(action, Send | Refuse | Fail)
+        [action] = b.on_request(100.0 + n / 100, f"r{n}")
+        assert isinstance(action, StartAttempt | Reject | Fail)
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from balancer.decide import Breaker
+from balancer.decide import CircuitBreaker
 
 
 def test_error_ratio_with_k_falling() -> None:
-    b = Breaker()
+    b = CircuitBreaker()
     for _ in range(20):
         b.failed(0.0)
     # one failing bucket of 40: k does not matter without accepts; (20 - 5) / 21
@@ -22,7 +22,7 @@
 
 
 def test_protection_and_window() -> None:
-    b = Breaker()
+    b = CircuitBreaker()
     for _ in range(5):
         b.failed(0.0)
     assert b.error_ratio(0.0) == 0.0
@@ -32,14 +32,14 @@
 
 
 def test_local_refusals_count_as_requests() -> None:
-    b = Breaker()
+    b = CircuitBreaker()
     for _ in range(6):
         b.refused(0.0)
     assert b.error_ratio(0.0) == pytest.approx(1 / 7)
 
 
 def test_both_averages() -> None:
-    b = Breaker()
+    b = CircuitBreaker()
     b.sample(0.1)
     assert (b.baseline, b.current) == (0.1, 0.1)
     b.sample(0.5)  # up: (0.5 + 99 * 0.1) / 100 and (0.5 + 3 * 0.1) / 4
@@ -63,13 +63,13 @@
     ],
 )
 def test_latency_ratio(baseline: float, current: float, timeout: float, expected: float) -> None:
-    b = Breaker()
+    b = CircuitBreaker()
     b.baseline, b.current = baseline, current
     assert b.latency_ratio(timeout) == pytest.approx(expected)
 
 
 def test_larger_term_wins_and_one_call_a_second_passes() -> None:
-    b = Breaker()
+    b = CircuitBreaker()
     b.baseline, b.current = 0.1, 5.0
     assert b.drop_probability(0.0, 1.0) == pytest.approx(0.3)
     for _ in range(500):
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -19,32 +19,18 @@
 
 from balancer import decide
 from balancer.decide import Balancer
-from balancer.model import (
-    Action,
-    Cancel,
-    Group,
-    Limits,
-    ListKind,
-    Outcome,
-    Refuse,
-    Repeat,
-    RequestClass,
-    Rules,
-    Send,
-    ServerRow,
-    Settings,
-    State,
-    Timer,
-)
+from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
+from balancer.events import Action, CancelAttempt, Outcome, Reject, SetTimer, StartAttempt
+from balancer.settings import DeduplicationScope, Idempotency, Limits, RequestClass, Rules, Settings
 
-EARLY = Rules(cold_from=0.32, cold_for=9.0, fall_multiple=3.0, fall_after=2.0)
-LATE = Rules(cold_from=0.16, cold_for=23.0, fall_multiple=2.5, fall_after=1.0)
+EARLY = Rules(warmup_initial_capacity=0.32, warmup_duration=9.0, overload_multiple=3.0, overload_interval=2.0)
+LATE = Rules(warmup_initial_capacity=0.16, warmup_duration=23.0, overload_multiple=2.5, overload_interval=1.0)
 CLASSES = (
-    RequestClass("view", 1.0, 4.0, Repeat.SAFE, worth=1.0, late_worth=0.3),
-    RequestClass("book", 1.0, 4.0, Repeat.UNSAFE, worth=4.0),
-    RequestClass("keyed", 1.0, 4.0, Repeat.KEYED, Group.CELL, 2.0, 2.0),
+    RequestClass("view", 1.0, 4.0, Idempotency.IDEMPOTENT, priority_weight=1.0, late_weight=0.3),
+    RequestClass("book", 1.0, 4.0, Idempotency.NON_IDEMPOTENT, priority_weight=4.0),
+    RequestClass("keyed", 1.0, 4.0, Idempotency.KEYED, DeduplicationScope.CELL, 2.0, 2.0),
 )
-LIMITS = Limits(cancel=True, second_copies=True, max_attempts=3, retry_after=True)
+LIMITS = Limits(cancel=True, hedging=True, max_attempts=3, retry_after=True)
 ZONES = 3
 CAPACITY = 7.0  # requests of mean work a second, for each unit of a server's size
 HELD = 38  # attempts that a server holds at most
@@ -75,7 +61,7 @@
 class Node:
     """One server: it works on one attempt at a time."""
 
-    row: ServerRow
+    row: Endpoint
     rules: Rules
     free_at: float = 0.0
     held: int = 0
@@ -85,7 +71,9 @@
     def capacity(self, now: float) -> float:
         """What it can do now, in requests of mean work a second."""
         age, rules = now - self.row.started, self.rules
-        ramp = rules.cold_from + (1.0 - rules.cold_from) * min(1.0, age / rules.cold_for)
+        ramp = rules.warmup_initial_capacity + (1.0 - rules.warmup_initial_capacity) * min(
+            1.0, age / rules.warmup_duration
+        )
         return CAPACITY * self.row.size * (ramp if self.row.started else 1.0)
 
     def ends(self, now: float, work: float) -> float:
@@ -115,13 +103,13 @@
         self.answered = self.offered = 0
         sizes = (1.0, 1.0, 2.0)
         rows = [
-            ServerRow(1000 + 7 * i, State.UP, i % ZONES, i // 5, sizes[i // ZONES % 3])
+            Endpoint(1000 + 7 * i, EndpointStatus.UP, i % ZONES, i // 5, sizes[i // ZONES % 3])
             for i in range(case.servers)
         ]
-        self.nodes = {row.server: Node(row, case.rules) for row in rows}
+        self.nodes = {row.id: Node(row, case.rules) for row in rows}
         self.changed = self.choose(rows)
         if case.joins:
-            rows = [row for row in rows if row.server not in self.changed]
+            rows = [row for row in rows if row.id not in self.changed]
         self.fleet = [self.process(me, rows) for me in range(case.instances)]
         hot = set(self.rng.sample(range(case.instances), case.instances // 10))
         if case.neighbours:
@@ -129,28 +117,28 @@
         self.weights = list(accumulate(case.skewed if me in hot else 1.0 for me in range(case.instances)))
         self.total = CAPACITY * sum(row.size for row in rows)
 
-    def choose(self, rows: list[ServerRow]) -> set[int]:
+    def choose(self, rows: list[Endpoint]) -> set[int]:
         """The servers that start cold."""
         if self.case.cold == "zone":
-            return {row.server for row in rows if row.zone == 1}
+            return {row.id for row in rows if row.zone == 1}
         part = {"fifth": 0.2, "six in ten": 0.6, "all": 1.0}[self.case.cold]
-        return {row.server for row in self.rng.sample(rows, round(part * len(rows)))}
+        return {row.id for row in self.rng.sample(rows, round(part * len(rows)))}
 
-    def process(self, me: int, rows: list[ServerRow]) -> Process:
+    def process(self, me: int, rows: list[Endpoint]) -> Process:
         case = self.case
         config = Settings(
             classes=CLASSES,
-            balancers=case.instances,
-            me=me,
+            fleet_size=case.instances,
+            ordinal=me,
             tier=case.tier,
-            tiers=2,
+            tier_count=2,
             zone=me % ZONES,
-            zones=ZONES,
+            zone_count=ZONES,
             limits=LIMITS,
             rules=case.rules,
         )
         balancer = Balancer(config, self.rng.getrandbits(32))
-        balancer.members(self.now, ListKind.WHOLE, rows)
+        balancer.on_endpoints_updated(self.now, UpdateKind.SNAPSHOT, rows)
         balancer.start(self.now)
         return Process(me, balancer)
 
@@ -180,18 +168,18 @@
 
     def down(self, _: None) -> None:
         for key in self.changed:
-            self.nodes[key].row = replace(self.nodes[key].row, state=State.GONE)
+            self.nodes[key].row = replace(self.nodes[key].row, status=EndpointStatus.GONE)
 
     def up(self, _: None) -> None:
         for key in self.changed:
-            row = replace(self.nodes[key].row, state=State.UP, started=self.now)
+            row = replace(self.nodes[key].row, status=EndpointStatus.UP, started=self.now)
             self.nodes[key] = Node(row, self.case.rules)
 
     def tell(self, to: tuple[Process, int]) -> None:
         process, life = to
         if process.life == life:
             rows = [self.nodes[key].row for key in self.changed]
-            process.balancer.members(self.now, ListKind.PATCH, rows)
+            process.balancer.on_endpoints_updated(self.now, UpdateKind.DELTA, rows)
 
     def restart(self, process: Process) -> None:
         process.balancer = self.process(process.me, [n.row for n in self.nodes.values()]).balancer
@@ -212,17 +200,17 @@
         process, kind, deadline, tries = of
         self.count += 1
         rid = f"r{self.count}"
-        for action in process.balancer.request(self.now, rid, kind, 0, deadline):
-            if isinstance(action, Refuse) and tries < 2:
+        for action in process.balancer.on_request(self.now, rid, kind, 0, deadline):
+            if isinstance(action, Reject) and tries < 2:
                 self.at(self.now + 0.2 + 0.6 * self.rng.random(), "ask", (process, kind, deadline, tries + 1))
             self.carry_out(process, action)
 
     def carry_out(self, process: Process, action: Action) -> None:
-        if isinstance(action, Send):
+        if isinstance(action, StartAttempt):
             self.send(process, action)
-        elif isinstance(action, Timer):
+        elif isinstance(action, SetTimer):
             self.at(action.at, "timer", (process, process.life, action.token))
-        elif isinstance(action, Cancel):
+        elif isinstance(action, CancelAttempt):
             self.at(
                 self.now,
                 "end",
@@ -232,25 +220,25 @@
     def timer(self, of: tuple[Process, int, int]) -> None:
         process, life, token = of
         if process.life == life:
-            for action in process.balancer.timer(self.now, token):
+            for action in process.balancer.on_timer(self.now, token):
                 self.carry_out(process, action)
 
-    def send(self, process: Process, action: Send) -> None:
-        node = self.nodes[action.server]
+    def send(self, process: Process, action: StartAttempt) -> None:
+        node = self.nodes[action.endpoint]
         number = len(process.balancer.requests[action.request].attempts) - 1
         timeout = action.timeout or 4.0
         came: tuple[Node | None, Outcome, float] = (None, Outcome.UNREACHABLE, 0.002)
-        if node.row.state is State.UP:
-            known = process.balancer.servers[action.server].row
+        if node.row.status is EndpointStatus.UP:
+            known = process.balancer.servers[action.endpoint].row
             node.calls.append(self.now)
             if known.started == node.row.started:
                 node.told.append(self.now)
             if node.held >= HELD:
-                came = None, Outcome.FULL, 0.002
+                came = None, Outcome.OVERLOADED, 0.002
             else:
                 node.held += 1
                 took = node.ends(self.now, 0.5 + self.rng.random()) - self.now
-                came = node, Outcome.OK, took
+                came = node, Outcome.SUCCESS, took
                 if took > timeout:
                     self.at(self.now + took, "leave", node)
                     came = None, Outcome.TIMEOUT, timeout
@@ -266,8 +254,8 @@
             node.held -= 1
         if process.life != life:
             return
-        self.answered += how is Outcome.OK
-        for action in process.balancer.outcome(self.now, rid, number, how, self.now - sent):
+        self.answered += how is Outcome.SUCCESS
+        for action in process.balancer.on_attempt_finished(self.now, rid, number, how, self.now - sent):
             self.carry_out(process, action)
 
     # ---- the checker ---------------------------------------------------------------------
@@ -281,8 +269,8 @@
         for key in sorted(self.changed):
             node = self.nodes[key]
             for till in node.calls:
-                since = till - rules.fall_after
-                allowed = rules.fall_multiple * rules.fall_after
+                since = till - rules.overload_interval
+                allowed = rules.overload_multiple * rules.overload_interval
                 allowed *= node.capacity(max(since, node.row.started))
                 told, calls = (bisect_right(x, till) - bisect_left(x, since) for x in (node.told, node.calls))
                 found.append((allowed + 2.0 * sqrt(allowed) + 2.0, told, calls))
--- a/tests/test_emulator_added.py
+++ b/tests/test_emulator_added.py
@@ -139,7 +139,7 @@
         )
     )
     config = load({"RELAY_CONFIG": str(path)})
-    assert config.settings.balancers == 24 and config.settings.me == 3 and config.classes == {"read": 0}
+    assert config.settings.fleet_size == 24 and config.settings.ordinal == 3 and config.classes == {"read": 0}
     assert len({row["name"] for row in rows}) == 910
     assert {row["address"] for row in rows} == {"127.0.0.1:8001", "127.0.0.1:8002"}
 
--- a/tests/test_emulator_parts.py
+++ b/tests/test_emulator_parts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from balancer.adapter import read_settings
+from balancer.settings_reader import read_settings
 from emulator import fit, topology
 from emulator.meter import Series
 from emulator.runs.hollow import net_of_idle
@@ -35,7 +35,7 @@
     for place in (0, 909):
         found = read_settings(topology.settings(fleet, place))
         found.check()
-        assert (found.balancers, found.me, found.zones) == (910, place, 5)
+        assert (found.fleet_size, found.ordinal, found.zone_count) == (910, place, 5)
 
 
 def test_fits_find_known_slopes() -> None:
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -11,51 +11,43 @@
 from harness import Checker
 
 from balancer.decide import Balancer
-from balancer.model import (
-    Cancel,
-    Fail,
-    Limits,
-    ListKind,
-    Outcome,
-    Refuse,
-    Repeat,
-    RequestClass,
-    Rules,
-    Send,
-    ServerRow,
-    Settings,
-    State,
-    Tenant,
-    Timer,
-)
+from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
+from balancer.events import CancelAttempt, Fail, Outcome, Reject, SetTimer, StartAttempt
+from balancer.settings import Idempotency, Limits, RequestClass, Rules, Settings, Tenant
 
-SAFE = RequestClass("a", aim=1.0, deadline=4.0, repeat=Repeat.SAFE, worth=1.0)
-DEAR = RequestClass("b", aim=1.0, deadline=4.0, repeat=Repeat.UNSAFE, worth=10.0)
-ROWS = [ServerRow(i) for i in range(1, 9)]
+SAFE = RequestClass(
+    "a", latency_objective=1.0, deadline=4.0, idempotency=Idempotency.IDEMPOTENT, priority_weight=1.0
+)
+DEAR = RequestClass(
+    "b", latency_objective=1.0, deadline=4.0, idempotency=Idempotency.NON_IDEMPOTENT, priority_weight=10.0
+)
+ROWS = [Endpoint(i) for i in range(1, 9)]
 
 
-def balancer(settings: Settings, rows: list[ServerRow] = ROWS) -> Balancer:
+def balancer(settings: Settings, rows: list[Endpoint] = ROWS) -> Balancer:
     made = Balancer(settings, 1)
-    made.members(100.0, ListKind.STALE, rows)
+    made.on_endpoints_updated(100.0, UpdateKind.CACHED, rows)
     made.start(100.0)
     return made
 
 
 def test_attempts_end_at_the_aim_where_late_answers_are_worth_nothing() -> None:
     b = balancer(Settings(classes=(SAFE,)))
-    [send] = b.request(100.0, "r", 0, 0, 104.0)
-    assert isinstance(send, Send) and send.timeout == pytest.approx(0.98)
-    [answer] = b.outcome(100.98, "r", 0, Outcome.TIMEOUT, 0.98)
-    assert isinstance(answer, Refuse)
+    [send] = b.on_request(100.0, "r", 0, 0, 104.0)
+    assert isinstance(send, StartAttempt) and send.timeout == pytest.approx(0.98)
+    [answer] = b.on_attempt_finished(100.98, "r", 0, Outcome.TIMEOUT, 0.98)
+    assert isinstance(answer, Reject)
 
 
 @pytest.mark.parametrize(("late_worth", "timeout"), [(0.0, 0.98), (0.3, 0.98), (0.5, 0.98), (0.8, 0.0)])
 def test_attempts_run_to_the_deadline_where_late_answers_keep_most_worth(
     late_worth: float, timeout: float
 ) -> None:
-    late = RequestClass("a", aim=1.0, deadline=4.0, repeat=Repeat.SAFE, late_worth=late_worth)
-    [send] = balancer(Settings(classes=(late,))).request(100.0, "r", 0, 0, 104.0)
-    assert isinstance(send, Send) and send.timeout == pytest.approx(timeout)
+    late = RequestClass(
+        "a", latency_objective=1.0, deadline=4.0, idempotency=Idempotency.IDEMPOTENT, late_weight=late_worth
+    )
+    [send] = balancer(Settings(classes=(late,))).on_request(100.0, "r", 0, 0, 104.0)
+    assert isinstance(send, StartAttempt) and send.timeout == pytest.approx(timeout)
 
 
 def tries(b: Balancer, lengths: list[float]) -> list[type]:
@@ -63,48 +55,48 @@
     out = []
     for n, length in enumerate(lengths):
         now = 200.0 + n
-        out.append(type(b.request(now, f"t{n}", 0, 0, now + length)[0]))
-        b.outcome(now + 0.01, f"t{n}", 0, Outcome.OK, 0.01, True)
+        out.append(type(b.on_request(now, f"t{n}", 0, 0, now + length)[0]))
+        b.on_attempt_finished(now + 0.01, f"t{n}", 0, Outcome.SUCCESS, 0.01, True)
     return out
 
 
 def test_a_late_repeat_of_a_client_is_refused_at_once() -> None:
     b = balancer(Settings(classes=(SAFE,)))
     # Only 2 s to go: its first try came 2 s ago, and its aim is past.
-    assert tries(b, [3.0] * 5 + [2.0]) == [Send] * 5 + [Refuse]
+    assert tries(b, [3.0] * 5 + [2.0]) == [StartAttempt] * 5 + [Reject]
 
 
-@pytest.mark.parametrize(("marks", "repeats", "answer"), [(True, False, Send), (True, True, Refuse)])
+@pytest.mark.parametrize(("marks", "repeats", "answer"), [(True, False, StartAttempt), (True, True, Reject)])
 def test_a_short_try_is_a_repeat_only_where_no_mark_says_otherwise(
     marks: bool, repeats: bool, answer: type
 ) -> None:
-    b = balancer(Settings(classes=(SAFE,), marks_retry=marks))
+    b = balancer(Settings(classes=(SAFE,), clients_mark_retries=marks))
     tries(b, [3.0] * 5)
-    assert isinstance(b.request(300.0, "s", 0, 0, 301.5, 0.0, repeats)[0], answer)
+    assert isinstance(b.on_request(300.0, "s", 0, 0, 301.5, 0.0, repeats)[0], answer)
 
 
 def test_a_long_last_try_does_not_make_first_tries_late() -> None:
     b = balancer(Settings(classes=(SAFE,)))
-    assert tries(b, [3.0] * 5 + [3.7, 3.0, 3.72, 3.0, 3.74, 3.0])[5:] == [Send] * 6
+    assert tries(b, [3.0] * 5 + [3.7, 3.0, 3.72, 3.0, 3.74, 3.0])[5:] == [StartAttempt] * 6
 
 
 def test_a_lower_tier_that_is_told_the_callers_time_keeps_to_it() -> None:
-    b = balancer(Settings(classes=(SAFE,), tier=1, tiers=2))
-    assert isinstance(b.request(100.0, "r", 0, 0, 103.0)[0], Send)
-    [send] = b.request(110.0, "s", 0, 0, 110.5)
-    assert isinstance(send, Send) and send.timeout == 0.0
+    b = balancer(Settings(classes=(SAFE,), tier=1, tier_count=2))
+    assert isinstance(b.on_request(100.0, "r", 0, 0, 103.0)[0], StartAttempt)
+    [send] = b.on_request(110.0, "s", 0, 0, 110.5)
+    assert isinstance(send, StartAttempt) and send.timeout == 0.0
 
 
 def subset_shares(balancers: int, servers: int) -> list[float]:
     """How much each server gets when every instance sends one call after another."""
     shares = dict.fromkeys(range(1, servers + 1), 0.0)
     for me in range(balancers):
-        b = Balancer(Settings(classes=(SAFE,), balancers=balancers, me=me), me)
-        b.members(100.0, ListKind.STALE, [ServerRow(i) for i in shares])
+        b = Balancer(Settings(classes=(SAFE,), fleet_size=balancers, ordinal=me), me)
+        b.on_endpoints_updated(100.0, UpdateKind.CACHED, [Endpoint(i) for i in shares])
         begin, width = b.pools[0].begin, b.pools[0].width
         for server, end in zip(b.pools[0].subset, b.pools[0].ends, strict=True):
             low = max(begin, end - 1.0)
-            shares[server.row.server] += max(0.0, min(begin + width, end) - low) / width
+            shares[server.row.id] += max(0.0, min(begin + width, end) - low) / width
     return list(shares.values())
 
 
@@ -118,8 +110,8 @@
 
 
 def test_subsets_widen_with_the_calls_in_flight() -> None:
-    settings = Settings(classes=(SAFE,), balancers=40)
-    checker = Checker(settings, 1, [ServerRow(i) for i in range(40)])
+    settings = Settings(classes=(SAFE,), fleet_size=40)
+    checker = Checker(settings, 1, [Endpoint(i) for i in range(40)])
     assert len(checker.balancer.pools[0].subset) == 1
     steady(checker, 8.0, 100.0)
     assert 3 < len(checker.balancer.pools[0].subset) < 40
@@ -134,7 +126,7 @@
         checker.advance(1.0 / rate)
         for rid, number in checker.open_tries():
             if rng.random() < 3.0 / rate:
-                checker.end(rid, number, Outcome.OK)
+                checker.end(rid, number, Outcome.SUCCESS)
 
 
 def test_overload_refuses_the_cheapest_class_first() -> None:
@@ -142,13 +134,13 @@
     now = 100.0
     for n in range(400):  # 100 a second, each served at once
         now += 0.01
-        b.request(now, f"w{n}", 1, 0, now + 4.0)
-        b.outcome(now, f"w{n}", 0, Outcome.OK, 0.1, True)
+        b.on_request(now, f"w{n}", 1, 0, now + 4.0)
+        b.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS, 0.1, True)
     refused = {0: 0, 1: 0}
     for n in range(120):  # then nothing comes back any more
         now += 0.001
         for kind in (0, 1):
-            if isinstance(b.request(now, f"x{kind}{n}", kind, 0, now + 4.0)[0], Refuse):
+            if isinstance(b.on_request(now, f"x{kind}{n}", kind, 0, now + 4.0)[0], Reject):
                 refused[kind] += 1
         if n == 30:
             assert refused[0] > 0 == refused[1]
@@ -158,8 +150,8 @@
 @pytest.mark.parametrize("balancers", [2, 4, 7])
 def test_latency_far_over_its_baseline_refuses_by_chance_where_many_share_a_tier(balancers: int) -> None:
     """The aim alone leaves room for seven times the baseline, at which servers hold far too much."""
-    classes = tuple(replace(row, aim=4.0) for row in (SAFE, DEAR))
-    b = balancer(Settings(classes=classes, balancers=balancers))
+    classes = tuple(replace(row, latency_objective=4.0) for row in (SAFE, DEAR))
+    b = balancer(Settings(classes=classes, fleet_size=balancers))
     now, out = 100.0, list[tuple[float, str]]()
 
     def play(latency: float, seconds: float) -> list[int]:
@@ -170,10 +162,10 @@
             now += 1 / 40
             while out and out[0][0] <= now:
                 end, rid = out.pop(0)
-                b.outcome(end, rid, 0, Outcome.OK, latency, True)
+                b.on_attempt_finished(end, rid, 0, Outcome.SUCCESS, latency, True)
             rid = f"r{round(40 * now)}"
             kind = round(40 * now) % 2
-            if isinstance(b.request(now, rid, kind, 0, now + 4.0)[0], Send):
+            if isinstance(b.on_request(now, rid, kind, 0, now + 4.0)[0], StartAttempt):
                 out.append((now + latency, rid))
             else:
                 refused[kind] += 1
@@ -188,8 +180,8 @@
 
 def test_work_that_varies_much_is_no_crowd() -> None:
     """Single latencies go far below their mean where work varies: their baseline is no measure of a mean."""
-    classes = tuple(replace(row, aim=4.0) for row in (SAFE, DEAR))
-    b = balancer(Settings(classes=classes, balancers=7))
+    classes = tuple(replace(row, latency_objective=4.0) for row in (SAFE, DEAR))
+    b = balancer(Settings(classes=classes, fleet_size=7))
     work = Random(5)
     out: list[tuple[float, str, float]] = []
     refused = 0
@@ -197,9 +189,9 @@
         now = 100.0 + n / 40
         while out and out[0][0] <= now:
             end, rid, latency = heappop(out)
-            b.outcome(end, rid, 0, Outcome.OK, latency, True)
+            b.on_attempt_finished(end, rid, 0, Outcome.SUCCESS, latency, True)
         latency = 1.0 if work.random() < 0.1 else 0.2 * work.random()
-        if isinstance(b.request(now, f"r{n}", n % 2, 0, now + 4.0)[0], Send):
+        if isinstance(b.on_request(now, f"r{n}", n % 2, 0, now + 4.0)[0], StartAttempt):
             heappush(out, (now + latency, f"r{n}", latency))
         else:
             refused += 1
@@ -207,18 +199,21 @@
 
 
 def test_long_work_of_one_class_holds_no_room_of_short_work() -> None:
-    short, long = replace(SAFE, aim=0.75, worth=5.0), replace(DEAR, aim=3.0, deadline=8.0, worth=8.0)
-    b = balancer(Settings(classes=(short, long), balancers=2))
+    short, long = (
+        replace(SAFE, latency_objective=0.75, priority_weight=5.0),
+        replace(DEAR, latency_objective=3.0, deadline=8.0, priority_weight=8.0),
+    )
+    b = balancer(Settings(classes=(short, long), fleet_size=2))
     out: list[tuple[float, str, float]] = []
     refused = [0, 0]
     for n in range(1200):  # forty a second, three quarters of them short; each ends well within its aim
         now = 100.0 + n / 40
         while out and out[0][0] <= now:
             end, rid, latency = heappop(out)
-            b.outcome(end, rid, 0, Outcome.OK, latency, True)
+            b.on_attempt_finished(end, rid, 0, Outcome.SUCCESS, latency, True)
         kind = int(n % 4 == 0)
         latency = 2.4 if kind else 0.1
-        if isinstance(b.request(now, f"r{n}", kind, 0, now + 2.0 + 6.0 * kind)[0], Send):
+        if isinstance(b.on_request(now, f"r{n}", kind, 0, now + 2.0 + 6.0 * kind)[0], StartAttempt):
             heappush(out, (now + latency, f"r{n}", latency))
         elif n > 200:  # by then each class has been served for a while
             refused[kind] += 1
@@ -226,15 +221,15 @@
 
 
 def test_lower_tiers_never_refuse_for_overload() -> None:
-    b = balancer(Settings(classes=(SAFE, DEAR), tier=1, tiers=2))
-    answers = [b.request(100.0 + n / 1000, f"x{n}", 0, 0, 104.0)[0] for n in range(200)]
-    assert all(isinstance(a, Send) for a in answers)
+    b = balancer(Settings(classes=(SAFE, DEAR), tier=1, tier_count=2))
+    answers = [b.on_request(100.0 + n / 1000, f"x{n}", 0, 0, 104.0)[0] for n in range(200)]
+    assert all(isinstance(a, StartAttempt) for a in answers)
 
 
 def test_nothing_served_yet_is_no_overload() -> None:
     b = balancer(Settings(classes=(SAFE,)))
-    answers = [b.request(100.0 + n / 100, f"x{n}", 0, 0, 110.0)[0] for n in range(30)]
-    assert sum(isinstance(a, Send) for a in answers) >= 27
+    answers = [b.on_request(100.0 + n / 100, f"x{n}", 0, 0, 110.0)[0] for n in range(30)]
+    assert sum(isinstance(a, StartAttempt) for a in answers) >= 27
 
 
 def test_sparse_proxies_shed_by_what_they_lost() -> None:
@@ -242,25 +237,31 @@
     now = 100.0
     for n in range(8):  # one call a second, all lost
         now += 1.0
-        if isinstance(b.request(now, f"r{n}", 1, 0, now + 4.0)[0], Send):
-            b.outcome(now + 0.98, f"r{n}", 0, Outcome.TIMEOUT, 0.98)
-    answers = [b.request(now + 1.0, f"s{n}", 0, 0, now + 5.0)[0] for n in range(2)]
-    later = b.request(now + 60.0, "t", 0, 0, now + 64.0)[0]
-    assert any(isinstance(a, Refuse) for a in answers)
-    assert isinstance(later, Send), "a loss long ago still counts"
+        if isinstance(b.on_request(now, f"r{n}", 1, 0, now + 4.0)[0], StartAttempt):
+            b.on_attempt_finished(now + 0.98, f"r{n}", 0, Outcome.TIMEOUT, 0.98)
+    answers = [b.on_request(now + 1.0, f"s{n}", 0, 0, now + 5.0)[0] for n in range(2)]
+    later = b.on_request(now + 60.0, "t", 0, 0, now + 64.0)[0]
+    assert any(isinstance(a, Reject) for a in answers)
+    assert isinstance(later, StartAttempt), "a loss long ago still counts"
 
 
 def test_a_jam_of_a_bound_class_holds_no_room_of_the_others() -> None:
-    bound = RequestClass("bound", aim=1.0, deadline=4.0, repeat=Repeat.SAFE, only_kinds=(1,))
-    b = balancer(Settings(classes=(SAFE, bound)), [*ROWS, ServerRow(9, kind=1)])
+    bound = RequestClass(
+        "bound",
+        latency_objective=1.0,
+        deadline=4.0,
+        idempotency=Idempotency.IDEMPOTENT,
+        allowed_machine_types=(1,),
+    )
+    b = balancer(Settings(classes=(SAFE, bound)), [*ROWS, Endpoint(9, machine_type=1)])
     now = 100.0
     for n in range(100):  # the only server open to the bound class answers nothing
         now += 0.02
-        b.request(now, f"b{n}", 1, 0, now + 4.0)
-        b.request(now, f"f{n}", 0, 0, now + 4.0)
-        b.outcome(now, f"f{n}", 0, Outcome.OK, 0.1, True)
-    assert isinstance(b.request(now, "bound", 1, 0, now + 4.0)[0], Refuse)
-    assert isinstance(b.request(now, "free", 0, 0, now + 4.0)[0], Send)
+        b.on_request(now, f"b{n}", 1, 0, now + 4.0)
+        b.on_request(now, f"f{n}", 0, 0, now + 4.0)
+        b.on_attempt_finished(now, f"f{n}", 0, Outcome.SUCCESS, 0.1, True)
+    assert isinstance(b.on_request(now, "bound", 1, 0, now + 4.0)[0], Reject)
+    assert isinstance(b.on_request(now, "free", 0, 0, now + 4.0)[0], StartAttempt)
 
 
 def calls(b: Balancer, tenant: int, fifth: Outcome) -> float:
@@ -268,31 +269,32 @@
     now = 100.0
     for n in range(400):
         now += 0.02
-        b.request(now, f"w{n}", 0, tenant, now + 4.0)
-        b.outcome(now, f"w{n}", 0, Outcome.OK if n % 5 else fifth, 0.1)
+        b.on_request(now, f"w{n}", 0, tenant, now + 4.0)
+        b.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS if n % 5 else fifth, 0.1)
     return now
 
 
 @pytest.mark.parametrize(
-    ("fifth", "answer"), [(Outcome.OK, Send), (Outcome.ERROR, Send), (Outcome.TIMEOUT, Refuse)]
+    ("fifth", "answer"),
+    [(Outcome.SUCCESS, StartAttempt), (Outcome.ERROR, StartAttempt), (Outcome.TIMEOUT, Reject)],
 )
 def test_room_shrinks_where_load_makes_requests_fail(fifth: Outcome, answer: type) -> None:
     b = balancer(Settings(classes=(DEAR,)))
     now = calls(b, 0, fifth)
     for n in range(27):  # room for 0.7 x 50 in a second, or for 0.4 x 40
-        b.request(now, f"x{n}", 0, 0, now + 4.0)
-    assert isinstance(b.request(now, "y", 0, 0, now + 4.0)[0], answer)
+        b.on_request(now, f"x{n}", 0, 0, now + 4.0)
+    assert isinstance(b.on_request(now, "y", 0, 0, now + 4.0)[0], answer)
 
 
-@pytest.mark.parametrize(("quota", "answer"), [(1.0, Refuse), (1000.0, Send), (0.0, Send)])
+@pytest.mark.parametrize(("quota", "answer"), [(1.0, Reject), (1000.0, StartAttempt), (0.0, StartAttempt)])
 def test_what_is_over_a_share_goes_first_where_requests_fail(quota: float, answer: type) -> None:
     tenants = (Tenant("calm", 0.5, 1000.0), Tenant("burst", 0.5, quota))
-    b = balancer(Settings(classes=(DEAR,), tenants=tenants, over_share_worth=0.1))
+    b = balancer(Settings(classes=(DEAR,), tenants=tenants, over_quota_weight=0.1))
     now = calls(b, 1, Outcome.TIMEOUT)
     for n in range(10):
-        b.request(now, f"x{n}", 0, 0, now + 4.0)
-    assert isinstance(b.request(now, "over", 0, 1, now + 4.0)[0], answer)
-    assert isinstance(b.request(now, "within", 0, 0, now + 4.0)[0], Send)
+        b.on_request(now, f"x{n}", 0, 0, now + 4.0)
+    assert isinstance(b.on_request(now, "over", 0, 1, now + 4.0)[0], answer)
+    assert isinstance(b.on_request(now, "within", 0, 0, now + 4.0)[0], StartAttempt)
 
 
 @pytest.mark.parametrize("protection", [1.0, 1000.0])
@@ -300,15 +302,15 @@
     protection: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("balancer.decide.POOL_PROTECTION", protection)
-    b = balancer(Settings(classes=(SAFE,), balancers=40), [ServerRow(i) for i in range(40)])
+    b = balancer(Settings(classes=(SAFE,), fleet_size=40), [Endpoint(i) for i in range(40)])
     sent = 0
     for n in range(20):  # four a second, each on another server, none answered
         now = 100.0 + n / 4.0
-        actions = b.request(now, f"r{n}", 0, 0, now + 4.0)
-        if isinstance(actions[0], Send):
+        actions = b.on_request(now, f"r{n}", 0, 0, now + 4.0)
+        if isinstance(actions[0], StartAttempt):
             sent += 1
-            b.outcome(now + 0.2, f"r{n}", 0, Outcome.TIMEOUT, 0.2)
-            b.gone(now + 0.2, f"r{n}")
+            b.on_attempt_finished(now + 0.2, f"r{n}", 0, Outcome.TIMEOUT, 0.2)
+            b.on_client_disconnected(now + 0.2, f"r{n}")
         for server in b.servers.values():
             server.breaker = None  # as if it had not been seen before
     assert (sent < 14) is (protection == 1.0)
@@ -319,36 +321,38 @@
     now = 100.0
     for n in range(50):
         now += 1.0
-        b.request(now, f"r{n}", 0, 0, now + 4.0, 0.1)
-        b.outcome(now + 0.2, f"r{n}", 0, Outcome.OK, 0.2, True)
-    assert isinstance(b.request(now + 1.0, "heavy", 0, 0, now + 5.0, 5.0)[0], Refuse)
-    assert isinstance(b.request(now + 1.0, "light", 0, 0, now + 5.0, 0.1)[0], Send)
+        b.on_request(now, f"r{n}", 0, 0, now + 4.0, 0.1)
+        b.on_attempt_finished(now + 0.2, f"r{n}", 0, Outcome.SUCCESS, 0.2, True)
+    assert isinstance(b.on_request(now + 1.0, "heavy", 0, 0, now + 5.0, 5.0)[0], Reject)
+    assert isinstance(b.on_request(now + 1.0, "light", 0, 0, now + 5.0, 0.1)[0], StartAttempt)
 
 
 def test_unfair_first_samples_do_not_refuse() -> None:
     b = balancer(Settings(classes=(SAFE,)))
     for n in range(3):  # 90 times their cost: they stood in a queue
-        b.request(100.0 + n, f"r{n}", 0, 0, 104.0 + n, 0.01)
-        b.outcome(100.9 + n, f"r{n}", 0, Outcome.OK, 0.9, True)
-    assert isinstance(b.request(110.0, "s", 0, 0, 114.0, 0.1)[0], Send)
+        b.on_request(100.0 + n, f"r{n}", 0, 0, 104.0 + n, 0.01)
+        b.on_attempt_finished(100.9 + n, f"r{n}", 0, Outcome.SUCCESS, 0.9, True)
+    assert isinstance(b.on_request(110.0, "s", 0, 0, 114.0, 0.1)[0], StartAttempt)
 
 
 def test_an_unfair_baseline_does_not_refuse_for_good() -> None:
     b = balancer(Settings(classes=(SAFE,)))
     b.pace, b.paced = 90.0, 100
-    answers = [b.request(110.0 + n, f"s{n}", 0, 0, 114.0 + n, 0.1)[0] for n in range(60)]
-    assert isinstance(answers[0], Refuse)
-    assert any(isinstance(a, Send) for a in answers)
+    answers = [b.on_request(110.0 + n, f"s{n}", 0, 0, 114.0 + n, 0.1)[0] for n in range(60)]
+    assert isinstance(answers[0], Reject)
+    assert any(isinstance(a, StartAttempt) for a in answers)
 
 
 def test_a_restart_draws_the_cold_phase_anew() -> None:
-    rules = Rules(cold_from=0.3, cold_for=9.0, fall_multiple=3.0, fall_after=2.0)
-    b = balancer(Settings(classes=(SAFE,), rules=rules), [ServerRow(1, started=99.0), ServerRow(2)])
+    rules = Rules(
+        warmup_initial_capacity=0.3, warmup_duration=9.0, overload_multiple=3.0, overload_interval=2.0
+    )
+    b = balancer(Settings(classes=(SAFE,), rules=rules), [Endpoint(1, started=99.0), Endpoint(2)])
     server = b.servers[1]
     for _ in range(200):
         b._spares_cold(100.0, server, b.pools[0])
     assert server.cold_seen > 0.0
-    b.members(500.0, ListKind.PATCH, [ServerRow(1, started=499.0)])
+    b.on_endpoints_updated(500.0, UpdateKind.DELTA, [Endpoint(1, started=499.0)])
     assert (server.cold_seen, server.cold_credit) == (0.0, 0.0)
     while server.cold_seen <= 0.0:
         b._spares_cold(500.0, server, b.pools[0])
@@ -356,50 +360,50 @@
 
 
 def test_absence_from_a_list_keeps_start_and_size() -> None:
-    b = balancer(Settings(classes=(SAFE,)), [ServerRow(1, size=2.0, started=99.0), ServerRow(2)])
-    b.members(101.0, ListKind.WHOLE, [ServerRow(2)])
-    assert b.servers[1].row == ServerRow(1, State.GONE, size=2.0, started=99.0)
+    b = balancer(Settings(classes=(SAFE,)), [Endpoint(1, size=2.0, started=99.0), Endpoint(2)])
+    b.on_endpoints_updated(101.0, UpdateKind.SNAPSHOT, [Endpoint(2)])
+    assert b.servers[1].row == Endpoint(1, EndpointStatus.GONE, size=2.0, started=99.0)
 
 
 def test_an_unsafe_request_that_may_have_run_fails_at_its_aim() -> None:
     b = balancer(Settings(classes=(DEAR,), limits=Limits(max_attempts=4)))
-    b.request(100.0, "r", 0, 0, 104.0)
-    assert b.outcome(100.98, "r", 0, Outcome.TIMEOUT, 0.98) == [Fail("r")]
+    b.on_request(100.0, "r", 0, 0, 104.0)
+    assert b.on_attempt_finished(100.98, "r", 0, Outcome.TIMEOUT, 0.98) == [Fail("r")]
 
 
 def test_the_rest_of_the_list_stands_in_for_a_dead_subset() -> None:
-    rows = [ServerRow(i) for i in range(1, 21)]
-    b = balancer(Settings(classes=(SAFE,), balancers=20, limits=Limits(max_attempts=3)), rows)
+    rows = [Endpoint(i) for i in range(1, 21)]
+    b = balancer(Settings(classes=(SAFE,), fleet_size=20, limits=Limits(max_attempts=3)), rows)
     [own] = b.pools[0].subset
     for n in range(40):  # the only server of the subset cannot be reached
         now = 100.0 + n / 10
-        sends = b.request(now, f"r{n}", 0, 0, now + 4.0)
-        if isinstance(sends[0], Send) and sends[0].server == own.row.server:
-            [again] = b.outcome(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
-            assert not isinstance(again, Send) or again.server != own.row.server
-            if isinstance(again, Send):
-                b.outcome(now + 0.02, f"r{n}", 1, Outcome.OK, 0.01, True)
-        elif isinstance(sends[0], Send):
-            b.outcome(now + 0.02, f"r{n}", 0, Outcome.OK, 0.01, True)
-    used = {s.row.server for s in b.servers.values() if s.breaker is not None}
+        sends = b.on_request(now, f"r{n}", 0, 0, now + 4.0)
+        if isinstance(sends[0], StartAttempt) and sends[0].endpoint == own.row.id:
+            [again] = b.on_attempt_finished(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
+            assert not isinstance(again, StartAttempt) or again.endpoint != own.row.id
+            if isinstance(again, StartAttempt):
+                b.on_attempt_finished(now + 0.02, f"r{n}", 1, Outcome.SUCCESS, 0.01, True)
+        elif isinstance(sends[0], StartAttempt):
+            b.on_attempt_finished(now + 0.02, f"r{n}", 0, Outcome.SUCCESS, 0.01, True)
+    used = {s.row.id for s in b.servers.values() if s.breaker is not None}
     assert len(used) > 8
 
 
 def test_a_busy_subset_sends_on_to_the_few_servers_behind_it() -> None:
     used: Counter[int] = Counter()
     for me in range(100):
-        settings = Settings(classes=(SAFE,), balancers=100, me=me)
-        b = balancer(settings, [ServerRow(i) for i in range(1, 101)])
-        own = {s.row.server for s in b.pools[0].subset}
+        settings = Settings(classes=(SAFE,), fleet_size=100, ordinal=me)
+        b = balancer(settings, [Endpoint(i) for i in range(1, 101)])
+        own = {s.row.id for s in b.pools[0].subset}
         assert len(own) == 1
         sent = set()
         for n in range(60):  # never more than the subset can hold is answered in the meantime
             now = 100.0 + n / 100
-            [send] = b.request(now, f"r{n}", 0, 0, now + 4.0)
-            assert isinstance(send, Send)
-            sent.add(send.server)
+            [send] = b.on_request(now, f"r{n}", 0, 0, now + 4.0)
+            assert isinstance(send, StartAttempt)
+            sent.add(send.endpoint)
             if n >= 3:
-                b.outcome(now, f"r{n - 3}", 0, Outcome.OK, 0.03, True)
+                b.on_attempt_finished(now, f"r{n - 3}", 0, Outcome.SUCCESS, 0.03, True)
         assert own < sent and len(sent) <= 5  # a connection to each, not to all
         used.update(sent)
     assert len(used) == 100 and max(used.values()) <= 5  # and none gets more of them than another
@@ -410,67 +414,73 @@
     now = 100.0
     for n in range(250):
         now += 0.02
-        b.request(now, f"w{n}", 0, 0, now + 4.0)
-        b.outcome(now, f"w{n}", 0, Outcome.OK, 0.1, True)
-    sent = {}
+        b.on_request(now, f"w{n}", 0, 0, now + 4.0)
+        b.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS, 0.1, True)
+    sent: dict[str, float] = {}
     for n in range(500):  # ten seconds in which every attempt ends by its time-out alone
         now += 0.02
         for rid, until in list(sent.items()):
             if until <= now:
                 del sent[rid]
-                b.outcome(now, rid, 0, Outcome.TIMEOUT, 0.98)
-        if isinstance(b.request(now, f"x{n}", 0, 0, now + 4.0)[0], Send):
+                b.on_attempt_finished(now, rid, 0, Outcome.TIMEOUT, 0.98)
+        if isinstance(b.on_request(now, f"x{n}", 0, 0, now + 4.0)[0], StartAttempt):
             sent[f"x{n}"] = now + 0.98
-    b.loss = 0.0
-    tried = sum(isinstance(b.request(now, f"y{n}", 0, 0, now + 4.0)[0], Send) for n in range(2))
+    tried = sum(isinstance(b.on_request(now, f"y{n}", 0, 0, now + 4.0)[0], StartAttempt) for n in range(2))
     assert len(sent) + tried > 2, "only what is always let through was tried"
 
 
 def test_cold_servers_outside_the_subset_get_nothing_when_it_refuses() -> None:
-    rows = [ServerRow(i) for i in range(1, 21)]
-    b = balancer(Settings(classes=(SAFE,), balancers=20), rows)
+    rows = [Endpoint(i) for i in range(1, 21)]
+    b = balancer(Settings(classes=(SAFE,), fleet_size=20), rows)
     [own] = b.pools[0].subset
-    cold = [ServerRow(i, started=100.0) for i in range(1, 21) if i != own.row.server]
-    b.members(100.1, ListKind.PATCH, cold)
+    cold = [Endpoint(i, started=100.0) for i in range(1, 21) if i != own.row.id]
+    b.on_endpoints_updated(100.1, UpdateKind.DELTA, cold)
     assert b.pools[0].subset == [own]
     for n in range(60):
         now = 100.2 + n / 20
-        for action in b.request(now, f"r{n}", 0, 0, now + 4.0):
-            assert not isinstance(action, Send) or action.server == own.row.server
-            if isinstance(action, Send):
-                b.outcome(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
+        for action in b.on_request(now, f"r{n}", 0, 0, now + 4.0):
+            assert not isinstance(action, StartAttempt) or action.endpoint == own.row.id
+            if isinstance(action, StartAttempt):
+                b.on_attempt_finished(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
 
 
 def test_where_most_are_cold_they_carry_their_part() -> None:
     """Six of ten just started, at 0.4 of what they can do: 2.4 of 6.4 is theirs, half of it surely."""
-    b = balancer(Settings(classes=(SAFE,), rules=Rules(cold_from=0.4, cold_for=1e6, fall_after=2.0)))
-    rows = [ServerRow(i, started=99.0 if i > 4 else 0.0) for i in range(1, 11)]
-    b.members(100.0, ListKind.WHOLE, rows)
+    b = balancer(
+        Settings(
+            classes=(SAFE,),
+            rules=Rules(warmup_initial_capacity=0.4, warmup_duration=1e6, overload_interval=2.0),
+        )
+    )
+    rows = [Endpoint(i, started=99.0 if i > 4 else 0.0) for i in range(1, 11)]
+    b.on_endpoints_updated(100.0, UpdateKind.SNAPSHOT, rows)
     now, cold, sent = 100.0, 0, 2000
     for n in range(sent):
         now += 0.02
-        [send] = b.request(now, f"r{n}", 0, 0, now + 4.0)
-        assert isinstance(send, Send)
-        cold += send.server > 4
-        b.outcome(now + 0.01, f"r{n}", 0, Outcome.OK, 0.01, True)
+        [send] = b.on_request(now, f"r{n}", 0, 0, now + 4.0)
+        assert isinstance(send, StartAttempt)
+        cold += send.endpoint > 4
+        b.on_attempt_finished(now + 0.01, f"r{n}", 0, Outcome.SUCCESS, 0.01, True)
     part = 2.4 / 6.4
     assert 0.5 * part <= cold / sent <= part
 
 
 def test_refused_clients_that_come_back_do_not_fill_a_cold_budget() -> None:
     """The budget goes by calls sent: four offered for each one sent must not give it four times as much."""
-    rules = Rules(cold_from=0.3, cold_for=20.0, fall_multiple=3.0, fall_after=2.0)
+    rules = Rules(
+        warmup_initial_capacity=0.3, warmup_duration=20.0, overload_multiple=3.0, overload_interval=2.0
+    )
 
     def credit(refused: int) -> float:
         b = balancer(Settings(classes=(SAFE,), rules=rules))
         now = 100.0
         for n in range(400):
             now += 0.01
-            if isinstance(b.request(now, f"w{n}", 0, 0, now + 4.0)[0], Send):
-                b.outcome(now, f"w{n}", 0, Outcome.OK, 0.1, True)
+            if isinstance(b.on_request(now, f"w{n}", 0, 0, now + 4.0)[0], StartAttempt):
+                b.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS, 0.1, True)
             for k in range(refused):
-                b.request(now, f"p{n}_{k}", 0, 0, now)
-        b.members(now, ListKind.PATCH, [ServerRow(1, started=now)])
+                b.on_request(now, f"p{n}_{k}", 0, 0, now)
+        b.on_endpoints_updated(now, UpdateKind.DELTA, [Endpoint(1, started=now)])
         server = b.servers[1]
         while server.cold_seen <= 0.0:
             b._spares_cold(now, server, b.pools[0])
@@ -492,35 +502,35 @@
 
 
 def test_the_age_of_the_oldest_call_out_is_a_sample() -> None:
-    b = balancer(Settings(classes=(SAFE,)), [ServerRow(1)])
-    b.request(100.0, "r", 0, 0, 104.0)
+    b = balancer(Settings(classes=(SAFE,)), [Endpoint(1)])
+    b.on_request(100.0, "r", 0, 0, 104.0)
     assert b.servers[1].score(100.9, 0.1) == pytest.approx(0.9 * 2.0)
 
 
 def test_a_failure_costs_a_time_out_in_the_pick() -> None:
-    b = balancer(Settings(classes=(SAFE,)), [ServerRow(1)])
-    b.request(100.0, "r", 0, 0, 104.0)
-    b.outcome(100.001, "r", 0, Outcome.ERROR, 0.001)
+    b = balancer(Settings(classes=(SAFE,)), [Endpoint(1)])
+    b.on_request(100.0, "r", 0, 0, 104.0)
+    b.on_attempt_finished(100.001, "r", 0, Outcome.ERROR, 0.001)
     assert b.servers[1].latency == pytest.approx(1.0)
 
 
 def test_one_slow_first_answer_makes_no_baseline() -> None:
-    b = balancer(Settings(classes=(SAFE,)), [ServerRow(1)])
+    b = balancer(Settings(classes=(SAFE,)), [Endpoint(1)])
     b.pooled = 0.1
-    b.request(100.0, "r", 0, 0, 104.0)
-    b.outcome(100.9, "r", 0, Outcome.OK, 0.9, True)
+    b.on_request(100.0, "r", 0, 0, 104.0)
+    b.on_attempt_finished(100.9, "r", 0, Outcome.SUCCESS, 0.9, True)
     breaker = b.servers[1].breaker
     assert breaker is not None and breaker.baseline < 0.11
 
 
 @pytest.mark.parametrize(("balancers", "taken"), [(2, 4), (3, 3)])
 def test_a_burst_at_a_proxy_alone_in_its_zone_is_no_overload(balancers: int, taken: int) -> None:
-    settings = Settings(classes=(DEAR,), balancers=balancers, zones=2, limits=Limits(cancel=True))
+    settings = Settings(classes=(DEAR,), fleet_size=balancers, zone_count=2, limits=Limits(cancel=True))
     checker = Checker(settings, 5, ROWS)
     for _ in range(8):
         rid = checker.request(0, 4.0)
         checker.advance(0.05)
-        checker.end(rid, 0, Outcome.OK)
+        checker.end(rid, 0, Outcome.SUCCESS)
         checker.advance(0.95)
     rids = [checker.request(0, 4.0) for _ in range(4)]
     assert sum(bool(checker.owed[rid].tries) for rid in rids) == taken
@@ -530,12 +540,12 @@
     """Calls one after another, each answered after so long."""
     for n in range(count):
         now = 101.0 + n
-        b.request(now, f"s{n}", 0, 0, now + 4.0)
-        b.outcome(now + latency, f"s{n}", 0, Outcome.OK, latency, True)
+        b.on_request(now, f"s{n}", 0, 0, now + 4.0)
+        b.on_attempt_finished(now + latency, f"s{n}", 0, Outcome.SUCCESS, latency, True)
 
 
 def copying(kind: RequestClass = SAFE, second_copies: bool = True) -> Balancer:
-    limits = Limits(cancel=True, second_copies=second_copies, max_attempts=3)
+    limits = Limits(cancel=True, hedging=second_copies, max_attempts=3)
     b = balancer(Settings(classes=(kind,), limits=limits))
     served(b)
     return b
@@ -543,37 +553,39 @@
 
 def test_an_attempt_that_is_never_answered_gets_a_copy_elsewhere() -> None:
     b = copying()
-    send, timer = b.request(200.0, "r", 0, 0, 204.0)
-    assert isinstance(send, Send) and isinstance(timer, Timer)
+    send, timer = b.on_request(200.0, "r", 0, 0, 204.0)
+    assert isinstance(send, StartAttempt) and isinstance(timer, SetTimer)
     assert 200.09 < timer.at < 200.5  # far over the usual 50 ms, with time to spare for the copy
-    [copy] = b.timer(timer.at, timer.token)
-    assert isinstance(copy, Send) and copy.server != send.server
-    assert b.outcome(timer.at + 0.05, "r", 1, Outcome.OK, 0.05, True) == [Cancel("r", 0)]
-    b.outcome(timer.at + 0.05, "r", 0, Outcome.CANCELLED, timer.at - 199.95)
-    assert b.servers[send.server].latency > 0.07  # it took at least that long
+    [copy] = b.on_timer(timer.at, timer.token)
+    assert isinstance(copy, StartAttempt) and copy.endpoint != send.endpoint
+    assert b.on_attempt_finished(timer.at + 0.05, "r", 1, Outcome.SUCCESS, 0.05, True) == [
+        CancelAttempt("r", 0)
+    ]
+    b.on_attempt_finished(timer.at + 0.05, "r", 0, Outcome.CANCELLED, timer.at - 199.95)
+    assert b.servers[send.endpoint].latency > 0.07  # it took at least that long
     assert not b.requests and timer.token not in b.copies
 
 
 def test_an_attempt_that_ended_in_time_gets_no_copy() -> None:
     b = copying()
-    _, timer = b.request(200.0, "r", 0, 0, 204.0)
-    again, later = b.outcome(200.05, "r", 0, Outcome.ERROR, 0.05)
-    assert isinstance(again, Send) and isinstance(timer, Timer) and isinstance(later, Timer)
-    assert b.timer(timer.at, timer.token) == []  # the second attempt has a look of its own
-    b.outcome(200.1, "r", 1, Outcome.OK, 0.05, True)
-    assert b.timer(later.at, later.token) == []
+    _, timer = b.on_request(200.0, "r", 0, 0, 204.0)
+    again, later = b.on_attempt_finished(200.05, "r", 0, Outcome.ERROR, 0.05)
+    assert isinstance(again, StartAttempt) and isinstance(timer, SetTimer) and isinstance(later, SetTimer)
+    assert b.on_timer(timer.at, timer.token) == []  # the second attempt has a look of its own
+    b.on_attempt_finished(200.1, "r", 1, Outcome.SUCCESS, 0.05, True)
+    assert b.on_timer(later.at, later.token) == []
 
 
 def test_no_copies_where_they_may_not_be_or_all_are_slow() -> None:
-    unsafe = RequestClass("b", aim=1.0, deadline=4.0, repeat=Repeat.UNSAFE)
-    slow = balancer(Settings(classes=(SAFE,), limits=Limits(cancel=True, second_copies=True)))
+    unsafe = RequestClass("b", latency_objective=1.0, deadline=4.0, idempotency=Idempotency.NON_IDEMPOTENT)
+    slow = balancer(Settings(classes=(SAFE,), limits=Limits(cancel=True, hedging=True)))
     served(slow, 0.4)
-    limits = Limits(cancel=True, second_copies=True)
-    upper = balancer(Settings(classes=(SAFE,), limits=limits, tiers=2))
+    limits = Limits(cancel=True, hedging=True)
+    upper = balancer(Settings(classes=(SAFE,), limits=limits, tier_count=2))
     served(upper)
     for b in (copying(unsafe), copying(second_copies=False), slow, upper):
-        [send] = b.request(200.0, "r", 0, 0, 204.0)
-        assert isinstance(send, Send)
+        [send] = b.on_request(200.0, "r", 0, 0, 204.0)
+        assert isinstance(send, StartAttempt)
 
 
 def test_copies_leave_the_budget_of_retries_alone_and_are_few() -> None:
@@ -581,10 +593,10 @@
     copies = 0
     for n in range(20):
         now = 200.0 + n / 4.0
-        _, timer = b.request(now, f"r{n}", 0, 0, now + 4.0)
-        assert isinstance(timer, Timer)
-        copies += len(b.timer(timer.at, timer.token))
-        b.outcome(timer.at + 0.01, f"r{n}", 0, Outcome.OK, timer.at + 0.01 - now, True)
+        _, timer = b.on_request(now, f"r{n}", 0, 0, now + 4.0)
+        assert isinstance(timer, SetTimer)
+        copies += len(b.on_timer(timer.at, timer.token))
+        b.on_attempt_finished(timer.at + 0.01, f"r{n}", 0, Outcome.SUCCESS, timer.at + 0.01 - now, True)
     assert 0 < copies <= 3 and not b.budget._extra
 
 
@@ -598,9 +610,9 @@
     ],
 )
 def test_refused_clients_hear_when_to_come_back(tier: int, limits: Limits, least: float, most: float) -> None:
-    checker = Checker(Settings(classes=(SAFE,), tier=tier, tiers=2, limits=limits), 3, ROWS)
+    checker = Checker(Settings(classes=(SAFE,), tier=tier, tier_count=2, limits=limits), 3, ROWS)
     steady(checker, 4.0, 10.0)
     b = checker.balancer
-    b.members(checker.now, ListKind.WHOLE, [])  # nowhere to go: refused, whatever the room
-    [refusal] = b.request(checker.now, "r", 0, 0, checker.now + 4.0)
-    assert isinstance(refusal, Refuse) and least <= refusal.retry_after <= most
+    b.on_endpoints_updated(checker.now, UpdateKind.SNAPSHOT, [])  # nowhere to go: refused, whatever the room
+    [refusal] = b.on_request(checker.now, "r", 0, 0, checker.now + 4.0)
+    assert isinstance(refusal, Reject) and least <= refusal.retry_after <= most
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -31,8 +31,8 @@
     until,
 )
 
-from balancer.adapter import read_settings
-from balancer.model import Settings
+from balancer.settings import Settings
+from balancer.settings_reader import read_settings
 
 TIERS = {"first": {"Tier": 0, "Tiers": ["a", "b"]}, "later": {"Tier": 1, "Tiers": ["a", "b"]}}
 CANCELS = {"cancels": True, "no cancels": False}
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -30,8 +30,9 @@
     watches,
 )
 
-from balancer.adapter import read_settings
-from balancer.model import Outcome, Refuse, Settings
+from balancer.events import Outcome, Reject
+from balancer.settings import Settings
+from balancer.settings_reader import read_settings
 from proxy import upstream
 from proxy.intake import Intake
 from proxy.proxy import Call, Proxy
@@ -149,7 +150,7 @@
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             with monkeypatch.context() as patch:
-                patch.setattr(up.proxy._balancer, "request", lambda *_: [])
+                patch.setattr(up.proxy._balancer, "on_request", lambda *_: [])
                 client = await up.client()
                 assert status(await client.ask(book(timeout="0.1"))) == 504
             assert status(await client.ask(book(2))) == 200
@@ -166,11 +167,11 @@
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
-            for event in ("request", "outcome"):
+            for event in ("on_request", "on_attempt_finished"):
                 with monkeypatch.context() as patch:
                     patch.setattr(up.proxy._balancer, event, fault)
                     # An answer that came before the fault stands.
-                    assert status(await client.ask(book())) == (500 if event == "request" else 200)
+                    assert status(await client.ask(book())) == (500 if event == "on_request" else 200)
             assert status(await client.ask(book(2))) == 200
             assert not up.proxy._calls
 
@@ -182,13 +183,13 @@
     async def play() -> None:
         deadlines: list[float] = []
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
-            ask = up.proxy._balancer.request
+            ask = up.proxy._balancer.on_request
 
             def request(*args: Any) -> Any:
                 deadlines.append(args[4])
                 return ask(*args)
 
-            monkeypatch.setattr(up.proxy._balancer, "request", request)
+            monkeypatch.setattr(up.proxy._balancer, "on_request", request)
             client = await up.client()
             client.writer.write(book()[:30])
             await until(lambda: bool(up.proxy.front.reading))
@@ -314,7 +315,7 @@
         async with running([]) as up:
             client = await up.client()
             assert b"Retry-After" not in await client.ask(book())
-            monkeypatch.setattr(up.proxy._balancer, "request", lambda now, rid, *_: [Refuse(rid, 0.25)])
+            monkeypatch.setattr(up.proxy._balancer, "on_request", lambda now, rid, *_: [Reject(rid, 0.25)])
             answer = await client.ask(book(2))
             assert status(answer) == 503 and b"Retry-After: 0.250\r\n" in answer
 
@@ -381,7 +382,7 @@
         async with backend(lambda request: OK if b"id1" in request else None) as one:
             exchanges = Exchanges(one, most=1)
             exchanges.start(book(1))
-            assert await soon(exchanges.ended.get()) is Outcome.OK
+            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
             other = Known(exchanges.known.address)
             exchanges.upstream.update(other, other.address, 0.0, True)
             exchanges.known = other
@@ -400,13 +401,13 @@
             for _ in range(2):
                 exchanges.start()
             for _ in range(2):
-                assert await soon(exchanges.ended.get()) is Outcome.OK
+                assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
             [older, newer] = exchanges.known.idle
             for connection in (older, newer):
                 connection.idle_since -= upstream.REST
             exchanges.start()
             assert exchanges.known.idle == [older]
-            assert await soon(exchanges.ended.get()) is Outcome.OK
+            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
             assert exchanges.known.idle == [older, newer] and one.ended.empty()
             older.idle_since -= 31.0
             exchanges.upstream._sweep()
@@ -434,7 +435,7 @@
                 for writer in one.open[number:]:  # all are in use by now
                     writer.write(OK)
                 for _ in range(at_once):
-                    assert await soon(exchanges.ended.get()) is Outcome.OK
+                    assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
                 assert exchanges.known.idle  # the latest are kept
             assert len(exchanges.upstream._idle) == kept
 
@@ -443,7 +444,7 @@
 
 def test_the_share_of_idle_connections_goes_by_the_list_and_the_fleet() -> None:
     async def play() -> None:
-        settings = replace(read_settings(WIRE), balancers=4)
+        settings = replace(read_settings(WIRE), fleet_size=4)
         async with running([entry("a", f"{HOST}:1"), entry("b", f"{HOST}:2")], settings=settings) as up:
             assert up.proxy._upstream._idle_share == upstream.IDLE_SHARED * 2 / 4
             up.tell([entry("b", f"{HOST}:2", "terminated")])
@@ -457,14 +458,14 @@
         async with backend(lambda _: OK) as one:
             exchanges = Exchanges(one)
             exchanges.start(book(1))
-            assert await soon(exchanges.ended.get()) is Outcome.OK
+            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
             [idle] = exchanges.known.idle
             ended = exchanges.start(book(2))
-            assert await soon(exchanges.ended.get()) is Outcome.OK
+            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
             exchanges.known.idle.remove(idle)
             exchanges.upstream._transmit(ended, idle)
             exchanges.start(book(3))
-            assert await soon(exchanges.ended.get()) is Outcome.OK
+            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
             assert [b"id%d" % n in one.got.get_nowait() for n in (1, 2, 3)] == [True] * 3
 
     asyncio.run(play())
@@ -493,7 +494,7 @@
                 for connection in exchanges.known.idle:
                     connection.idle_since -= idle
                 exchanges.start(book(number), repeatable=False)
-                assert await soon(exchanges.ended.get()) is Outcome.OK
+                assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
             assert len(one.open) == dialled
             await until(lambda: one.ended.qsize() == max(0, dialled - 2))  # no more than two are kept
 
@@ -507,12 +508,12 @@
             exchanges.upstream.keeping.used(0.15)  # one is too few to stop what can be sent again
             exchanges.upstream.keeping.broke(0.15)
             exchanges.start()
-            assert await soon(exchanges.ended.get()) is Outcome.OK
+            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
             for repeatable, dialled in ((True, 1), (False, 2)):
                 [connection] = exchanges.known.idle
                 connection.idle_since -= 0.2
                 exchanges.start(repeatable=repeatable)
-                assert await soon(exchanges.ended.get()) is Outcome.OK
+                assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
                 assert len(one.open) == dialled
 
     asyncio.run(play())
@@ -532,11 +533,11 @@
                 if number < broke:
                     exchanges.upstream.keeping.broke(5.0)
             exchanges.start()
-            assert await soon(exchanges.ended.get()) is Outcome.OK
+            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
             [connection] = exchanges.known.idle
             connection.idle_since -= 2.0
             exchanges.start(repeatable=False)
-            assert await soon(exchanges.ended.get()) is Outcome.OK
+            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
             assert len(one.open) == dialled
 
     asyncio.run(play())
@@ -549,12 +550,12 @@
             for _ in range(2):
                 exchanges.start()
             for _ in range(2):
-                assert await soon(exchanges.ended.get()) is Outcome.OK
+                assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
             for connection in exchanges.known.idle:
                 connection.idle_since -= WIDE
             for _ in range(3):  # the first finds none young enough, the others its connection
                 exchanges.start(repeatable=False)
-                assert await soon(exchanges.ended.get()) is Outcome.OK
+                assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
             assert len(one.open) == 3
             await until(lambda: one.ended.qsize() == 1)  # no more than two are kept
 
@@ -566,7 +567,13 @@
         answers = [OK, OK, CLOSE, OK, OK]
         async with backend(lambda _: answers.pop(0)) as one:
             exchanges = Exchanges(one)
-            for expected in (Outcome.OK, Outcome.OK, Outcome.BROKEN, Outcome.OK, Outcome.OK):
+            for expected in (
+                Outcome.SUCCESS,
+                Outcome.SUCCESS,
+                Outcome.CONNECTION_LOST,
+                Outcome.SUCCESS,
+                Outcome.SUCCESS,
+            ):
                 exchanges.start()
                 assert await soon(exchanges.ended.get()) is expected
             assert len(one.open) == 2 and len(exchanges.known.idle) == 1
@@ -587,7 +594,7 @@
                 exchanges.start()
                 return await soon(exchanges.ended.get())
 
-            assert await ask(0.0) is Outcome.OK
+            assert await ask(0.0) is Outcome.SUCCESS
             broken = 0
             for _ in range(9):  # whatever has been idle for longer than 5 s is dead
                 dialled = len(one.open)
@@ -597,14 +604,14 @@
                 if len(one.open) > dialled:
                     break
                 broken += 1
-                assert await ask(0.0) is Outcome.OK
+                assert await ask(0.0) is Outcome.SUCCESS
             assert 2 <= broken < 9
-            assert await ask(0.0) is Outcome.OK
+            assert await ask(0.0) is Outcome.SUCCESS
             dialled = len(one.open)
             for _ in range(5):
-                assert await ask(1.0) is Outcome.OK
+                assert await ask(1.0) is Outcome.SUCCESS
             assert len(one.open) == dialled  # what has been idle for less is still used
-            assert await ask(5.0) is Outcome.OK
+            assert await ask(5.0) is Outcome.SUCCESS
             assert len(one.open) == dialled + 1
 
     asyncio.run(play())
@@ -615,13 +622,13 @@
         async with backend(lambda _: OK) as one:
             exchanges = Exchanges(one)
             exchanges.start()
-            assert await soon(exchanges.ended.get()) is Outcome.OK
+            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
             [idle] = exchanges.known.idle
             idle._transport.pause_reading()  # what comes now stays unread, as in a busy moment
             one.open[0].write(OK)
             await until(lambda: not idle.usable())
             exchanges.start()
-            assert await soon(exchanges.ended.get()) is Outcome.OK
+            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
             assert len(one.open) == 2
 
     asyncio.run(play())
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -8,7 +8,7 @@
 import pytest
 from loopback import HOST, WIRE, Client, Clock, Gate, config, entry, free_port, status
 
-from balancer.adapter import read_settings
+from balancer.settings_reader import read_settings
 from proxy.__main__ import serve
 
 WITHIN = 10.0  # seconds in which nine in ten processes have to be ready
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -13,40 +13,33 @@
 
 from balancer import decide
 from balancer.decide import Balancer
-from balancer.model import (
-    Action,
-    Cancel,
-    Discovery,
-    Fail,
-    Group,
+from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
+from balancer.events import Action, CancelAttempt, Fail, Outcome, SetTimer, StartAttempt
+from balancer.settings import (
+    DeduplicationScope,
+    DiscoveryMode,
+    Idempotency,
     Limits,
-    ListKind,
-    Outcome,
-    Repeat,
     RequestClass,
-    Send,
-    ServerRow,
     Settings,
-    State,
     Tenant,
-    Timer,
 )
 
-SAFE = RequestClass("safe", 1.0, 4.0, Repeat.SAFE)
-ONCE = RequestClass("once", 1.0, 4.0, Repeat.UNSAFE, worth=5.0)
-KEYED = RequestClass("keyed", 1.0, 4.0, Repeat.KEYED, Group.ALL, 3.0)
-OTHER = RequestClass("other", 2.0, 4.0, Repeat.SAFE)
+SAFE = RequestClass("safe", 1.0, 4.0, Idempotency.IDEMPOTENT)
+ONCE = RequestClass("once", 1.0, 4.0, Idempotency.NON_IDEMPOTENT, priority_weight=5.0)
+KEYED = RequestClass("keyed", 1.0, 4.0, Idempotency.KEYED, DeduplicationScope.ALL, 3.0)
+OTHER = RequestClass("other", 2.0, 4.0, Idempotency.IDEMPOTENT)
 BASE = Settings(classes=(SAFE, ONCE, KEYED))
-ROWS = [ServerRow(i, zone=i % 2, cell=i % 3) for i in range(1, 7)]
+ROWS = [Endpoint(i, zone=i % 2, cell=i % 3) for i in range(1, 7)]
 
 
-def checker(stated: Settings = BASE, rows: list[ServerRow] = ROWS) -> Checker:
+def checker(stated: Settings = BASE, rows: list[Endpoint] = ROWS) -> Checker:
     return Checker(stated, 1, rows)
 
 
 def sent(c: Checker, rid: str) -> list[int]:
     """The servers that a request went to."""
-    return [attempt.row.server for attempt in c.owed[rid].tries]
+    return [attempt.row.id for attempt in c.owed[rid].tries]
 
 
 def outcome(c: Checker, rid: str, how: Outcome, number: int = 0) -> list[Action]:
@@ -69,14 +62,27 @@
     c.reconfigure(replace(BASE, classes=order))
     assert outcome(c, once, Outcome.TIMEOUT) == [Fail(once)]
     [again] = outcome(c, safe, Outcome.TIMEOUT)
-    assert isinstance(again, Send)
+    assert isinstance(again, StartAttempt)
 
 
-@pytest.mark.parametrize("then", [Repeat.SAFE, Repeat.KEYED])
-def test_what_may_have_run_is_not_repeated_though_its_class_may_be_by_now(then: Repeat) -> None:
+@pytest.mark.parametrize("then", [Idempotency.IDEMPOTENT, Idempotency.KEYED])
+def test_what_may_have_run_is_not_repeated_though_its_class_may_be_by_now(then: Idempotency) -> None:
     c = checker()
     rid = c.request(1, 4.0)
-    c.reconfigure(replace(BASE, classes=(SAFE, replace(ONCE, repeat=then, group=Group.ALL, window=3.0))))
+    c.reconfigure(
+        replace(
+            BASE,
+            classes=(
+                SAFE,
+                replace(
+                    ONCE,
+                    idempotency=then,
+                    deduplication_scope=DeduplicationScope.ALL,
+                    deduplication_window=3.0,
+                ),
+            ),
+        )
+    )
     assert outcome(c, rid, Outcome.TIMEOUT) == [Fail(rid)]
 
 
@@ -85,20 +91,20 @@
 def test_what_may_be_repeated_no_more_is_not(first: int, swaps: int) -> None:
     c = checker()
     rid = c.request(first, 4.0)
-    strict = tuple(replace(row, repeat=Repeat.UNSAFE) for row in BASE.classes)
+    strict = tuple(replace(row, idempotency=Idempotency.NON_IDEMPOTENT) for row in BASE.classes)
     c.reconfigure(replace(BASE, classes=strict))
     if swaps == 2:  # back again: it was forbidden meanwhile
         c.reconfigure(BASE)
     assert outcome(c, rid, Outcome.TIMEOUT) == [Fail(rid)]
 
 
-@pytest.mark.parametrize("change", [{"group": Group.CELL}, {"window": 0.01}])
+@pytest.mark.parametrize("change", [{"deduplication_scope": DeduplicationScope.CELL}, {"deduplication_window": 0.01}])
 def test_a_keyed_request_is_repeated_only_where_both_readings_allow_it(change: dict[str, Any]) -> None:
     c = checker()
     rid = c.request(2, 4.0)
     c.reconfigure(replace(BASE, classes=(SAFE, ONCE, replace(KEYED, **change))))
     c.advance(0.1)
-    assert not any(isinstance(action, Send) for action in outcome(c, rid, Outcome.TIMEOUT))
+    assert not any(isinstance(action, StartAttempt) for action in outcome(c, rid, Outcome.TIMEOUT))
 
 
 def test_what_never_ran_is_sent_again_whatever_became_of_its_class() -> None:
@@ -106,8 +112,8 @@
     rid = c.request(1, 4.0)
     c.reconfigure(replace(BASE, classes=(OTHER,)))
     [again] = outcome(c, rid, Outcome.UNREACHABLE)
-    assert isinstance(again, Send)
-    assert outcome(c, rid, Outcome.OK, 1) == []
+    assert isinstance(again, StartAttempt)
+    assert outcome(c, rid, Outcome.SUCCESS, 1) == []
     assert not c.balancer.requests
 
 
@@ -117,10 +123,10 @@
     rid = c.request(0, 4.0)
     [first] = sent(c, rid)
     assert c.balancer.reconfigure(c.now, replace(stated, classes=(OTHER,))) == []
-    left = next(row for row in ROWS if row.server != first)
-    c.members(ListKind.PATCH, [replace(row, state=State.DRAINING) for row in ROWS if row != left])
+    left = next(row for row in ROWS if row.id != first)
+    c.members(UpdateKind.DELTA, [replace(row, status=EndpointStatus.DRAINING) for row in ROWS if row != left])
     [again] = outcome(c, rid, Outcome.TIMEOUT)
-    assert isinstance(again, Send) and again.server == left.server
+    assert isinstance(again, StartAttempt) and again.endpoint == left.id
 
 
 @pytest.mark.parametrize(("before", "after", "tries"), [(4, 2, 2), (2, 4, 2), (4, 4, 4)])
@@ -139,18 +145,18 @@
     c = checker(replace(BASE, limits=Limits(cancel=before)))
     rid = c.request(0, 4.0)
     c.balancer.reconfigure(c.now, replace(BASE, limits=Limits(cancel=after)))
-    assert c.balancer.gone(c.now, rid) == [Cancel(rid, 0)] * (before and after)
+    assert c.balancer.on_client_disconnected(c.now, rid) == [CancelAttempt(rid, 0)] * (before and after)
 
 
-def copy_due() -> tuple[Balancer, Timer]:
+def copy_due() -> tuple[Balancer, SetTimer]:
     """A request that is out and late, and the timer of its second copy."""
-    b = Balancer(replace(BASE, limits=Limits(second_copies=True)), 1)
-    b.members(100.0, ListKind.STALE, ROWS)
+    b = Balancer(replace(BASE, limits=Limits(hedging=True)), 1)
+    b.on_endpoints_updated(100.0, UpdateKind.CACHED, ROWS)
     for n in range(20):
-        b.request(100.0 + n, f"r{n}", 0, 0, 104.0 + n)
-        b.outcome(100.1 + n, f"r{n}", 0, Outcome.OK, 0.1, True)
-    _, timer = b.request(130.0, "late", 0, 0, 134.0)
-    assert isinstance(timer, Timer)
+        b.on_request(100.0 + n, f"r{n}", 0, 0, 104.0 + n)
+        b.on_attempt_finished(100.1 + n, f"r{n}", 0, Outcome.SUCCESS, 0.1, True)
+    _, timer = b.on_request(130.0, "late", 0, 0, 134.0)
+    assert isinstance(timer, SetTimer)
     return b, timer
 
 
@@ -161,10 +167,12 @@
     if forbids == "limits":
         b.reconfigure(130.1, BASE)
     elif forbids == "class":
-        b.reconfigure(130.1, replace(allowed, classes=(replace(SAFE, repeat=Repeat.UNSAFE),)))
+        b.reconfigure(
+            130.1, replace(allowed, classes=(replace(SAFE, idempotency=Idempotency.NON_IDEMPOTENT),))
+        )
     else:
         b.reconfigure(130.1, replace(allowed, classes=(SAFE, OTHER)))
-    assert len(b.timer(timer.at, timer.token)) == (forbids == "nothing")
+    assert len(b.on_timer(timer.at, timer.token)) == (forbids == "nothing")
 
 
 # ---- what was learned -----------------------------------------------------------------------
@@ -184,7 +192,7 @@
         rid = c.request(kind, 4.0)
         c.advance(after)
         for number in [n for r, n in c.open_tries() if r == rid]:
-            c.end(rid, number, Outcome.OK)
+            c.end(rid, number, Outcome.SUCCESS)
 
 
 def test_equal_settings_change_nothing() -> None:
@@ -207,7 +215,7 @@
     answer_all(c, 1, 0.3)
     before = learned(c)
     assert before["safe"][0] < before["once"][0]
-    c.reconfigure(replace(BASE, classes=(OTHER, replace(ONCE, aim=3.0), SAFE)))
+    c.reconfigure(replace(BASE, classes=(OTHER, replace(ONCE, latency_objective=3.0), SAFE)))
     after = learned(c)
     assert after["safe"] == before["safe"] and after["once"] == before["once"]
     assert after["other"] == (0.0, 0, 0, 0)
@@ -221,7 +229,7 @@
     c.reconfigure(replace(BASE, classes=(SAFE, ONCE)))
     before, mean = learned(c), c.balancer.mean
     c.advance(0.5)
-    c.end(rid, 0, Outcome.OK)
+    c.end(rid, 0, Outcome.SUCCESS)
     assert learned(c) == before and c.balancer.mean == mean
 
 
@@ -235,8 +243,8 @@
 
 
 def test_servers_stay_what_they_are() -> None:
-    c = checker(replace(BASE, rules=RULES), [*ROWS[:5], ServerRow(9, started=99.0)])
-    c.members(ListKind.PATCH, [replace(ROWS[0], state=State.DRAINING)])
+    c = checker(replace(BASE, rules=RULES), [*ROWS[:5], Endpoint(9, started=99.0)])
+    c.members(UpdateKind.DELTA, [replace(ROWS[0], status=EndpointStatus.DRAINING)])
     for _ in range(60):
         c.request(0, 4.0)
         c.advance(0.05)
@@ -244,7 +252,7 @@
     breakers = {server: entry.breaker for server, entry in c.balancer.servers.items()}
     credit = known.cold_credit
     assert known.cold_seen > 0.0
-    c.reconfigure(replace(BASE, rules=RULES, classes=(OTHER,), balancers=2))
+    c.reconfigure(replace(BASE, rules=RULES, classes=(OTHER,), fleet_size=2))
     assert {server: entry.breaker for server, entry in c.balancer.servers.items()} == breakers
     assert known.cold_credit == credit
     for _ in range(60):  # the harness sees to it that none goes to the one that drains
@@ -253,14 +261,14 @@
 
 @pytest.mark.parametrize("me", [0, 3, 6])
 def test_another_size_of_the_fleet_moves_the_subset(me: int) -> None:
-    rows = [ServerRow(i) for i in range(40)]
-    c = checker(replace(BASE, balancers=2, me=1), rows)
-    resized = replace(BASE, balancers=7, me=me)
+    rows = [Endpoint(i) for i in range(40)]
+    c = checker(replace(BASE, fleet_size=2, ordinal=1), rows)
+    resized = replace(BASE, fleet_size=7, ordinal=me)
     c.reconfigure(resized)
     anew = checker(resized, rows).balancer
 
     def subset_of(b: Balancer) -> list[int]:
-        return [server.row.server for server in b.pools[0].subset]
+        return [server.row.id for server in b.pools[0].subset]
 
     assert subset_of(c.balancer) == subset_of(anew)
     assert (c.balancer.crowd, c.balancer.alone) == (anew.crowd, anew.alone)
@@ -268,11 +276,11 @@
 
 # ---- pools --------------------------------------------------------------------------------------
 
-BOUND = RequestClass("bound", 1.0, 4.0, Repeat.SAFE, only_zones=(0,))
+BOUND = RequestClass("bound", 1.0, 4.0, Idempotency.IDEMPOTENT, allowed_zones=(0,))
 
 
 def test_a_pool_stays_with_its_classes_and_goes_to_no_others() -> None:
-    bound = Settings(classes=(SAFE, BOUND), zones=2)
+    bound = Settings(classes=(SAFE, BOUND), zone_count=2)
     c = checker(bound)
     rid = c.request(1, 4.0)
     free, zoned = c.balancer.pool_of
@@ -281,23 +289,25 @@
     c.reconfigure(replace(bound, classes=(replace(BOUND, name="another"), SAFE)))
     another = c.balancer.pool_of[0]
     assert another is not zoned and another.owed == 0 and zoned.owed == 1
-    c.end(rid, 0, Outcome.OK)
+    c.end(rid, 0, Outcome.SUCCESS)
     assert zoned.owed == 0 and another.owed == 0
     c.reconfigure(bound)
     assert zoned not in c.balancer.pools  # nothing holds it any more
 
 
 def test_a_further_attempt_goes_where_both_readings_allow_it() -> None:
-    c = checker(Settings(classes=(BOUND,), zones=2))
+    c = checker(Settings(classes=(BOUND,), zone_count=2))
     rids = [c.request(0, 4.0) for _ in range(3)]
-    one = next(row.server for row in ROWS if row.zone == 0 and row.server not in sent(c, rids[0]))
-    c.members(ListKind.PATCH, [replace(row, kind=1) for row in ROWS if row.server == one])
-    c.reconfigure(Settings(classes=(replace(BOUND, only_zones=None, only_kinds=(1,)),), zones=2))
+    one = next(row.id for row in ROWS if row.zone == 0 and row.id not in sent(c, rids[0]))
+    c.members(UpdateKind.DELTA, [replace(row, machine_type=1) for row in ROWS if row.id == one])
+    c.reconfigure(
+        Settings(classes=(replace(BOUND, allowed_zones=None, allowed_machine_types=(1,)),), zone_count=2)
+    )
     assert len(c.balancer.pools) == 2  # one for all that were narrowed alike
     assert sum(pool.owed for pool in c.balancer.pools) == 3
-    misplaced = c.balancer.misplaced()
-    assert misplaced == [(rid, 0) for rid in rids if sent(c, rid) != [one]]
-    c.end(rids[0], 0, Outcome.VOID)
+    misplaced_attempts = c.balancer.misplaced_attempts()
+    assert misplaced_attempts == [(rid, 0) for rid in rids if sent(c, rid) != [one]]
+    c.end(rids[0], 0, Outcome.NOT_SENT)
     assert sent(c, rids[0])[1:] == [one]
 
 
@@ -308,11 +318,12 @@
         names = (f"a{n}", f"b{n}")
         c.reconfigure(
             Settings(
-                classes=tuple(replace(SAFE, name=name, only_zones=(n % 2, 5 + n)) for name in names), zones=2
+                classes=tuple(replace(SAFE, name=name, allowed_zones=(n % 2, 5 + n)) for name in names),
+                zone_count=2,
             )
         )
         for rid, number in c.open_tries():
-            c.end(rid, number, Outcome.OK)
+            c.end(rid, number, Outcome.SUCCESS)
     assert not c.balancer.requests and len(c.balancer.pools) <= 2
     assert len(c.balancer.lengths) == 2
 
@@ -350,7 +361,7 @@
 
 def test_a_smaller_share_holds_at_once() -> None:
     b = Balancer(SHARED, 1)
-    b.reconfigure(100.0, replace(SHARED, balancers=10))
+    b.reconfigure(100.0, replace(SHARED, fleet_size=10))
     assert within(b, 100.0, 0) == 6
 
 
@@ -361,7 +372,7 @@
     assert within(b, 100.0, 0) == 51
 
 
-LATER = Settings(classes=(SAFE,), tier=1, tiers=2)  # a tier that takes whatever comes
+LATER = Settings(classes=(SAFE,), tier=1, tier_count=2)  # a tier that takes whatever comes
 
 
 def spend(c: Checker, requests: int) -> int:
@@ -373,23 +384,23 @@
 
 
 def test_a_swap_does_not_refill_the_retry_budget() -> None:
-    rows = [ServerRow(i) for i in range(40)]
-    stated = replace(BUDGETED, extra_free=6.0, extra_share=0.0, extra_span=5.0)
+    rows = [Endpoint(i) for i in range(40)]
+    stated = replace(BUDGETED, retry_budget_floor=6.0, retry_budget_ratio=0.0, retry_budget_window=5.0)
     c = checker(replace(LATER, rules=stated), rows)
     assert spend(c, 20) == 6
     for swap in range(3):
-        c.reconfigure(replace(LATER, rules=replace(stated, cold_for=float(swap))))
+        c.reconfigure(replace(LATER, rules=replace(stated, warmup_duration=float(swap))))
         assert spend(c, 5) == 0
-    c.reconfigure(replace(LATER, rules=replace(stated, extra_free=8.0)))
+    c.reconfigure(replace(LATER, rules=replace(stated, retry_budget_floor=8.0)))
     assert spend(c, 5) == 2
 
 
 def test_a_budget_that_is_stated_counts_what_was_spent_before() -> None:
-    rows = [ServerRow(i) for i in range(40)]
+    rows = [Endpoint(i) for i in range(40)]
     c = checker(replace(LATER, rules=RULES), rows)
     spent = spend(c, 20)
     assert spent > 5
-    stated = replace(RULES, extra_free=spent + 1.0, extra_span=9.0)
+    stated = replace(RULES, retry_budget_floor=spent + 1.0, retry_budget_window=9.0)
     c.reconfigure(replace(LATER, rules=stated))
     assert spend(c, 5) == 1
     c.reconfigure(replace(LATER, rules=RULES))  # stated no more
@@ -399,21 +410,21 @@
 
 def test_a_budget_that_is_stated_counts_copies_that_went_out_before() -> None:
     b, timer = copy_due()
-    [copy] = b.timer(timer.at, timer.token)
-    assert isinstance(copy, Send)
-    rules = replace(RULES, extra_free=1.0, extra_span=9.0)
+    [copy] = b.on_timer(timer.at, timer.token)
+    assert isinstance(copy, StartAttempt)
+    rules = replace(RULES, retry_budget_floor=1.0, retry_budget_window=9.0)
     b.reconfigure(timer.at, replace(b.settings, rules=rules))
     assert not b.budget.allows(timer.at)
 
 
 def test_a_longer_span_counts_what_is_not_remembered() -> None:
-    rows = [ServerRow(i) for i in range(40)]
-    short = replace(RULES, extra_free=2.0, extra_span=1.0)
+    rows = [Endpoint(i) for i in range(40)]
+    short = replace(RULES, retry_budget_floor=2.0, retry_budget_window=1.0)
     c = checker(replace(LATER, rules=short), rows)
     assert spend(c, 5) == 2
     c.advance(3.0)
     assert spend(c, 5) == 2
-    c.reconfigure(replace(LATER, rules=replace(short, extra_free=4.0, extra_span=8.0)))
+    c.reconfigure(replace(LATER, rules=replace(short, retry_budget_floor=4.0, retry_budget_window=8.0)))
     assert spend(c, 5) == 0
     c.advance(5.5)
     assert spend(c, 5) == 2  # the first two have left the span
@@ -423,7 +434,7 @@
 
 BAD: list[tuple[str, Settings]] = [
     ("classes", replace(BASE, classes=())),
-    (r"classes\[0\].aim", replace(BASE, classes=(replace(SAFE, aim=10**400),))),
+    (r"classes\[0\].latency_objective", replace(BASE, classes=(replace(SAFE, latency_objective=10**400),))),
     (r"classes\[0\].streaming", replace(BASE, classes=(replace(SAFE, streaming="no"),))),  # type: ignore
     (r"classes\[0\].name", replace(BASE, classes=(replace(SAFE, name=7),))),  # type: ignore[arg-type]
     ("classes", replace(BASE, classes=(SAFE, SAFE))),
@@ -431,11 +442,11 @@
     (r"tenants\[0\].quota", replace(BASE, tenants=(Tenant("a", 0.1, float("nan")),))),
     ("limits.max_attempts", replace(BASE, limits=Limits(max_attempts=0))),
     ("limits.cancel", replace(BASE, limits=Limits(cancel=1))),  # type: ignore[arg-type]
-    ("rules.cold_for", replace(BASE, rules=replace(RULES, cold_for=float("inf")))),
-    ("balancers", replace(BASE, balancers=1 << 60)),
-    ("me", replace(BASE, balancers=2, me=2)),
-    ("tier", replace(BASE, tier=1, tiers=2)),
-    ("discovery", replace(BASE, discovery=Discovery.ON_REQUEST)),
+    ("rules.warmup_duration", replace(BASE, rules=replace(RULES, warmup_duration=float("inf")))),
+    ("fleet_size", replace(BASE, fleet_size=1 << 60)),
+    ("ordinal", replace(BASE, fleet_size=2, ordinal=2)),
+    ("tier", replace(BASE, tier=1, tier_count=2)),
+    ("discovery", replace(BASE, discovery=DiscoveryMode.POLLED)),
 ]
 
 
@@ -468,22 +479,29 @@
         missing = [row for row in KINDS if row.name not in {r.name for r in rows}]
         rows[n:n] = missing[:1]
     elif what == 3:
-        rows[n] = replace(rows[n], repeat=list(Repeat)[b % 3])
+        rows[n] = replace(rows[n], idempotency=list(Idempotency)[b % 3])
     elif what == 4:
-        rows[n] = replace(rows[n], group=list(Group)[b % 3], window=0.2 + b)
+        rows[n] = replace(
+            rows[n], deduplication_scope=list(DeduplicationScope)[b % 3], deduplication_window=0.2 + b
+        )
     elif what == 5:
-        rows[n] = replace(rows[n], only_zones=(None, (0,), (1,), (0, 1))[b])
+        rows[n] = replace(rows[n], allowed_zones=(None, (0,), (1,), (0, 1))[b])
     elif what == 6:
-        rows[n] = replace(rows[n], only_kinds=(None, (0,), (1, 2), (9,))[b])
+        rows[n] = replace(rows[n], allowed_machine_types=(None, (0,), (1, 2), (9,))[b])
     elif what == 7:
-        return replace(stated, balancers=1 + 3 * a, me=b % (1 + 3 * a))
+        return replace(stated, fleet_size=1 + 3 * a, ordinal=b % (1 + 3 * a))
     elif what == 8:
-        limits = Limits(cancel=bool(a & 1), second_copies=bool(a & 2), max_attempts=1 + b)
+        limits = Limits(cancel=bool(a & 1), hedging=bool(a & 2), max_attempts=1 + b)
         return replace(stated, limits=limits)
     elif what == 9:
         return replace(
             stated,
-            rules=(RULES, BUDGETED, replace(BUDGETED, extra_span=4.0), replace(BUDGETED, extra_free=0.0))[b],
+            rules=(
+                RULES,
+                BUDGETED,
+                replace(BUDGETED, retry_budget_window=4.0),
+                replace(BUDGETED, retry_budget_floor=0.0),
+            )[b],
         )
     elif what == 10:
         tenants = (Tenant("b", 0.4, 3.0 * a), Tenant("a", 0.6, 5.0), Tenant("c"))
@@ -502,17 +520,17 @@
     stated = Settings(
         classes=KINDS,
         tenants=(Tenant("a", 0.6, 5.0), Tenant("b", 0.4, 3.0)),
-        zones=2,
+        zone_count=2,
         rules=RULES,
-        balancers=3,
-        me=seed % 3,
+        fleet_size=3,
+        ordinal=seed % 3,
         tier=seed % 2,
-        tiers=2,
-        over_share_worth=0.1,
-        discovery=Discovery.ON_REQUEST if asks else Discovery.PUSHED,
-        limits=Limits(cancel=True, second_copies=True, max_attempts=4),
+        tier_count=2,
+        over_quota_weight=0.1,
+        discovery=DiscoveryMode.POLLED if asks else DiscoveryMode.PUSHED,
+        limits=Limits(cancel=True, hedging=True, max_attempts=4),
     )
-    rows = [ServerRow(1000 + i, State.UP, i % 2, i // 3, kind=i % 3) for i in range(servers)]
+    rows = [Endpoint(1000 + i, EndpointStatus.UP, i % 2, i // 3, machine_type=i % 3) for i in range(servers)]
     c = Checker(stated, seed, rows)
     for taken in steps:
         if taken[0] == 10:
@@ -544,14 +562,17 @@
     monkeypatch: pytest.MonkeyPatch, first: int, now: str, message: str
 ) -> None:
     later = {
-        "later": (replace(SAFE, repeat=Repeat.UNSAFE), replace(ONCE, repeat=Repeat.SAFE)),
-        "places": (replace(SAFE, only_zones=(1,)), ONCE),
+        "later": (
+            replace(SAFE, idempotency=Idempotency.NON_IDEMPOTENT),
+            replace(ONCE, idempotency=Idempotency.IDEMPOTENT),
+        ),
+        "places": (replace(SAFE, allowed_zones=(1,)), ONCE),
     }[now]
     # What a module does that keeps to the class as admitted, or to the one in force.
     wrong = (lambda admitted, stated: admitted) if first == 0 else (lambda admitted, stated: stated)
-    monkeypatch.setattr(decide, "strict_class", wrong)
+    monkeypatch.setattr(decide, "narrow_class", wrong)
     rows = [row for row in ROWS if row.zone == 0] if now == "places" else ROWS
-    c = checker(replace(BASE, limits=Limits(max_attempts=1 if first else 3), zones=2), rows)
+    c = checker(replace(BASE, limits=Limits(max_attempts=1 if first else 3), zone_count=2), rows)
     rid = c.request(first, 4.0)
     c.reconfigure(replace(c.settings, classes=later))
     with pytest.raises(AssertionError, match=message):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -37,7 +37,7 @@
 from test_server import ROOT, up_and_ready
 
 from balancer import decide
-from balancer.model import ListKind
+from balancer.endpoints import UpdateKind
 from proxy import upstream
 from proxy.__main__ import reload
 from proxy.config import load
@@ -262,7 +262,9 @@
                     for again in range(8):
                         number += 1
                         if again == 4:  # a list told from now on is read as the one before
-                            up.proxy._told(ListKind.PATCH, up.proxy._reader.endpoints({"endpoints": listed}))
+                            up.proxy._told(
+                                UpdateKind.DELTA, up.proxy._reader.endpoints({"endpoints": listed})
+                            )
                         assert status(await client.ask(read(number))) == 200
                         assert b"id%d\r\n" % number in await soon(got.got.get())
                         assert len(up.proxy._balancer.pool_of[0].ready) == 1
@@ -283,7 +285,7 @@
                 await until(lambda: gate.waiting == 1)
                 reader = up.proxy._reader
                 up.proxy._told(
-                    ListKind.PATCH,
+                    UpdateKind.DELTA,
                     reader.endpoints({"endpoints": [entry("b", two.address) | {"zone": "there"}]}),
                 )
                 up.reload(Services=[READ, BOOK | {"AllowedIn": [1]}])
@@ -353,12 +355,12 @@
 
                 return call
 
-            for name in ("_arrange", "members"):
+            for name in ("_arrange", "on_endpoints_updated"):
                 monkeypatch.setattr(decide.Balancer, name, counted(name))
-            before = [server.row.server for server in up.proxy._balancer.pools[0].subset]
+            before = [server.row.id for server in up.proxy._balancer.pools[0].subset]
             up.reload(**swap)
             assert done == ["_arrange"]
-            after = [server.row.server for server in up.proxy._balancer.pools[0].subset]
+            after = [server.row.id for server in up.proxy._balancer.pools[0].subset]
             assert (after != before) == ("Ordinal" in swap)
 
     asyncio.run(play())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,32 +12,44 @@
 from hypothesis import strategies as st
 
 from balancer import decide
-from balancer.model import (
-    Discovery,
-    Group,
+from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
+from balancer.events import Outcome, StartAttempt
+from balancer.settings import (
+    DeduplicationScope,
+    DiscoveryMode,
+    Idempotency,
     Limits,
-    ListKind,
-    Outcome,
-    Repeat,
     RequestClass,
     Rules,
-    Send,
-    ServerRow,
     Settings,
-    State,
     Tenant,
 )
 
-RULES = Rules(answer_slack=0.02, cold_from=0.14, cold_for=20.0, fall_multiple=3.0, fall_after=1.0)
-BUDGETED = replace(RULES, extra_free=1.0, extra_share=0.3, extra_span=1.5)
+RULES = Rules(
+    answer_slack=0.02,
+    warmup_initial_capacity=0.14,
+    warmup_duration=20.0,
+    overload_multiple=3.0,
+    overload_interval=1.0,
+)
+BUDGETED = replace(RULES, retry_budget_floor=1.0, retry_budget_ratio=0.3, retry_budget_window=1.5)
 KINDS = (
-    RequestClass("safe", 1.0, 3.0, Repeat.SAFE, Group.CELL, 1.5, 1.0, 0.3),
-    RequestClass("unsafe", 0.5, 3.0, Repeat.UNSAFE, Group.ALL, 1.5, 5.0),
-    RequestClass("keyed-all", 1.0, 3.0, Repeat.KEYED, Group.ALL, 1.5, 2.0),
-    RequestClass("keyed-zone", 1.0, 3.0, Repeat.KEYED, Group.ZONE, 1.5, 8.0, 0.5),
-    RequestClass("keyed-cell", 0.8, 3.0, Repeat.KEYED, Group.CELL, 1.5, 1.0),
-    RequestClass("bound-kind", 1.0, 3.0, Repeat.SAFE, only_kinds=(1,)),
-    RequestClass("bound-zone", 1.0, 3.0, Repeat.KEYED, Group.CELL, 1.5, only_kinds=(0, 1), only_zones=(0,)),
+    RequestClass("safe", 1.0, 3.0, Idempotency.IDEMPOTENT, DeduplicationScope.CELL, 1.5, 1.0, 0.3),
+    RequestClass("unsafe", 0.5, 3.0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 1.5, 5.0),
+    RequestClass("keyed-all", 1.0, 3.0, Idempotency.KEYED, DeduplicationScope.ALL, 1.5, 2.0),
+    RequestClass("keyed-zone", 1.0, 3.0, Idempotency.KEYED, DeduplicationScope.ZONE, 1.5, 8.0, 0.5),
+    RequestClass("keyed-cell", 0.8, 3.0, Idempotency.KEYED, DeduplicationScope.CELL, 1.5, 1.0),
+    RequestClass("bound-kind", 1.0, 3.0, Idempotency.IDEMPOTENT, allowed_machine_types=(1,)),
+    RequestClass(
+        "bound-zone",
+        1.0,
+        3.0,
+        Idempotency.KEYED,
+        DeduplicationScope.CELL,
+        1.5,
+        allowed_machine_types=(0, 1),
+        allowed_zones=(0,),
+    ),
 )
 OUTCOMES = [o for o in Outcome if o is not Outcome.CANCELLED]
 step = st.tuples(st.integers(0, 9), st.integers(0, 10_000), st.integers(0, 10_000))
@@ -56,15 +68,15 @@
             if not rows:
                 continue
             row = rows[a % len(rows)]
-            state = (State.UP, State.DRAINING, State.GONE)[b % 3]
-            started = checker.now - 0.5 if state is State.UP and b % 2 else row.started
-            kind = (ListKind.PATCH, ListKind.WHOLE, ListKind.BROKEN)[b // 3 % 3]
-            changed = replace(row, state=state, started=started)
-            if kind is ListKind.WHOLE:
-                rest = [r for r in rows if r.server != row.server and r.state is not State.GONE]
-                checker.members(kind, rest if state is State.GONE else [*rest, changed])
+            state = (EndpointStatus.UP, EndpointStatus.DRAINING, EndpointStatus.GONE)[b % 3]
+            started = checker.now - 0.5 if state is EndpointStatus.UP and b % 2 else row.started
+            kind = (UpdateKind.DELTA, UpdateKind.SNAPSHOT, UpdateKind.FAILED)[b // 3 % 3]
+            changed = replace(row, status=state, started=started)
+            if kind is UpdateKind.SNAPSHOT:
+                rest = [r for r in rows if r.id != row.id and r.status is not EndpointStatus.GONE]
+                checker.members(kind, rest if state is EndpointStatus.GONE else [*rest, changed])
             else:
-                checker.members(kind, [changed] if kind is ListKind.PATCH else [])
+                checker.members(kind, [changed] if kind is UpdateKind.DELTA else [])
         elif what == 8 and checker.owed:
             rid = list(checker.owed)[a % len(checker.owed)]
             numbers = [n for r, n in checker.open_tries() if r == rid]
@@ -97,17 +109,17 @@
     config = Settings(
         classes=KINDS,
         tenants=(Tenant("a", 0.6, 5.0), Tenant("b", 0.4, 3.0)),
-        zones=2,
+        zone_count=2,
         rules=rules,
-        balancers=3,
-        me=seed % 3,
+        fleet_size=3,
+        ordinal=seed % 3,
         tier=seed % 2,
-        tiers=2,
-        over_share_worth=0.1,
-        discovery=Discovery.ON_REQUEST if asks else Discovery.PUSHED,
-        limits=Limits(cancel=cancel, second_copies=second, max_attempts=attempts),
+        tier_count=2,
+        over_quota_weight=0.1,
+        discovery=DiscoveryMode.POLLED if asks else DiscoveryMode.PUSHED,
+        limits=Limits(cancel=cancel, hedging=second, max_attempts=attempts),
     )
-    rows = [ServerRow(1000 + i, State.UP, i % 2, i // 3, kind=i % 3) for i in range(servers)]
+    rows = [Endpoint(1000 + i, EndpointStatus.UP, i % 2, i // 3, machine_type=i % 3) for i in range(servers)]
     play(Checker(config, seed, rows), steps)
 
 
@@ -119,17 +131,17 @@
         checker.advance(1.0 / rate)
         for rid, number in checker.open_tries():
             if rng.random() < 0.3:
-                checker.end(rid, number, Outcome.OK)
+                checker.end(rid, number, Outcome.SUCCESS)
 
 
 def cold_push(seed: int) -> None:
     """A server restarts under a steady stream; asserts that it gets no more than it can do for certain."""
     config = Settings(classes=KINDS, rules=RULES)
-    rows = [ServerRow(i) for i in range(10)]
+    rows = [Endpoint(i) for i in range(10)]
     checker = Checker(config, seed, rows)
     rng = Random(seed)
     steady(checker, 5.0, 100.0, rng)
-    checker.members(ListKind.PATCH, [ServerRow(3, started=checker.now)])
+    checker.members(UpdateKind.DELTA, [Endpoint(3, started=checker.now)])
     begin = checker.now
     checker.sends.clear()
     steady(checker, 4.0, 100.0, rng)
@@ -154,8 +166,8 @@
 
 def test_a_module_that_ignores_drains_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def drained() -> None:
-        checker = Checker(Settings(classes=KINDS), 1, [ServerRow(1), ServerRow(2)])
-        checker.members(ListKind.PATCH, [ServerRow(1, State.DRAINING)])
+        checker = Checker(Settings(classes=KINDS), 1, [Endpoint(1), Endpoint(2)])
+        checker.members(UpdateKind.DELTA, [Endpoint(1, EndpointStatus.DRAINING)])
         for _ in range(20):
             checker.request(0, 3.0)
 
@@ -165,7 +177,7 @@
     def keep(self: decide.Balancer, now: float) -> None:
         told = {server: server.row for server in self.servers.values()}
         for server in told:
-            server.row = ServerRow(server.row.server)
+            server.row = Endpoint(server.row.id)
         arrange(self, now)
         for server, row in told.items():
             server.row = row
@@ -185,20 +197,20 @@
 
 def test_a_module_that_ignores_placement_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def bound() -> int:
-        rows = [ServerRow(i, zone=i % 2, kind=i % 3) for i in range(12)]
-        checker = Checker(Settings(classes=KINDS, zones=2, limits=Limits(max_attempts=4)), 1, rows)
+        rows = [Endpoint(i, zone=i % 2, machine_type=i % 3) for i in range(12)]
+        checker = Checker(Settings(classes=KINDS, zone_count=2, limits=Limits(max_attempts=4)), 1, rows)
         for n in range(40):
             fail_unseen(checker, 5 + n % 2, 4)
             checker.advance(0.5)
-        none_open = [replace(row, state=State.GONE) for row in rows if row.kind == 1]
-        checker.members(ListKind.PATCH, none_open)
+        none_open = [replace(row, status=EndpointStatus.GONE) for row in rows if row.machine_type == 1]
+        checker.members(UpdateKind.DELTA, none_open)
         before = sum(len(v) for v in checker.sends.values())
         checker.request(5, 3.0)
         assert sum(len(v) for v in checker.sends.values()) == before
         return before
 
     assert bound() > 15
-    monkeypatch.setattr(decide.Pool, "opens", lambda self, row: True)
+    monkeypatch.setattr(decide.EndpointPool, "opens", lambda self, row: True)
     with pytest.raises(AssertionError, match="not open to its class"):
         bound()
 
@@ -206,7 +218,7 @@
 def spend(stated: bool) -> int:
     """Every attempt fails unseen; returns how many further attempts were sent in 20 s."""
     rules = BUDGETED if stated else RULES
-    checker = Checker(Settings(classes=KINDS, rules=rules), 1, [ServerRow(i) for i in range(40)])
+    checker = Checker(Settings(classes=KINDS, rules=rules), 1, [Endpoint(i) for i in range(40)])
     for _ in range(200):
         fail_unseen(checker, 0, 3)
         checker.advance(0.1)
@@ -219,25 +231,25 @@
 
 
 def test_a_module_that_ignores_the_budget_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(decide.Budget, "allows", lambda self, now: True)
+    monkeypatch.setattr(decide.RetryBudget, "allows", lambda self, now: True)
     with pytest.raises(AssertionError, match="beyond the attempt budget"):
         spend(True)
 
 
 def test_the_checker_covers_copies_and_streams() -> None:
-    checker = Checker(Settings(classes=KINDS), 1, [ServerRow(1), ServerRow(2)])
+    checker = Checker(Settings(classes=KINDS), 1, [Endpoint(1), Endpoint(2)])
     rid = checker.request(0, 3.0)
     with pytest.raises(AssertionError, match="second copy"):
-        checker.apply([Send(rid, 2)])
+        checker.apply([StartAttempt(rid, 2)])
     checker.begin(rid, 0)
     checker.advance(20.0)  # a begun stream knows no deadline...
     with pytest.raises(AssertionError, match="after its stream began"):
-        checker.apply([Send(rid, 2)])
+        checker.apply([StartAttempt(rid, 2)])
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_all_cold_at_once(seed: int) -> None:
-    rows = [ServerRow(i, started=100.0) for i in range(10)]
+    rows = [Endpoint(i, started=100.0) for i in range(10)]
     checker = Checker(Settings(classes=KINDS, rules=RULES), seed, rows)
     steady(checker, 3.0, 200.0, Random(seed))
     sent = sum(len(v) for v in checker.sends.values())
@@ -248,9 +260,11 @@
 def test_a_broken_module_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     """The checker fails for a module that ignores the repeat rules, and for one that never answers."""
     steps = [(0, 1, 250), (4, 0, 1), (0, 4, 250), (4, 0, 1), (0, 3, 250), (4, 0, 1)] * 12
-    rows = [ServerRow(1000 + i, State.UP, i % 2, i // 3) for i in range(9)]
+    rows = [Endpoint(1000 + i, EndpointStatus.UP, i % 2, i // 3) for i in range(9)]
     tenants = (Tenant("a"), Tenant("b"))
-    config = Settings(classes=KINDS, zones=2, rules=RULES, limits=Limits(max_attempts=4), tenants=tenants)
+    config = Settings(
+        classes=KINDS, zone_count=2, rules=RULES, limits=Limits(max_attempts=4), tenants=tenants
+    )
     play(Checker(config, 1, rows), steps)
     with monkeypatch.context() as patch:
         patch.setattr(decide.Balancer, "_among", lambda self, now, request: self.pool_of[request.kind].ready)
--- a/tests/test_adapter.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter as a process, on conversations written here."""
+"""The simulator's process, on conversations written here."""
 
 from __future__ import annotations
 
@@ -11,9 +11,11 @@
 
 import pytest
 
-from balancer import adapter
 from balancer.decide import Balancer
-from balancer.model import Discovery, Outcome, Repeat
+from balancer.events import Outcome
+from balancer.settings import DiscoveryMode, Idempotency
+from balancer.settings_reader import read_settings
+from balancer.simulator.session import Session
 
 ROOT = Path(__file__).parent.parent
 Message = dict[str, Any]
@@ -54,7 +56,7 @@
 
 def converse(text: str, **env: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "balancer.adapter"],
+        [sys.executable, "-m", "balancer.simulator"],
         input=text,
         capture_output=True,
         text=True,
@@ -187,12 +189,12 @@
 def test_an_exception_in_a_decision_bails_out() -> None:
     bad = [{"m": "Call", "ProxyId": 0, "Ref": "a", "Kind": 9, "Deadline": 3.0}]
     [_, [message]] = replies(batch(1.0, opened(0)) + batch(2.0, bad))
-    assert message["m"] == "BailOut" and message["NoteText"].startswith("ValueError: kind")
+    assert message["m"] == "BailOut" and message["NoteText"].startswith("InvalidValueError: class_index")
 
 
 def test_a_reader_that_is_gone_ends_it_quietly() -> None:
     process = subprocess.Popen(
-        [sys.executable, "-m", "balancer.adapter"],
+        [sys.executable, "-m", "balancer.simulator"],
         cwd=ROOT,
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
@@ -211,7 +213,7 @@
 
 
 def test_settings_of_the_wire() -> None:
-    settings = adapter.read_settings(
+    settings = read_settings(
         {
             **SETTINGS,
             "RegistryMode": "on_request",
@@ -221,12 +223,15 @@
             "ClientHabits": {"MarksRetry": True},
         }
     )
-    assert settings.classes[1].repeat is Repeat.UNSAFE and settings.classes[1].worth == 5.0
-    assert settings.discovery is Discovery.ON_REQUEST
-    assert settings.marks_retry
-    assert not settings.passes_deadline and settings.limits.max_attempts == 3
+    assert (
+        settings.classes[1].idempotency is Idempotency.NON_IDEMPOTENT
+        and settings.classes[1].priority_weight == 5.0
+    )
+    assert settings.discovery is DiscoveryMode.POLLED
+    assert settings.clients_mark_retries
+    assert not settings.propagates_deadline and settings.limits.max_attempts == 3
     assert settings.limits.retry_after and settings.limits.max_retry_after == 2.5
-    assert adapter.read_settings({}).classes, "absent keys take defaults"
+    assert read_settings({}).classes, "absent keys take defaults"
 
 
 def test_costs_reach_the_decisions_and_reports_do_no_harm(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -236,12 +241,12 @@
         seen.append(given)
         return []
 
-    for name in ("request", "outcome"):
+    for name in ("on_request", "on_attempt_finished"):
         monkeypatch.setattr(Balancer, name, note)
-    link = adapter.Link()
+    session = Session()
     for event in opened(0):
-        link.event(1.0, event)
-    link.event(2.0, {"m": "Call", "ProxyId": 0, "Ref": "a", "Deadline": 3.0, "Effort": 0.5, "Retry": True})
-    link.event(2.0, {"m": "Returned", "ProxyId": 0, "Ref": "a", "How": "success", "Telemetry": [3, 1]})
-    assert link.event(2.0, {"m": "PingResult", "ProxyId": 0, "Backend": 70, "How": "success"}) == []
-    assert seen[0][-2:] == (0.5, True) and seen[1][1:4] == ("a", 0, Outcome.OK)
+        session.read(event)(1.0)
+    session.read({"m": "Call", "ProxyId": 0, "Ref": "a", "Deadline": 3.0, "Effort": 0.5, "Retry": True})(2.0)
+    session.read({"m": "Returned", "ProxyId": 0, "Ref": "a", "How": "success", "Telemetry": [3, 1]})(2.0)
+    assert session.read({"m": "PingResult", "ProxyId": 0, "Backend": 70, "How": "success"})(2.0) == []
+    assert seen[0][-2:] == (0.5, True) and seen[1][1:4] == ("a", 0, Outcome.SUCCESS)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -9,9 +9,11 @@
 import pytest
 from loopback import HOST, WIRE, Clock, Running, entry, free_port, running
 
-from balancer.adapter import read_settings
 from balancer.decide import Balancer
-from balancer.model import Action, Discovery, ListKind, Rules, Settings, Subscribe, Timer
+from balancer.endpoints import UpdateKind
+from balancer.events import Action, PollEndpoints, SetTimer
+from balancer.settings import DiscoveryMode, Rules, Settings
+from balancer.settings_reader import read_settings
 
 COUNTS = 6.0  # seconds after discovery had a change, and could be reached, at which it counts as told
 STEP = 0.05
@@ -173,18 +175,18 @@
 @pytest.mark.parametrize("ask_within", [0.5, 2.0, 10.0, 60.0])
 def test_the_module_asks_twice_in_any_span_in_which_a_change_comes_to_count(ask_within: float) -> None:
     for seed in range(50):
-        rules = Rules(ask_within=ask_within)
-        balancer = Balancer(Settings(discovery=Discovery.ON_REQUEST, rules=rules), seed)
+        rules = Rules(poll_interval=ask_within)
+        balancer = Balancer(Settings(discovery=DiscoveryMode.POLLED, rules=rules), seed)
         now = _asks(balancer, 100.0, balancer.start(100.0))
         for _ in range(12):
-            now = _asks(balancer, now, balancer.members(now, ListKind.BROKEN, []))
+            now = _asks(balancer, now, balancer.on_endpoints_updated(now, UpdateKind.FAILED, []))
 
 
 def _asks(balancer: Balancer, now: float, actions: list[Action]) -> float:
     """When the module calls discovery again, which is soon enough for another call."""
     [timer] = actions
-    assert isinstance(timer, Timer) and timer.at - now <= COUNTS / 2.0
-    assert balancer.timer(timer.at, timer.token) == [Subscribe()]
+    assert isinstance(timer, SetTimer) and timer.at - now <= COUNTS / 2.0
+    assert balancer.on_timer(timer.at, timer.token) == [PollEndpoints()]
     return timer.at
 
 
