--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -32,4 +32,4 @@
 
 def test_the_module_names_its_interface_at_the_top() -> None:
     head = (ROOT / POLICY[0]).read_text().splitlines()[:5]
-    assert re.search(r"balancer/model\.py", "\n".join(head))
+    assert re.search(r"balancer/settings\.py", "\n".join(head))
