--- a/proxy/downstream/request_parser.py
+++ b/proxy/downstream/request_parser.py
@@ -7,10 +7,10 @@
 
 import httptools
 
-from proxy.upstream.connection_pool import BODY_MOST, HOP_BY_HOP
+from proxy.http_common import HOP_BY_HOP_HEADERS, MAX_BODY_BYTES
 
 HEAD_MOST = 16 << 10  # bytes of a request's head: what backends commonly read
-WIRE_MOST = 8 * BODY_MOST  # bytes of a request on the wire: the smallest chunks take six times the body
+WIRE_MOST = 8 * MAX_BODY_BYTES  # bytes of a request on the wire: the smallest chunks take six times the body
 VERSIONS = ("1.1", "1.0")
 NAMED = frozenset(
     {
@@ -87,7 +87,7 @@
 
     def held(self) -> int:
         """Bytes of the body of a request that is not whole."""
-        return min(self._size, BODY_MOST) if self.reading else 0
+        return min(self._size, MAX_BODY_BYTES) if self.reading else 0
 
     def _reject(self, status: int, reason: str) -> None:
         if self.fault is None:
@@ -133,13 +133,13 @@
             self._headers[lower] = value
         elif lower == b"connection":
             self._connection += b"," + value.lower()
-        elif lower == b"content-length" and int(value) > BODY_MOST:
+        elif lower == b"content-length" and int(value) > MAX_BODY_BYTES:
             self._reject(413, "the body is too large")
         elif lower == b"transfer-encoding" and value.lower() != b"chunked":
             # Guards against a body that others end elsewhere.
             self._reject(400, "the transfer coding is unknown")
         # Guards, by the last, against a backend that takes `_` for `-` and reads a header not checked here.
-        if lower != b"x-timeout" and lower not in HOP_BY_HOP and b"_" not in lower:
+        if lower != b"x-timeout" and lower not in HOP_BY_HOP_HEADERS and b"_" not in lower:
             self._lines.append(b"%b: %b\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
@@ -164,7 +164,7 @@
     def on_body(self, body: bytes) -> None:
         """Parser callback: a piece of the body."""
         self._size += len(body)
-        if self._size <= BODY_MOST:
+        if self._size <= MAX_BODY_BYTES:
             self._body.append(body)
         else:
             self._reject(413, "the body is too large")
--- a/proxy/upstream/connection_pool.py
+++ b/proxy/upstream/connection_pool.py
@@ -13,8 +13,8 @@
 
 from balancer.events import Outcome
 from proxy.config import Address
+from proxy.http_common import HOP_BY_HOP_HEADERS
 
-BODY_MOST = 64 << 10  # bytes of a request's body, by the protocol
 ANSWER_MOST = 1 << 20  # bytes of an answer: not all keep to the 64 KiB of the protocol, 350 KB were seen
 HELD_PART = 0.125  # of the memory limit, for answers that are not whole: many large ones could fill it
 HEAD_MOST = 16 << 10  # bytes of an answer's head, 1xx ones ahead of it included: what callers commonly read
@@ -33,19 +33,6 @@
 PROOF = 5.0  # ...or as long as so many that had been idle for as long, or longer, were used again and held
 REST = 0.01  # seconds after an answer in which something may come behind it: a second one, or a close
 STALL = 0.1  # seconds between two pieces of an answer: it comes in one go, and a second try needs about 0.2
-HOP_BY_HOP = frozenset(
-    {
-        b"connection",
-        b"keep-alive",
-        b"proxy-connection",
-        b"te",
-        b"trailer",
-        b"transfer-encoding",
-        b"upgrade",
-        b"content-length",
-        b"expect",
-    }
-)
 
 
 @dataclass(slots=True)
@@ -339,7 +326,7 @@
         elif lower == b"transfer-encoding":
             self._spoilt = value.lower() != b"chunked"
         # A load report is for the proxy, and what is no plain text may be more than a caller can read.
-        elif lower not in HOP_BY_HOP and lower != b"x-server-load" and value.isascii():
+        elif lower not in HOP_BY_HOP_HEADERS and lower != b"x-server-load" and value.isascii():
             self._head.append(b"%b: %b\r\n" % (name, value))
         self._spoilt = self._spoilt or self._size > HEAD_MOST
 
