--- a/emulator/__main__.py
+++ b/emulator/__main__.py
@@ -17,11 +17,11 @@
 from emulator.budgets import check
 from emulator.result import RESULTS, ROOT
 from emulator.runs import fleet, hollow, settings, slopes
-from emulator.runs.common import Done, Options, bounded, say
+from emulator.runs.common import RunOptions, RunResult, report_progress, time_limit
 
 ADDED = "added"
 LONGEST, LONGEST_QUICK = 300, 60  # seconds that one run may take
-RUNS: dict[str, Callable[[Options], Done]] = {
+RUNS: dict[str, Callable[[RunOptions], RunResult]] = {
     "slopes": slopes.run,
     "hollow": hollow.run,
     "fleet": fleet.run,
@@ -64,18 +64,18 @@
     return 1 if verdict.broken else 0
 
 
-def _bounded(run: Callable[[Options], Done], given: Options) -> Done:
+def _bounded(run: Callable[[RunOptions], RunResult], given: RunOptions) -> RunResult:
     """One run, in the time that it has."""
-    with bounded(LONGEST_QUICK if given.quick else LONGEST):
+    with time_limit(LONGEST_QUICK if given.quick else LONGEST):
         return run(given)
 
 
-def _command(name: str, run: Callable[[Options], Done]) -> click.Command:
+def _command(name: str, run: Callable[[RunOptions], RunResult]) -> click.Command:
     @click.command(name, help=(run.__doc__ or name).partition("\n")[0])
     @options
     def command(seed: int, out: Path, quick: bool, program: Path = ROOT) -> None:
-        done = _bounded(run, Options(seed, out, quick, program))
-        say(name, f"result in {done.path}")
+        done = _bounded(run, RunOptions(seed, out, quick, program))
+        report_progress(name, f"result in {done.path}")
         sys.exit(_report(done.figures))
 
     if name in OTHER_PROGRAM:
@@ -96,23 +96,23 @@
 @options
 def run_all(seed: int, out: Path, quick: bool) -> None:
     """Every run; exits 1 where a budget that is said to be held is over."""
-    given = Options(seed, out, quick)
+    given = RunOptions(seed, out, quick)
     figures: dict[str, float] = {}
     for name, run in RUNS.items():
-        say(name, "begins")
+        report_progress(name, "begins")
         figures |= _bounded(run, given).figures
-    say(ADDED, "begins")
+    report_progress(ADDED, "begins")
     figures |= _added(given)
     sys.exit(_report(figures))
 
 
-def _added(given: Options) -> dict[str, float]:
+def _added(given: RunOptions) -> dict[str, float]:
     """The run of real processes under calls, by its command; the figures of its result.
 
     OSError where it wrote none, whatever an earlier one left.
     """
     words = ["--seed", str(given.seed), "--out", str(given.out), *(["--quick"] if given.quick else [])]
-    path = given.out / f"{given.name(ADDED)}.json"
+    path = given.out / f"{given.result_name(ADDED)}.json"
     path.unlink(missing_ok=True)
     with contextlib.suppress(SystemExit):  # what it says of itself shows in its result
         cli.commands[ADDED].main(words, ADDED, standalone_mode=False)
--- a/emulator/added.py
+++ b/emulator/added.py
@@ -26,7 +26,7 @@
 
 from emulator.backend import HOST, port_of
 from emulator.caller import Plan, Stream, histogram, plan_line
-from emulator.result import RESULTS, write
+from emulator.result import RESULTS, write_result
 from emulator.runs.common import free_ports
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -514,5 +514,5 @@
         "trials": figures,
         "figures": budgeted(figures),
     }
-    path = write("added-quick" if quick else "added", seed, body, out)
+    path = write_result("added-quick" if quick else "added", seed, body, out)
     click.echo(f"added: {path}")
--- a/emulator/result.py
+++ b/emulator/result.py
@@ -66,7 +66,7 @@
         return "unknown"
 
 
-def write(name: str, seed: int, body: dict[str, Any], out: Path) -> Path:
+def write_result(name: str, seed: int, body: dict[str, Any], out: Path) -> Path:
     """Write `out`/`name`.json and return its path; OSError where that can't be written.
 
     `body` holds what the run measured: plain values, lists and dicts. Its key `figures`, if any, maps the
@@ -74,7 +74,7 @@
     """
     out.mkdir(parents=True, exist_ok=True)
     path = out / f"{name}.json"
-    whole = {
+    result = {
         "run": name,
         "seed": seed,
         "written": datetime.now(UTC).isoformat(timespec="seconds"),
@@ -82,5 +82,5 @@
         "versions": versions(),
         **body,
     }
-    path.write_text(json.dumps(whole, indent=1) + "\n", encoding="utf-8")
+    path.write_text(json.dumps(result, indent=1) + "\n", encoding="utf-8")
     return path
--- /dev/null
+++ b/emulator/runs/endpoint_changes.py
@@ -0,0 +1,50 @@
+"""Changes of an endpoint list: the list as it stands, and the entry of each next change.
+
+Nothing is sent here: the runs hand the entries to the registry.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Sequence
+from typing import Any
+
+import numpy as np
+
+from emulator.topology import Entry
+
+
+class EndpointChanges:
+    """An endpoint list in discovery's form; each method changes one entry and returns it as it is now.
+
+    An endpoint is named by its index in the list.
+    """
+
+    def __init__(self, entries: Sequence[Entry], rng: np.random.Generator) -> None:
+        self.entries = list(entries)
+        self._rng = rng
+
+    def _set(self, index: int, **changed: Any) -> Entry:
+        self.entries[index] = self.entries[index] | changed
+        return self.entries[index]
+
+    def change_any(self) -> Entry:
+        """Let a random endpoint drain, or restart it where it is draining or gone."""
+        index = int(self._rng.integers(len(self.entries)))
+        if self.entries[index]["status"] == "in_service":
+            return self._set(index, status="terminating")
+        return self.restart(index)
+
+    def terminate(self, index: int) -> Entry:
+        """Take an endpoint out of service for good."""
+        return self._set(index, status="terminated")
+
+    def restart(self, index: int) -> Entry:
+        """Bring an endpoint into service as a new process, which has yet to warm up."""
+        return self._set(index, status="in_service", since_ms=int(time.time() * 1000))
+
+    def replace(self, index: int) -> Entry:
+        """Bring an endpoint into service on another machine, which has yet to warm up."""
+        host, _, port = str(self.entries[index]["address"]).partition(":")
+        self._set(index, address=f"{host}:{int(port) + 1}")
+        return self.restart(index)
--- a/emulator/runs/fleet.py
+++ b/emulator/runs/fleet.py
@@ -23,8 +23,17 @@
 from emulator.hollow import Host, ages
 from emulator.meter import MB, WORST_OVER, Series
 from emulator.registry import Registry
-from emulator.result import write
-from emulator.runs.common import CHANGES_A_DAY, DAY, Changes, Done, Options, free_ports, poisson, say
+from emulator.result import write_result
+from emulator.runs.common import (
+    CHANGES_PER_DAY,
+    SECONDS_PER_DAY,
+    RunOptions,
+    RunResult,
+    free_ports,
+    report_progress,
+)
+from emulator.runs.endpoint_changes import EndpointChanges
+from emulator.runs.pacing import poisson_arrivals
 
 MACHINES = 3  # for control
 HALVES = 2  # parts of a machine's watches, one for each of the other two when it is lost
@@ -118,7 +127,7 @@
         self.plan, self._seed = plan, seed
         self._rng = np.random.default_rng(seed)
         self._topology = topology.build(seed, plan.rows)
-        self.changes = Changes(self._topology.entries, self._rng)
+        self.changes = EndpointChanges(self._topology.entries, self._rng)
         self._index = 1
         self._stamps: dict[int, tuple[float, frozenset[str]]] = {}
         self._latest: dict[str, int] = {}
@@ -197,32 +206,34 @@
 
     def changes_at_rate(self) -> None:
         """Single rows change at random moments."""
-        for _ in poisson(self._rng, self.plan.speed * CHANGES_A_DAY / DAY, self.plan.seconds):
-            self.tell([self.changes.any_row()])
+        for _ in poisson_arrivals(
+            self._rng, self.plan.speed * CHANGES_PER_DAY / SECONDS_PER_DAY, self.plan.seconds
+        ):
+            self.tell([self.changes.change_any()])
 
     def replaced(self) -> None:
         """110 backends go and come back cold on other machines, told row by row, at once."""
         for place in self._rng.permutation(self.plan.rows)[:REPLACED]:
-            self.tell([self.changes.lose(int(place))])
+            self.tell([self.changes.terminate(int(place))])
             self.tell([self.changes.replace(int(place))])
 
     def zone_lost(self) -> None:
         """All of a zone in one delta."""
-        self.tell([self.changes.lose(place) for place in self._topology.zone(ZONE)])
+        self.tell([self.changes.terminate(place) for place in self._topology.zone(ZONE)])
 
     def zone_back(self) -> None:
         """All of it back cold in one delta."""
-        self.tell([self.changes.back(place) for place in self._topology.zone(ZONE)])
+        self.tell([self.changes.restart(place) for place in self._topology.zone(ZONE)])
 
     def zone_lost_by_rows(self) -> None:
         """All of a zone, row by row at once."""
         for place in self._topology.zone(ZONE):
-            self.tell([self.changes.lose(place)])
+            self.tell([self.changes.terminate(place)])
 
     def zone_back_by_rows(self) -> None:
         """All of it back cold, row by row at once."""
         for place in self._topology.zone(ZONE):
-            self.tell([self.changes.back(place)])
+            self.tell([self.changes.restart(place)])
 
     def machine_lost(self) -> None:
         """One control machine: its watches come to the other two, which resume them; a change follows."""
@@ -244,14 +255,16 @@
     def _meanwhile(self) -> None:
         """Changes that nobody who is cut off has heard of."""
         for _ in range(MEANWHILE):
-            self.tell([self.changes.any_row()])
+            self.tell([self.changes.change_any()])
 
     def regions_cut(self) -> None:
         """One region hears nothing while changes go on, then all of them."""
         far = [door for door in self._doors if door.region == FAR]
         self._at_doors("silence", far)
-        for _ in poisson(self._rng, self.plan.speed * CHANGES_A_DAY / DAY, self.plan.cut):
-            self.tell([self.changes.any_row()])
+        for _ in poisson_arrivals(
+            self._rng, self.plan.speed * CHANGES_PER_DAY / SECONDS_PER_DAY, self.plan.cut
+        ):
+            self.tell([self.changes.change_any()])
         self._at_doors("heal", far)
 
     # ---- what it costs -------------------------------------------------------------------------
@@ -343,20 +356,20 @@
     }
 
 
-def run(options: Options) -> Done:
+def run(options: RunOptions) -> RunResult:
     """All plans, one after the other; writes fleet.json."""
     begun = time.monotonic()
     plans: dict[str, Any] = {}
     for plan in QUICK if options.quick else PLANS:
         with ExitStack() as stack:
             fleet = Fleet(plan, options.seed, stack)
-            say("fleet", f"{plan.name}: {plan.proxies} proxies hold their lists")
+            report_progress("fleet", f"{plan.name}: {plan.proxies} proxies hold their lists")
             events: dict[str, Any] = {}
             for name in plan.events:
                 act = fleet.changes_at_rate if name == "changes" else getattr(fleet, name)
                 events[name] = found = fleet.measure(act)
                 proxy, last = found["proxy"], found["age"]["last"]
-                say(
+                report_progress(
                     "fleet",
                     f"{plan.name}: {name}: age at the last {last.get('worst', 0.0):.3f} s; proxy's "
                     f"worst 10 s: {proxy['processor_worst']:.2f} % of a core, {proxy['bytes_worst']:.0f} B/s",
@@ -371,7 +384,7 @@
             }
     figures = figures_of(plans)
     body = {"quick": options.quick, "plans": plans, "figures": figures, "duration": time.monotonic() - begun}
-    return Done(figures, write(options.name("fleet"), options.seed, body, options.out))
+    return RunResult(figures, write_result(options.result_name("fleet"), options.seed, body, options.out))
 
 
 def figures_of(plans: dict[str, Any]) -> dict[str, float]:
--- a/emulator/runs/hollow.py
+++ b/emulator/runs/hollow.py
@@ -20,8 +20,17 @@
 from emulator.hollow import Host
 from emulator.meter import MB, Usage, of, total
 from emulator.registry import HOST, Registry
-from emulator.result import write
-from emulator.runs.common import CHANGES_A_DAY, DAY, Changes, Done, Options, free_ports, paced, say
+from emulator.result import write_result
+from emulator.runs.common import (
+    CHANGES_PER_DAY,
+    SECONDS_PER_DAY,
+    RunOptions,
+    RunResult,
+    free_ports,
+    report_progress,
+)
+from emulator.runs.endpoint_changes import EndpointChanges
+from emulator.runs.pacing import evenly_spaced
 
 PROXIES = 4
 RATE = 10.0  # changes a second: each is taken in alone
@@ -122,13 +131,13 @@
     return 100.0 * (hollow - real) / real if real else None
 
 
-def run(options: Options) -> Done:
+def run(options: RunOptions) -> RunResult:
     """Changes of one row, whole lists and empty lines at both groups; writes hollow.json."""
     begun = time.monotonic()
     seconds, wholes, idle = (1.5, 3, 2.0) if options.quick else (15.0, 20, 10.0)
     rng = np.random.default_rng(options.seed)
     fleet = topology.build(options.seed)
-    changed = Changes(fleet.entries, rng)
+    changed = EndpointChanges(fleet.entries, rng)
     ports = free_ports(PROXIES + 2, rng)
     with ExitStack() as stack:
         registry = stack.enter_context(Child(Registry, fleet.entries))
@@ -139,14 +148,14 @@
         hollow.call("freeze")
         _watching(registry)
         time.sleep(SETTLE)
-        say("hollow", f"{PROXIES} real and {PROXIES} hollow proxies watch")
+        report_progress("hollow", f"{PROXIES} real and {PROXIES} hollow proxies watch")
         pair, index = _Pair(registry, real, hollow), 1
 
         def changes() -> int:
             nonlocal index
-            for _ in paced(RATE, seconds):
+            for _ in evenly_spaced(RATE, seconds):
                 index += 1
-                registry.call("change", index, [changed.any_row()])
+                registry.call("change", index, [changed.change_any()])
             return index - 1
 
         def whole_lists() -> int:
@@ -174,9 +183,9 @@
         net_of_idle(events[name], events["idle"])
     for name, event in events.items():
         apart = {figure: round(value or 0.0, 1) for figure, value in event["difference_percent"].items()}
-        say("hollow", f"{name}: hollow beside real, in percent: {apart}")
+        report_progress("hollow", f"{name}: hollow beside real, in percent: {apart}")
     share = events["idle"]["real"]["processor"] / events["idle"]["seconds"]
-    share += CHANGES_A_DAY / DAY * events["change"]["real"]["processor"]
+    share += CHANGES_PER_DAY / SECONDS_PER_DAY * events["change"]["real"]["processor"]
     figures = {"memory": memory["real_mb"], "processor_mean": 100.0 * share}
     body = {
         "quick": options.quick,
@@ -188,7 +197,7 @@
         "note": NOTE,
         "duration": time.monotonic() - begun,
     }
-    return Done(figures, write(options.name("hollow"), options.seed, body, options.out))
+    return RunResult(figures, write_result(options.result_name("hollow"), options.seed, body, options.out))
 
 
 def _watching(registry: Child, wholes: int = 1) -> None:
--- a/emulator/runs/settings.py
+++ b/emulator/runs/settings.py
@@ -22,8 +22,15 @@
 from emulator.backend import HOST, port_of
 from emulator.caller import Plan, Stream, histogram, microseconds, plan_line
 from emulator.meter import MB, of
-from emulator.result import commit, write
-from emulator.runs.common import CHANGES_A_DAY, DAY, Done, Options, free_ports, say
+from emulator.result import commit, write_result
+from emulator.runs.common import (
+    CHANGES_PER_DAY,
+    SECONDS_PER_DAY,
+    RunOptions,
+    RunResult,
+    free_ports,
+    report_progress,
+)
 from emulator.topology import BACKENDS
 
 WITHIN = 6.0  # seconds in which a change must be in force
@@ -194,7 +201,7 @@
 class _Rig:
     """What all processes of the run have in common."""
 
-    options: Options
+    options: RunOptions
     stack: AsyncExitStack
     folder: Path
     ports: Sequence[int]  # of the stand-in backend
@@ -354,11 +361,11 @@
         "memory": grown,
         "points": points,
         "fits": fits,
-        "core_percent": 100.0 * points[-1]["reload"] * CHANGES_A_DAY / DAY,
+        "core_percent": 100.0 * points[-1]["reload"] * CHANGES_PER_DAY / SECONDS_PER_DAY,
     }
 
 
-async def _run(options: Options, size: Size, cores: Sequence[int]) -> dict[str, Any]:
+async def _run(options: RunOptions, size: Size, cores: Sequence[int]) -> dict[str, Any]:
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(TemporaryDirectory()))
         backend = await added.start(
@@ -375,7 +382,7 @@
         rig = _Rig(options, stack, folder, ports, np.random.default_rng([options.seed, len(KINDS)]))
         found = {"changes": await under_calls(rig, size, cores)}
         told, calls = found["changes"]["all"], found["changes"]["calls"]
-        say(
+        report_progress(
             "settings",
             f"{told['in_force']} of {told['of']} in force within {WITHIN:g} s, "
             f"worst {found['changes']['worst']:.3f} s; {calls['lost']} of {calls['calls']} calls lost",
@@ -388,7 +395,7 @@
     return {"settings_age": body["changes"]["worst"], "settings_hold": 1e3 * body["points"][-1]["reload"]}
 
 
-def run(options: Options) -> Done:
+def run(options: RunOptions) -> RunResult:
     """Changes of settings at real proxies, by SIGHUP; writes settings.json."""
     begun, size = time.monotonic(), QUICK if options.quick else WHOLE
     cores = sorted(os.sched_getaffinity(0))
@@ -400,7 +407,7 @@
     finally:
         os.sched_setaffinity(0, cores)
     point, grown = body["points"][-1], body["memory"]
-    say(
+    report_progress(
         "settings",
         f"{1e3 * point['reload']:.2f} ms of processor a reload at {point['rows']} rows, "
         f"{1e3 * point['reread']:.2f} of it to read; {grown['grew_mb']:.2f} MB more "
@@ -416,4 +423,6 @@
         "note": NOTE,
         "duration": time.monotonic() - begun,
     }
-    return Done(body["figures"], write(options.name("settings"), options.seed, body, options.out))
+    return RunResult(
+        body["figures"], write_result(options.result_name("settings"), options.seed, body, options.out)
+    )
--- a/emulator/runs/slopes.py
+++ b/emulator/runs/slopes.py
@@ -19,8 +19,10 @@
 from emulator.hollow import Host, Sinks, reader
 from emulator.meter import MB
 from emulator.registry import Registry
-from emulator.result import write
-from emulator.runs.common import CHANGES_A_DAY, DAY, Changes, Done, Options, cost, paced, say
+from emulator.result import write_result
+from emulator.runs.common import CHANGES_PER_DAY, SECONDS_PER_DAY, RunOptions, RunResult, report_progress
+from emulator.runs.endpoint_changes import EndpointChanges
+from emulator.runs.pacing import evenly_spaced, mean_processor_time
 from proxy.discovery.watch import DiscoveredEndpoint
 
 ROWS = (12, 91, 300, 910, 1820)
@@ -35,7 +37,7 @@
 Point = dict[str, float]
 
 
-def run(options: Options) -> Done:
+def run(options: RunOptions) -> RunResult:
     """All slopes; writes slopes.json."""
     begun = time.monotonic()
     body: dict[str, Any] = {"quick": options.quick}
@@ -54,10 +56,12 @@
         points, of, figures = part(options)
         xs = _of(points, of)
         body[name] = {"points": points, "fits": {y: fit.both(xs, _of(points, y)) for y in figures}}
-        say("slopes", f"{name}: {len(points)} points after {time.monotonic() - begun:.0f} s")
+        report_progress("slopes", f"{name}: {len(points)} points after {time.monotonic() - begun:.0f} s")
     body["figures"] = figures_of(body)
     body["duration"] = time.monotonic() - begun
-    return Done(body["figures"], write(options.name("slopes"), options.seed, body, options.out))
+    return RunResult(
+        body["figures"], write_result(options.result_name("slopes"), options.seed, body, options.out)
+    )
 
 
 def _of(points: Sequence[Point], name: str) -> list[float]:
@@ -66,7 +70,7 @@
 
 def figures_of(body: dict[str, Any]) -> dict[str, float]:
     """The budgets' figures at the target's size: bytes by the fit over changes a second, a change's time."""
-    rate = CHANGES_A_DAY / DAY
+    rate = CHANGES_PER_DAY / SECONDS_PER_DAY
     line = next(each for each in body["changes"]["fits"]["bytes"] if each["kind"] == "line")
     full = next(point for point in body["module"]["points"] if point["rows"] == FULL)
     return {
@@ -95,14 +99,14 @@
         # As the real proxy does once it has its list: what others left here must not be paid for.
         gc.collect()
         gc.freeze()
-        self._changes = Changes(fleet.entries, np.random.default_rng(fleet.seed))
+        self._changes = EndpointChanges(fleet.entries, np.random.default_rng(fleet.seed))
         self._reader = reader()
         self.now, self._calls = time.time(), 0
 
     def change(self) -> None:
         """One row changes."""
         self.now += 1.0
-        row = self._reader.endpoint(self._changes.any_row()).row
+        row = self._reader.endpoint(self._changes.change_any()).row
         self.balancer.on_endpoints_updated(self.now, UpdateKind.DELTA, [row])
 
     def whole(self) -> None:
@@ -122,7 +126,7 @@
             self.balancer.on_attempt_finished(self.now + LATENCY, rid, 0, Outcome.SUCCESS, LATENCY, True)
 
 
-def module(options: Options) -> tuple[list[Point], str, list[str]]:
+def module(options: RunOptions) -> tuple[list[Point], str, list[str]]:
     """Seconds of the module and of the reader against rows: a change, a whole list, a decision."""
     spend = 0.05 if options.quick else 0.3
     points, read = [], reader()
@@ -133,17 +137,17 @@
         points.append(
             {
                 "rows": rows,
-                "change": cost(step.change, spend),
-                "whole": cost(step.whole, spend),
-                "read": cost(lambda line=line: read.endpoints(orjson.loads(line)), spend),  # type: ignore[misc]
-                "decision": cost(step.call, spend, 100),
+                "change": mean_processor_time(step.change, spend),
+                "whole": mean_processor_time(step.whole, spend),
+                "read": mean_processor_time(lambda line=line: read.endpoints(orjson.loads(line)), spend),  # type: ignore[misc]
+                "decision": mean_processor_time(step.call, spend, 100),
                 "whole_bytes": len(line),
             }
         )
     return points, "rows", ["change", "whole", "read", "decision", "whole_bytes"]
 
 
-def fleet_size(options: Options) -> tuple[list[Point], str, list[str]]:
+def fleet_size(options: RunOptions) -> tuple[list[Point], str, list[str]]:
     """Seconds of the module against the fleet's size in the settings, at 910 rows."""
     spend = 0.05 if options.quick else 0.3
     fleet = topology.build(options.seed)
@@ -153,15 +157,15 @@
         points.append(
             {
                 "proxies": proxies,
-                "change": cost(step.change, spend),
-                "whole": cost(step.whole, spend),
-                "decision": cost(step.call, spend, 100),
+                "change": mean_processor_time(step.change, spend),
+                "whole": mean_processor_time(step.whole, spend),
+                "decision": mean_processor_time(step.call, spend, 100),
             }
         )
     return points, "proxies", ["change", "whole", "decision"]
 
 
-def _rows(options: Options) -> tuple[int, ...]:
+def _rows(options: RunOptions) -> tuple[int, ...]:
     return ROWS[:4] if options.quick else ROWS
 
 
@@ -171,11 +175,11 @@
 class _Rig:
     """A registry and a process of hollow proxies that watch it."""
 
-    def __init__(self, options: Options, rows: int, proxies: int) -> None:
+    def __init__(self, options: RunOptions, rows: int, proxies: int) -> None:
         self.fleet = topology.build(options.seed, rows)
         self.proxies = proxies
         self._index, self._latest = 1, dict[str, int]()
-        self._changes = Changes(self.fleet.entries, np.random.default_rng(options.seed))
+        self._changes = EndpointChanges(self.fleet.entries, np.random.default_rng(options.seed))
         self.registry = Child(Registry, self.fleet.entries)
         self.host = Child(Host, options.seed, rows)
         port = self.registry.call("open", "all")
@@ -185,7 +189,7 @@
     def change(self) -> None:
         """One row changes at the registry."""
         self._index += 1
-        entry = self._changes.any_row()
+        entry = self._changes.change_any()
         self.registry.call("change", self._index, [entry])
         self._latest[entry["name"]] = self._index
 
@@ -206,7 +210,7 @@
         self.registry.close()
 
 
-def path(options: Options) -> tuple[list[Point], str, list[str]]:
+def path(options: RunOptions) -> tuple[list[Point], str, list[str]]:
     """For a proxy, from socket to module, against rows: seconds and bytes of a change and of a whole list."""
     count, wholes = (6, 2) if options.quick else (30, 6)
     points = []
@@ -238,7 +242,7 @@
     return points, "rows", ["change", "whole", "change_bytes", "whole_bytes", "memory_mb"]
 
 
-def changes(options: Options) -> tuple[list[Point], str, list[str]]:
+def changes(options: RunOptions) -> tuple[list[Point], str, list[str]]:
     """For a proxy that sees 910 rows, against changes a second: processor share, bytes a second, memory."""
     seconds, proxies = (0.6, 2) if options.quick else (4.0, 4)
     points = []
@@ -246,7 +250,7 @@
         for rate in CHANGE_RATES if options.quick else (0.0, *CHANGE_RATES):
             (before, sent), begun = rig.reading(), time.monotonic()
             if rate:
-                for _ in paced(rate, seconds):
+                for _ in evenly_spaced(rate, seconds):
                     rig.change()
                 rig.settle()
             else:
@@ -265,7 +269,7 @@
     return points, "changes", ["processor", "bytes", "memory_mb"]
 
 
-def calls(options: Options) -> tuple[list[Point], str, list[str]]:
+def calls(options: RunOptions) -> tuple[list[Point], str, list[str]]:
     """For a proxy that sees 910 rows, against calls a second fed to the module: processor share, memory.
 
     What is left at no calls is the feeding itself, 50 times a second; sockets and HTTP are not in it.
@@ -291,11 +295,13 @@
 # ---- discovery's stand-in --------------------------------------------------------------------
 
 
-def _registry_point(registry: Child, changed: Changes, index: int, rate: float, seconds: float) -> Point:
+def _registry_point(
+    registry: Child, changed: EndpointChanges, index: int, rate: float, seconds: float
+) -> Point:
     """What the registry spends while changes come at a rate, the first as version index + 1."""
     before, begun = registry.call("spent"), time.monotonic()
-    for number in paced(rate, seconds):
-        registry.call("change", index + number + 1, [changed.any_row()])
+    for number in evenly_spaced(rate, seconds):
+        registry.call("change", index + number + 1, [changed.change_any()])
     after, spent = registry.call("spent"), time.monotonic() - begun
     return {
         "watches": after["open"],
@@ -306,11 +312,11 @@
     }
 
 
-def _registry_points(options: Options, loads: Sequence[tuple[int, float]]) -> list[Point]:
+def _registry_points(options: RunOptions, loads: Sequence[tuple[int, float]]) -> list[Point]:
     """One point for each (watches, changes a second); watches ascend."""
     seconds = 0.6 if options.quick else 2.5
     fleet = topology.build(options.seed)
-    changed = Changes(fleet.entries, np.random.default_rng(options.seed))
+    changed = EndpointChanges(fleet.entries, np.random.default_rng(options.seed))
     points: list[Point] = []
     with Child(Registry, fleet.entries) as registry, Child(Sinks) as sinks:
         port, index, opened = registry.call("open", "all"), 1, 0
@@ -323,13 +329,13 @@
     return points
 
 
-def registry_watches(options: Options) -> tuple[list[Point], str, list[str]]:
+def registry_watches(options: RunOptions) -> tuple[list[Point], str, list[str]]:
     """The registry's processor share, bytes a second and memory against watches, at 5 changes a second."""
     points = _registry_points(options, [(watches, 5.0) for watches in WATCHES])
     return points, "watches", ["processor", "bytes", "memory_mb"]
 
 
-def registry_changes(options: Options) -> tuple[list[Point], str, list[str]]:
+def registry_changes(options: RunOptions) -> tuple[list[Point], str, list[str]]:
     """The registry's processor share and bytes a second against changes a second, at 303 watches."""
     points = _registry_points(options, [(303, rate) for rate in CHANGE_RATES])
     return points, "changes", ["processor", "bytes"]
--- a/tests/test_emulator_result.py
+++ b/tests/test_emulator_result.py
@@ -5,11 +5,11 @@
 import json
 from pathlib import Path
 
-from emulator.result import write
+from emulator.result import write_result
 
 
 def test_a_result_names_its_seed_machine_and_versions(tmp_path: Path) -> None:
-    path = write("trial", 7, {"points": [[1, 2.0]]}, tmp_path / "deep" / "out")
+    path = write_result("trial", 7, {"points": [[1, 2.0]]}, tmp_path / "deep" / "out")
     read = json.loads(path.read_text())
     assert path.name == "trial.json"
     assert (read["run"], read["seed"], read["points"]) == ("trial", 7, [[1, 2.0]])
