--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -22,11 +22,11 @@
     StartAttempt,
 )
 from balancer.settings import DiscoveryMode, Idempotency, RequestClass, Settings, narrow_class
+from proxy import upstream
 from proxy.config import Config, ConfigError
 from proxy.discovery import watch as discovery
 from proxy.downstream.listener import DownstreamConnection, Listener
 from proxy.downstream.request_parser import ClientRequest, HttpError
-from proxy.upstream import connection_pool as upstream
 
 SPARE_SOCKETS = 48  # descriptors for the listener, discovery, the loop, and callers beyond the limit
 CALLERS_PART = 0.5  # of the other descriptors
@@ -43,7 +43,7 @@
 class ActiveRequest:
     """A request that a final answer is owed for, or that still has attempts out."""
 
-    __slots__ = ("caller", "deadline", "exchanges", "last", "request", "rid", "row", "timer")
+    __slots__ = ("caller", "deadline", "attempts", "last", "request", "rid", "row", "timer")
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self.row = row  # its class as admitted, narrowed by later settings
         self.caller: DownstreamConnection | None = caller  # None once nothing is owed
         self.deadline = deadline  # in the loop's time
-        self.exchanges: list[upstream.UpstreamAttempt] = []
+        self.attempts: list[upstream.UpstreamAttempt] = []
         self.last = Outcome.NOT_SENT  # how its latest attempt ended
         self.timer: asyncio.TimerHandle | None = None
 
@@ -66,8 +66,8 @@
         """The settings have changed: the request may do only what its own class and the stated one allow."""
         self.row = narrow_class(self.row, stated)
         if self.row.idempotency is Idempotency.NON_IDEMPOTENT:
-            for exchange in self.exchanges:
-                exchange.once()
+            for attempt in self.attempts:
+                attempt.forbid_retry()
 
     def wanted(self) -> bool:
         """Whether somebody is still there to be answered."""
@@ -163,12 +163,12 @@
         for call in self._calls.values():
             call.narrow(rows.get(call.row.name, call.row))
         self._upstream.reconfigure(config.conn_idle, config.dial_timeout)
-        self._upstream.share(len(self._backends), config.settings.fleet_size)
+        self._upstream.set_idle_quota(len(self._backends), config.settings.fleet_size)
         for rid, number in self._balancer.misplaced_attempts():
-            exchanges = self._calls[rid].exchanges if rid in self._calls else []
+            attempts = self._calls[rid].attempts if rid in self._calls else []
             # Guards placement: what has not begun goes elsewhere.
-            if exchanges and exchanges[number].connection is None:
-                exchanges[number].end(Outcome.NOT_SENT)
+            if attempts and attempts[number].connection is None:
+                attempts[number].finish(Outcome.NOT_SENT)
 
     def _numbered(self, config: Config) -> Settings:
         """The settings with the numbers that zones and types have for as long as this process lives."""
@@ -238,8 +238,10 @@
                 self._remove(row.id)
                 continue
             backend = self._backends.setdefault(row.id, upstream.Backend(endpoint.address))
-            self._upstream.update(backend, endpoint.address, row.started, row.status is EndpointStatus.UP)
-        self._upstream.share(len(self._backends), self._balancer.settings.fleet_size)
+            self._upstream.update_backend(
+                backend, endpoint.address, row.started, row.status is EndpointStatus.UP
+            )
+        self._upstream.set_idle_quota(len(self._backends), self._balancer.settings.fleet_size)
         self._perform(
             self._decide(self._balancer.on_endpoints_updated, kind, [endpoint.row for endpoint in endpoints])
         )
@@ -248,7 +250,7 @@
         """Guards memory against backends that are gone for good; attempts that are out keep theirs."""
         backend = self._backends.pop(server, None)
         if backend is not None:
-            self._upstream.update(backend, backend.address, backend.started, False)
+            self._upstream.update_backend(backend, backend.address, backend.started_at, False)
 
     # ---- requests ------------------------------------------------------------------------------
 
@@ -285,14 +287,14 @@
     def _unsend(self, call: ActiveRequest) -> None:
         """Send nothing more for a request that is over; cancels, if allowed, are for what is out."""
         if call.caller is None:
-            for exchange in tuple(call.exchanges):
-                if exchange.connection is None:
-                    exchange.end(Outcome.NOT_SENT)
+            for attempt in tuple(call.attempts):
+                if attempt.connection is None:
+                    attempt.finish(Outcome.NOT_SENT)
 
     def _overdue(self, call: ActiveRequest) -> None:
         """The client's time is up: an answer is owed now, whatever the module says."""
-        for exchange in tuple(call.exchanges):
-            exchange.expire()
+        for attempt in tuple(call.attempts):
+            attempt.expire()
         if call.caller is not None:
             self._abandon(call)
 
@@ -300,8 +302,8 @@
         """Fail a request that the module did not answer, and tell it so."""
         self._answer(call, 504 if self._loop.time() >= call.deadline else 500, b"", b"")
         self._perform(self._decide(self._balancer.on_client_disconnected, call.rid))
-        for exchange in tuple(call.exchanges):
-            exchange.end(Outcome.CANCELLED)
+        for attempt in tuple(call.attempts):
+            attempt.finish(Outcome.CANCELLED)
 
     def _answer(self, call: ActiveRequest, status: int, head: bytes, body: bytes) -> None:
         caller = call.caller
@@ -319,9 +321,9 @@
         self._forget(call)
 
     def _forget(self, call: ActiveRequest) -> None:
-        if call.caller is None and not any(exchange.open for exchange in call.exchanges):
+        if call.caller is None and all(attempt.finished for attempt in call.attempts):
             self._calls.pop(call.rid, None)
-            call.exchanges.clear()  # Guards memory: a call and its exchanges hold each other.
+            call.attempts.clear()  # Guards memory: a call and its attempts hold each other.
 
     # ---- the module's actions ----------------------------------------------------------------
 
@@ -344,7 +346,7 @@
         if isinstance(action, StartAttempt):
             self._send(call, action)
         elif isinstance(action, CancelAttempt):
-            call.exchanges[action.attempt].end(Outcome.CANCELLED)
+            call.attempts[action.attempt].finish(Outcome.CANCELLED)
         elif isinstance(action, Reject):
             head = b"Retry-After: %.3f\r\n" % action.retry_after if action.retry_after > 0.0 else b""
             self._answer(call, 503, head, b"refused\n")
@@ -354,21 +356,21 @@
     def _send(self, call: ActiveRequest, action: StartAttempt) -> None:
         now = self._loop.time()
         until = min(call.deadline, now + action.timeout) if action.timeout > 0.0 else call.deadline
-        number = len(call.exchanges)
+        number = len(call.attempts)
 
         def report(
-            exchange: upstream.UpstreamAttempt, outcome: Outcome, response: upstream.UpstreamResponse | None
+            attempt: upstream.UpstreamAttempt, outcome: Outcome, response: upstream.UpstreamResponse | None
         ) -> None:
-            self._outcome(call, number, exchange, outcome, response)
+            self._outcome(call, number, attempt, outcome, response)
 
         repeatable = call.row.idempotency is not Idempotency.NON_IDEMPOTENT
         backend = self._backends[action.endpoint]
-        exchange = upstream.UpstreamAttempt(
+        attempt = upstream.UpstreamAttempt(
             backend, now, until, call.bytes_for, report, repeatable, call.wanted
         )
-        call.exchanges.append(exchange)
-        if exchange.wanted():
-            self._upstream.start(exchange)
+        call.attempts.append(attempt)
+        if attempt.is_wanted():
+            self._upstream.start(attempt)
         else:
             self._gone(call)
 
@@ -376,7 +378,7 @@
         self,
         call: ActiveRequest,
         number: int,
-        exchange: upstream.UpstreamAttempt,
+        attempt: upstream.UpstreamAttempt,
         outcome: Outcome,
         response: upstream.UpstreamResponse | None,
     ) -> None:
@@ -399,7 +401,7 @@
                 call.rid,
                 number,
                 outcome,
-                now - exchange.started,
+                now - attempt.started_at,
                 call.caller is None,
                 call=call,
             )
--- a/proxy/upstream/__init__.py
+++ b/proxy/upstream/__init__.py
@@ -1,1 +1,11 @@
-"""Backends' side of the proxy: attempts, the connections that carry them, and the pool that keeps those."""
+"""The backends' side of the proxy: connections to backends, attempts on them, and how each attempt ended.
+
+It decides nothing about which endpoint serves a request or whether a retry follows: `balancer` does.
+"""
+
+from proxy.upstream.attempt import UpstreamAttempt
+from proxy.upstream.backend import Backend
+from proxy.upstream.connection_pool import ConnectionPool
+from proxy.upstream.response_parser import UpstreamResponse
+
+__all__ = ["Backend", "ConnectionPool", "UpstreamAttempt", "UpstreamResponse"]
--- /dev/null
+++ b/proxy/upstream/response_parser.py
@@ -0,0 +1,186 @@
+"""Reads one connection's bytes into responses, and says what makes a response unusable.
+
+It owns the parts of the response that is being read, and their bytes in the memory budget. It knows neither
+the socket nor the attempt: `UpstreamConnection` feeds it and acts on what it says.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum, auto
+
+import httptools
+
+from balancer.events import Outcome
+from proxy.http_common import HOP_BY_HOP_HEADERS
+from proxy.upstream.memory_budget import MemoryBudget
+
+MAX_BODY_BYTES = 1 << 20  # bytes; not all responses keep to the protocol's 64 KiB, 350 KB were seen
+MAX_HEAD_BYTES = 16 << 10  # bytes of all heads, interim responses included: what HTTP clients commonly read
+MAX_READ_BYTES = 64 << 10  # bytes that are read and fed in one go
+MAX_INTERIM_RESPONSES = 16  # 1xx responses ahead of the final one
+
+
+class ResponseState(Enum):
+    """How far the response to the current attempt has been read."""
+
+    HEAD = auto()  # no final status line and headers yet; interim (1xx) responses may have come
+    BODY = auto()  # the head is complete
+    COMPLETE = auto()
+    UNUSABLE = auto()  # malformed, too large, or not plain HTTP/1.1: nothing of it may be passed on
+
+
+@dataclass(slots=True)
+class UpstreamResponse:
+    """A backend's complete response."""
+
+    status: int
+    head: bytes  # its end-to-end headers, each with its line end
+    body: bytes
+    not_processed: bool  # the backend says that it did not process the request
+
+    def outcome(self) -> Outcome:
+        """What the response says of the attempt."""
+        if self.status == 200:
+            return Outcome.SUCCESS
+        return Outcome.OVERLOADED if self.status in (503, 504) and self.not_processed else Outcome.ERROR
+
+
+class ResponseParser:
+    """The parser of one connection; `reset` makes it ready for the next attempt's response.
+
+    Attributes:
+        state: How far the response has been read.
+        receiving: Whether a part of the response has come, and more of the same message has to.
+        keep_alive: Whether nothing that came speaks against another request on this connection.
+    """
+
+    def __init__(self, memory: MemoryBudget) -> None:
+        self._memory = memory
+        self._buffered_bytes = 0  # its part of what is reserved in the memory budget
+        self._http_parser = httptools.HttpResponseParser(self)
+        self.reset()
+
+    def reset(self) -> None:
+        """Start over for the response to another request."""
+        self.state = ResponseState.HEAD
+        self.receiving = False
+        self.keep_alive = True
+        self._response: UpstreamResponse | None = None
+        self._header_lines: list[bytes] = []
+        self._body_parts: list[bytes] = []
+        self._connection_options = b""  # the values of Connection headers, each after a comma
+        self._not_processed = False
+        self._bytes_before_body = 0  # fed until the head was complete
+        self._header_bytes = 0
+        self._body_bytes = 0
+        self._interim_responses = 0
+
+    def feed(self, data: memoryview) -> ResponseState:
+        """Read what has come, and tell how far the response is read now."""
+        try:
+            self._http_parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+            self.keep_alive = False
+            if self.state is not ResponseState.COMPLETE:
+                self.state = ResponseState.UNUSABLE
+        if self.state is ResponseState.HEAD:
+            # Headers are counted only once they are complete: a single endless one would fill the memory.
+            self._bytes_before_body += len(data)
+            if self._bytes_before_body > MAX_HEAD_BYTES + MAX_READ_BYTES:
+                self.state = ResponseState.UNUSABLE
+        return self.state
+
+    def take_response(self) -> UpstreamResponse:
+        """Hand over the complete response."""
+        response = self._response
+        assert response is not None
+        self._response = None
+        return response
+
+    def close(self) -> None:
+        """The connection has ended: give back the memory, also that of the parser, which refers back here."""
+        self._release_memory()
+        del self._http_parser
+
+    def _release_memory(self) -> None:
+        self._memory.release(self._buffered_bytes)
+        self._buffered_bytes = 0
+
+    # ---- callbacks of httptools ----------------------------------------------------------------
+
+    def on_message_begin(self) -> None:
+        """Parser callback: a message begins."""
+        self.receiving = True
+        if self.state is ResponseState.COMPLETE:  # a second response: the first one stands
+            self.keep_alive = False
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Parser callback: one header or trailer."""
+        if self.state is not ResponseState.HEAD:  # trailers must not count as headers
+            return
+        self._header_bytes += len(name) + len(value) + 4
+        lower = name.lower()
+        if lower == b"x-not-processed":
+            self._not_processed = value == b"1"
+        elif lower == b"connection":
+            self._connection_options += b"," + value.lower()
+        elif lower == b"content-length":
+            if int(value) > MAX_BODY_BYTES:
+                self.state = ResponseState.UNUSABLE
+        elif lower == b"transfer-encoding":
+            if value.lower() != b"chunked":
+                self.state = ResponseState.UNUSABLE
+        # A load report is for the proxy alone, and clients may be unable to read what is no plain text.
+        elif lower not in HOP_BY_HOP_HEADERS and lower != b"x-server-load" and value.isascii():
+            self._header_lines.append(b"%b: %b\r\n" % (name, value))
+        if self._header_bytes > MAX_HEAD_BYTES:
+            self.state = ResponseState.UNUSABLE
+
+    def on_headers_complete(self) -> None:
+        """Parser callback: the head is complete."""
+        if self.state is not ResponseState.HEAD:
+            return
+        status = self._http_parser.get_status_code()
+        if 100 <= status < 200:
+            self._interim_responses += 1
+            # Nobody asked for a change of protocol, and interim responses without end would hold the attempt.
+            if status == 101 or self._interim_responses > MAX_INTERIM_RESPONSES:
+                self.state = ResponseState.UNUSABLE
+            return
+        self.state = ResponseState.BODY
+        if self._connection_options:
+            named = {token.strip() for token in self._connection_options.split(b",")}
+            self._header_lines = [
+                line for line in self._header_lines if line.partition(b":")[0].lower() not in named
+            ]
+
+    def on_body(self, body: bytes) -> None:
+        """Parser callback: a piece of the body."""
+        if self.state is not ResponseState.BODY:
+            return
+        self._body_bytes += len(body)
+        # One response without end, or many large ones at once, would fill the memory.
+        if self._body_bytes <= MAX_BODY_BYTES and self._memory.reserve(len(body)):
+            self._buffered_bytes += len(body)
+            self._body_parts.append(body)
+        else:
+            self.state = ResponseState.UNUSABLE
+
+    def on_message_complete(self) -> None:
+        """Parser callback: the message is complete."""
+        if self.state is ResponseState.HEAD:  # an interim response: the head of the final one starts anew
+            self.receiving = False
+            self._header_lines.clear()
+            self._connection_options = b""
+        elif self.state is ResponseState.BODY:
+            self.state = ResponseState.COMPLETE
+            self.keep_alive = self._http_parser.should_keep_alive()
+            self._response = UpstreamResponse(
+                self._http_parser.get_status_code(),
+                b"".join(self._header_lines),
+                b"".join(self._body_parts),
+                self._not_processed,
+            )
+            self._body_parts.clear()
+            self._release_memory()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -64,7 +64,7 @@
             async with running([entry("a", one.address)], discovery=port, sockets=SOCKETS) as up:
                 socks, most = await fill(clock, up, KINDS[kind])
                 # As many attempts may be out, and all together have to fit.
-                assert most + up.proxy._upstream._most + OWN <= SOCKETS
+                assert most + up.proxy._upstream._max_connections + OWN <= SOCKETS
                 good = Client(*await asyncio.open_connection(HOST, up.port))
                 good.writer.write(book(1))
                 answer = asyncio.ensure_future(good.answer())
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -393,7 +393,7 @@
                 await until(lambda sent=number: one.got.qsize() == sent and not up.proxy._calls)  # type: ignore[misc]
             assert not caller._stuck
             for connection in tuple(up.proxy._upstream._idle):
-                up.proxy._upstream._drop(connection)
+                up.proxy._upstream._close_idle(connection)
             gate = Gate(monkeypatch)
             sock.send(book(9000))
             await until(lambda: gate.waiting == 1)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -36,15 +36,12 @@
 from proxy.downstream.listener import DownstreamConnection
 from proxy.downstream.request_parser import RequestParser
 from proxy.proxy import ActiveRequest, Proxy
-from proxy.upstream import connection_pool as upstream
-from proxy.upstream.connection_pool import (
-    STALL,
-    ConnectionPool,
-    UpstreamAttempt,
-    UpstreamConnection,
-    UpstreamResponse,
-)
-from proxy.upstream.connection_pool import Backend as Known
+from proxy.upstream import connection_pool, keepalive_policy
+from proxy.upstream.attempt import MAX_RESPONSE_STALL, UpstreamAttempt
+from proxy.upstream.backend import Backend as Known
+from proxy.upstream.connection import UpstreamConnection
+from proxy.upstream.connection_pool import ConnectionPool
+from proxy.upstream.response_parser import UpstreamResponse
 
 
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back() -> None:
@@ -333,40 +330,40 @@
     asyncio.run(play())
 
 
-class Exchanges:
-    """Exchanges of one pool, and how each ended."""
+class Attempts:
+    """Attempts of one pool, and how each ended."""
 
     def __init__(self, one: Backend, most: int = 9, conn_idle: float = 60.0) -> None:
         self.upstream = ConnectionPool(most, conn_idle, WIDE, 64 << 20)
         host, _, port = one.address.rpartition(":")
         self.known = Known((host, int(port)))
-        self.upstream.update(self.known, self.known.address, 0.0, True)
+        self.upstream.update_backend(self.known, self.known.address, 0.0, True)
         self.ended: asyncio.Queue[Outcome] = asyncio.Queue()
 
-    def start(self, data: bytes = b"", repeatable: bool = True) -> UpstreamAttempt:
+    def start(self, data: bytes = b"", retryable: bool = True) -> UpstreamAttempt:
         """Start one."""
 
-        def report(_exchange: UpstreamAttempt, outcome: Outcome, _response: UpstreamResponse | None) -> None:
+        def report(_attempt: UpstreamAttempt, outcome: Outcome, _response: UpstreamResponse | None) -> None:
             self.ended.put_nowait(outcome)
 
         now = asyncio.get_running_loop().time()
         until = now + 3 * WIDE
-        exchange = UpstreamAttempt(self.known, now, until, lambda _left: data or book(), report, repeatable)
-        self.upstream.start(exchange)
-        return exchange
+        attempt = UpstreamAttempt(self.known, now, until, lambda _left: data or book(), report, retryable)
+        self.upstream.start(attempt)
+        return attempt
 
 
 def test_a_cancel_closes_the_connection_and_ends_it_once() -> None:
     async def play() -> None:
         async with backend(lambda _: None) as one:
-            exchanges = Exchanges(one)
-            exchange = exchanges.start()
+            attempts = Attempts(one)
+            attempt = attempts.start()
             await soon(one.got.get())
-            exchange.end(Outcome.CANCELLED)
-            exchange.end(Outcome.CANCELLED)
+            attempt.finish(Outcome.CANCELLED)
+            attempt.finish(Outcome.CANCELLED)
             await soon(one.ended.get())
-            await until(lambda: exchanges.upstream._connected == 0)
-            assert [exchanges.ended.get_nowait(), exchanges.ended.empty()] == [Outcome.CANCELLED, True]
+            await until(lambda: attempts.upstream._connected == 0)
+            assert [attempts.ended.get_nowait(), attempts.ended.empty()] == [Outcome.CANCELLED, True]
 
     asyncio.run(play())
 
@@ -380,9 +377,9 @@
         server = await asyncio.start_server(shut, HOST, 0, limit=1)
         one = Backend(lambda _: None)
         one.address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
-        exchanges = Exchanges(one)
-        exchanges.start(b"x" * (64 << 20))  # more than the sockets hold
-        assert await soon(exchanges.ended.get()) is Outcome.UNREACHABLE
+        attempts = Attempts(one)
+        attempts.start(b"x" * (64 << 20))  # more than the sockets hold
+        assert await soon(attempts.ended.get()) is Outcome.UNREACHABLE
         server.close()
 
     asyncio.run(play())
@@ -391,16 +388,16 @@
 def test_the_limit_on_connections() -> None:
     async def play() -> None:
         async with backend(lambda request: OK if b"id1" in request else None) as one:
-            exchanges = Exchanges(one, most=1)
-            exchanges.start(book(1))
-            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
-            other = Known(exchanges.known.address)
-            exchanges.upstream.update(other, other.address, 0.0, True)
-            exchanges.known = other
-            exchanges.start(book(2))  # the idle connection to the first makes room
+            attempts = Attempts(one, most=1)
+            attempts.start(book(1))
+            assert await soon(attempts.ended.get()) is Outcome.SUCCESS
+            other = Known(attempts.known.address)
+            attempts.upstream.update_backend(other, other.address, 0.0, True)
+            attempts.known = other
+            attempts.start(book(2))  # the idle connection to the first makes room
             await soon(one.ended.get())
-            exchanges.start(book(3))
-            assert await soon(exchanges.ended.get()) is Outcome.UNREACHABLE
+            attempts.start(book(3))
+            assert await soon(attempts.ended.get()) is Outcome.UNREACHABLE
 
     asyncio.run(play())
 
@@ -408,23 +405,23 @@
 def test_the_most_recent_connection_is_used_and_old_ones_are_dropped() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
-            exchanges = Exchanges(one)
+            attempts = Attempts(one)
             for _ in range(2):
-                exchanges.start()
+                attempts.start()
             for _ in range(2):
-                assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
-            [older, newer] = exchanges.known.idle
+                assert await soon(attempts.ended.get()) is Outcome.SUCCESS
+            [older, newer] = attempts.known.idle_connections
             for connection in (older, newer):
-                connection.idle_since -= upstream.REST
-            exchanges.start()
-            assert exchanges.known.idle == [older]
-            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
-            assert exchanges.known.idle == [older, newer]
+                connection.idle_since -= connection_pool.REST_AFTER_RESPONSE
+            attempts.start()
+            assert attempts.known.idle_connections == [older]
+            assert await soon(attempts.ended.get()) is Outcome.SUCCESS
+            assert attempts.known.idle_connections == [older, newer]
             assert one.ended.empty()
             older.idle_since -= 31.0
-            exchanges.upstream._sweep()
+            attempts.upstream._sweep()
             await soon(one.ended.get())
-            assert exchanges.known.idle == [newer]
+            assert attempts.known.idle_connections == [newer]
 
     asyncio.run(play())
 
@@ -435,21 +432,21 @@
 ) -> None:
     async def play() -> None:
         async with backend(lambda _: None) as one:
-            exchanges = Exchanges(one, most=20)
-            exchanges.upstream.share(10, proxies)
+            attempts = Attempts(one, most=20)
+            attempts.upstream.set_idle_quota(10, proxies)
             for number in range(0, 10, at_once):
                 for _ in range(number, number + at_once):  # each to a backend of its own
-                    exchanges.known = Known(exchanges.known.address)
-                    exchanges.upstream.update(exchanges.known, exchanges.known.address, 0.0, True)
-                    exchanges.start()
+                    attempts.known = Known(attempts.known.address)
+                    attempts.upstream.update_backend(attempts.known, attempts.known.address, 0.0, True)
+                    attempts.start()
                 for _ in range(at_once):
                     await soon(one.got.get())
                 for writer in one.open[number:]:  # all are in use by now
                     writer.write(OK)
                 for _ in range(at_once):
-                    assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
-                assert exchanges.known.idle  # the latest are kept
-            assert len(exchanges.upstream._idle) == kept
+                    assert await soon(attempts.ended.get()) is Outcome.SUCCESS
+                assert attempts.known.idle_connections  # the latest are kept
+            assert len(attempts.upstream._idle) == kept
 
     asyncio.run(play())
 
@@ -458,26 +455,26 @@
     async def play() -> None:
         settings = replace(read_settings(WIRE), fleet_size=4)
         async with running([entry("a", f"{HOST}:1"), entry("b", f"{HOST}:2")], settings=settings) as up:
-            assert up.proxy._upstream._idle_share == upstream.IDLE_SHARED * 2 / 4
+            assert up.proxy._upstream._idle_quota == connection_pool.FLEET_IDLE_PER_BACKEND * 2 / 4
             up.tell([entry("b", f"{HOST}:2", "terminated")])
-            assert up.proxy._upstream._idle_share == upstream.IDLE_SHARED / 4
+            assert up.proxy._upstream._idle_quota == connection_pool.FLEET_IDLE_PER_BACKEND / 4
 
     asyncio.run(play())
 
 
-def test_an_exchange_that_has_ended_writes_nothing() -> None:
+def test_an_attempt_that_has_ended_writes_nothing() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
-            exchanges = Exchanges(one)
-            exchanges.start(book(1))
-            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
-            [idle] = exchanges.known.idle
-            ended = exchanges.start(book(2))
-            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
-            exchanges.known.idle.remove(idle)
-            exchanges.upstream._transmit(ended, idle)
-            exchanges.start(book(3))
-            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
+            attempts = Attempts(one)
+            attempts.start(book(1))
+            assert await soon(attempts.ended.get()) is Outcome.SUCCESS
+            [idle] = attempts.known.idle_connections
+            ended = attempts.start(book(2))
+            assert await soon(attempts.ended.get()) is Outcome.SUCCESS
+            attempts.known.idle_connections.remove(idle)
+            attempts.upstream._send(ended, idle)
+            attempts.start(book(3))
+            assert await soon(attempts.ended.get()) is Outcome.SUCCESS
             assert [b"id%d" % n in one.got.get_nowait() for n in (1, 2, 3)] == [True] * 3
 
     asyncio.run(play())
@@ -497,16 +494,16 @@
 def test_what_must_not_run_twice_takes_only_connections_that_just_answered(
     idle: float, dialled: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream, "FRESH", WIDE)
+    monkeypatch.setattr(keepalive_policy, "PRESUMED_ALIVE", WIDE)
 
     async def play() -> None:
         async with backend(lambda _: OK) as one:
-            exchanges = Exchanges(one)
+            attempts = Attempts(one)
             for number in range(4):
-                for connection in exchanges.known.idle:
+                for connection in attempts.known.idle_connections:
                     connection.idle_since -= idle
-                exchanges.start(book(number), repeatable=False)
-                assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
+                attempts.start(book(number), retryable=False)
+                assert await soon(attempts.ended.get()) is Outcome.SUCCESS
             assert len(one.open) == dialled
             await until(lambda: one.ended.qsize() == max(0, dialled - 2))  # no more than two are kept
 
@@ -516,16 +513,18 @@
 def test_what_must_not_run_twice_shuns_an_age_at_which_connections_break() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
-            exchanges = Exchanges(one)
-            exchanges.upstream.keeping.used(0.15)  # one is too few to stop what can be sent again
-            exchanges.upstream.keeping.broke(0.15)
-            exchanges.start()
-            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
-            for repeatable, dialled in ((True, 1), (False, 2)):
-                [connection] = exchanges.known.idle
+            attempts = Attempts(one)
+            attempts.upstream.keepalive_policy.record_reuse(
+                0.15
+            )  # one is too few to stop what can be sent again
+            attempts.upstream.keepalive_policy.record_failure(0.15)
+            attempts.start()
+            assert await soon(attempts.ended.get()) is Outcome.SUCCESS
+            for retryable, dialled in ((True, 1), (False, 2)):
+                [connection] = attempts.known.idle_connections
                 connection.idle_since -= 0.2
-                exchanges.start(repeatable=repeatable)
-                assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
+                attempts.start(retryable=retryable)
+                assert await soon(attempts.ended.get()) is Outcome.SUCCESS
                 assert len(one.open) == dialled
 
     asyncio.run(play())
@@ -539,17 +538,17 @@
 ) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
-            exchanges = Exchanges(one)
+            attempts = Attempts(one)
             for number in range(used):  # idle for longer than the one below: what it proves holds there too
-                exchanges.upstream.keeping.used(5.0)
+                attempts.upstream.keepalive_policy.record_reuse(5.0)
                 if number < broke:
-                    exchanges.upstream.keeping.broke(5.0)
-            exchanges.start()
-            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
-            [connection] = exchanges.known.idle
+                    attempts.upstream.keepalive_policy.record_failure(5.0)
+            attempts.start()
+            assert await soon(attempts.ended.get()) is Outcome.SUCCESS
+            [connection] = attempts.known.idle_connections
             connection.idle_since -= 2.0
-            exchanges.start(repeatable=False)
-            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
+            attempts.start(retryable=False)
+            assert await soon(attempts.ended.get()) is Outcome.SUCCESS
             assert len(one.open) == dialled
 
     asyncio.run(play())
@@ -558,16 +557,16 @@
 def test_where_enough_are_kept_the_oldest_makes_room_for_the_one_that_just_answered() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
-            exchanges = Exchanges(one)
+            attempts = Attempts(one)
             for _ in range(2):
-                exchanges.start()
+                attempts.start()
             for _ in range(2):
-                assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
-            for connection in exchanges.known.idle:
+                assert await soon(attempts.ended.get()) is Outcome.SUCCESS
+            for connection in attempts.known.idle_connections:
                 connection.idle_since -= WIDE
             for _ in range(3):  # the first finds none young enough, the others its connection
-                exchanges.start(repeatable=False)
-                assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
+                attempts.start(retryable=False)
+                assert await soon(attempts.ended.get()) is Outcome.SUCCESS
             assert len(one.open) == 3
             await until(lambda: one.ended.qsize() == 1)  # no more than two are kept
 
@@ -578,7 +577,7 @@
     async def play() -> None:
         answers = [OK, OK, CLOSE, OK, OK]
         async with backend(lambda _: answers.pop(0)) as one:
-            exchanges = Exchanges(one)
+            attempts = Attempts(one)
             for expected in (
                 Outcome.SUCCESS,
                 Outcome.SUCCESS,
@@ -586,10 +585,10 @@
                 Outcome.SUCCESS,
                 Outcome.SUCCESS,
             ):
-                exchanges.start()
-                assert await soon(exchanges.ended.get()) is expected
+                attempts.start()
+                assert await soon(attempts.ended.get()) is expected
             assert len(one.open) == 2
-            assert len(exchanges.known.idle) == 1
+            assert len(attempts.known.idle_connections) == 1
 
     asyncio.run(play())
 
@@ -599,13 +598,13 @@
         forgets = False
 
         async with backend(lambda _: CLOSE if forgets else OK) as one:
-            exchanges = Exchanges(one)
+            attempts = Attempts(one)
 
             async def ask(idle: float) -> Outcome:
-                for connection in exchanges.known.idle:
+                for connection in attempts.known.idle_connections:
                     connection.idle_since -= idle
-                exchanges.start()
-                return await soon(exchanges.ended.get())
+                attempts.start()
+                return await soon(attempts.ended.get())
 
             assert await ask(0.0) is Outcome.SUCCESS
             broken = 0
@@ -633,15 +632,15 @@
 def test_a_connection_with_something_unread_is_not_used_again() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
-            exchanges = Exchanges(one)
-            exchanges.start()
-            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
-            [idle] = exchanges.known.idle
+            attempts = Attempts(one)
+            attempts.start()
+            assert await soon(attempts.ended.get()) is Outcome.SUCCESS
+            [idle] = attempts.known.idle_connections
             idle._transport.pause_reading()  # what comes now stays unread, as in a busy moment
             one.open[0].write(OK)
-            await until(lambda: not idle.usable())
-            exchanges.start()
-            assert await soon(exchanges.ended.get()) is Outcome.SUCCESS
+            await until(lambda: not idle.is_usable())
+            attempts.start()
+            assert await soon(attempts.ended.get()) is Outcome.SUCCESS
             assert len(one.open) == 2
 
     asyncio.run(play())
@@ -771,7 +770,7 @@
                 got = await client.ask(book(number))
                 assert status(got) == 200
                 assert got.endswith(b"\r\n\r\n" + body)
-            assert up.proxy._upstream.held == 0
+            assert up.proxy._upstream.response_memory.reserved == 0
 
     asyncio.run(play())
 
@@ -783,7 +782,7 @@
             async with running([entry("a", one.address)], memory=2 << 20) as up:  # 256 KiB for answers
                 client = await up.client()
                 assert status(await client.ask(book())) == 502
-                await until(lambda: up.proxy._upstream.held == 0)
+                await until(lambda: up.proxy._upstream.response_memory.reserved == 0)
 
     asyncio.run(play())
 
@@ -810,7 +809,7 @@
             client = await up.client()
             client.writer.write(request_bytes)
             await soon(one.got.get())
-            await asyncio.sleep(3.0 * STALL)
+            await asyncio.sleep(3.0 * MAX_RESPONSE_STALL)
             one.open[0].write(OK[-2:] if begins == OK[:-2] else OK)
             assert (await client.answer()).endswith(b"\r\n\r\ndone")
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -41,7 +41,7 @@
 from proxy.__main__ import reload
 from proxy.config import load
 from proxy.proxy import Proxy
-from proxy.upstream import connection_pool as upstream
+from proxy.upstream import connection_pool
 
 READ, BOOK, ONCE = WIRE["Services"]
 __all__ = ["path"]  # a fixture
@@ -192,9 +192,9 @@
                 calls = up.proxy._calls
                 await clock.until(
                     lambda: any(
-                        exchange.connection is not None and exchange.connection._begun
+                        attempt.connection is not None and attempt.connection._parser.receiving
                         for call in calls.values()
-                        for exchange in call.exchanges
+                        for attempt in call.attempts
                     )
                 )
                 up.reload(Services=[READ | {"Repeat": "fragile"}])
@@ -335,7 +335,7 @@
     async def play() -> None:
         async with site(path, [entry("a", f"{HOST}:1"), entry("b", f"{HOST}:2")]) as up:
             up.reload(Instances=4)
-            assert up.proxy._upstream._idle_share == upstream.IDLE_SHARED * 2 / 4
+            assert up.proxy._upstream._idle_quota == connection_pool.FLEET_IDLE_PER_BACKEND * 2 / 4
 
     asyncio.run(play())
 
@@ -402,11 +402,23 @@
             client = await up.client()
             assert status(await client.ask(read(1))) == 200
             proxy, balancer = up.proxy, up.proxy._balancer
-            kept = [balancer.settings, balancer.pools, balancer.took, balancer.due, proxy._upstream._sweeping]
+            kept = [
+                balancer.settings,
+                balancer.pools,
+                balancer.took,
+                balancer.due,
+                proxy._upstream._sweep_timer,
+            ]
             order = dict(reversed(up.file.top.items())) | {"settings": dict(reversed(WIRE.items()))}
             for top in (None, order, {"discovery": f"{HOST}:10"}):
                 up.reload(top)
-            now = [balancer.settings, balancer.pools, balancer.took, balancer.due, proxy._upstream._sweeping]
+            now = [
+                balancer.settings,
+                balancer.pools,
+                balancer.took,
+                balancer.due,
+                proxy._upstream._sweep_timer,
+            ]
             assert all(a is b for a, b in zip(kept, now, strict=True))
             assert lines(capfd) == [f"proxy: reload: discovery is at {HOST}:10"]
             assert (await up.health())[1][1].startswith(b"version 1-")
