--- a/proxy/__main__.py
+++ b/proxy/__main__.py
@@ -71,16 +71,16 @@
     # Guards what is on its way: the callers' front goes on sending connections for a moment.
     begun = loop.time()
     while (passed := loop.time() - begun) < LISTEN_MOST:
-        if passed >= LISTEN_LEAST and loop.time() - front.last_accept >= LISTEN_QUIET:
+        if passed >= LISTEN_LEAST and loop.time() - front.last_accepted_at >= LISTEN_QUIET:
             break
         await asyncio.sleep(0.02)
     await front.stop_listening(listener)
     await asyncio.sleep(CLOSE_AFTER)
     # Guards requests whose last byte comes only from here on: SIGKILL may come before their time is up.
     longest = max(row.deadline for row in front.config.settings.classes)
-    front.ending = begun + min(longest, KILL_LONGEST) + KILL_AFTER - KILL_MARGIN
-    front.close()
-    while front.callers:
+    front.final_deadline = begun + min(longest, KILL_LONGEST) + KILL_AFTER - KILL_MARGIN
+    front.stop_keepalive()
+    while front.connections.open:
         await asyncio.sleep(0.01)
 
 
--- /dev/null
+++ b/proxy/downstream/classification.py
@@ -0,0 +1,84 @@
+"""What the decisions need to know of a request: its class, tenant, time limit and cost, from its headers.
+
+It owns the rules for these headers. The decisions about the request are the `balancer` package's, and the
+general rules of HTTP are `request_parser`'s.
+"""
+
+from __future__ import annotations
+
+import re
+from dataclasses import dataclass
+
+from balancer.settings import Idempotency, RequestClass
+from proxy.config import Config
+from proxy.downstream.errors import HttpError
+from proxy.downstream.request_parser import ClientRequest
+
+DECIMAL = re.compile(rb"\d{1,9}(\.\d{1,9})?")
+REQUEST_ID = re.compile(rb"[0-9A-Za-z._-]{1,64}")
+MICROSECONDS_PER_SECOND = 1e6
+
+#: For each kind of class: the method of its requests, and whether they need an idempotency key.
+METHOD_RULES = {
+    Idempotency.IDEMPOTENT: (b"GET", False),
+    Idempotency.KEYED: (b"POST", True),
+    Idempotency.NON_IDEMPOTENT: (b"POST", False),
+}
+
+
+@dataclass(slots=True)
+class ClassifiedRequest:
+    """What the decisions need to know of a request.
+
+    Attributes:
+        class_index: The position of its class in the settings that it was classified under.
+        tenant_index: The position of its tenant there; 0 where the settings list no tenants.
+        timeout: Seconds from its first byte in which the client wants the response.
+        cost: The client's estimate of the work in seconds; 0 where it gives none.
+        is_retry: Whether the client has sent it before.
+        request_class: The class itself.
+    """
+
+    class_index: int
+    tenant_index: int
+    timeout: float
+    cost: float
+    is_retry: bool
+    request_class: RequestClass
+
+
+def classify(request: ClientRequest, config: Config) -> ClassifiedRequest:
+    """Read what the decisions need to know of a request.
+
+    Raises:
+        HttpError: A header that is needed is missing, malformed, or names what the configuration doesn't.
+    """
+    get = request.headers.get
+    if not REQUEST_ID.fullmatch(get(b"x-request-id", b"")):
+        raise HttpError(400, "no request id, or a malformed one")
+    class_index = config.classes.get(get(b"x-priority-class", b"").decode("latin-1"))
+    if class_index is None:
+        raise HttpError(400, "unknown class")
+    request_class = config.settings.classes[class_index]
+    method, needs_key = METHOD_RULES[request_class.idempotency]
+    if request.method != method or (needs_key and not get(b"idempotency-key")):
+        raise HttpError(400, "the method does not fit the class")
+    tenant_index: int | None = 0
+    if config.tenants:
+        tenant_index = config.tenants.get(get(b"x-tenant-id", b"").decode("latin-1"))
+    if tenant_index is None:
+        raise HttpError(400, "unknown tenant")
+    timeout = get(b"x-timeout", b"")
+    if not DECIMAL.fullmatch(timeout):
+        raise HttpError(400, "the time is malformed")
+    cost = get(b"x-cost", b"")
+    return ClassifiedRequest(
+        class_index,
+        tenant_index,
+        # No client waits longer than the deadline of its class: an absurd time would only hold a timer and
+        # the request's memory.
+        min(float(timeout), request_class.deadline),
+        float(cost) / MICROSECONDS_PER_SECOND if DECIMAL.fullmatch(cost) else 0.0,
+        get(b"x-retried") == b"1",
+        request_class,
+    )
--- /dev/null
+++ b/proxy/downstream/connection.py
@@ -0,0 +1,292 @@
+"""One client's connection: its requests are read, taken up one after another, and answered.
+
+It owns the connection's state, the requests that wait on it, and the order of their responses. Parsing is
+`request_parser`'s, the limits on time and number are `eviction`'s, and what becomes of a request that is to
+be forwarded is up to the listener's `on_request`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import select
+from collections import deque
+from collections.abc import Callable
+from math import inf
+from typing import TYPE_CHECKING
+
+from proxy.downstream import eviction
+from proxy.downstream.connection_state import ConnectionState
+from proxy.downstream.errors import HttpError
+from proxy.downstream.request_parser import ClientRequest, RequestParser
+from proxy.downstream.response_writer import encode_response
+
+if TYPE_CHECKING:
+    from proxy.downstream.listener import Listener
+
+MAX_PIPELINED_REQUESTS = 8  # requests that may wait behind another: clients send one at a time
+MAX_DISCARDED_BYTES = 64 << 20  # bytes read and dropped behind a rejection before the connection is aborted
+#: What the system reports of a socket whose peer has closed it, or has ended its sending.
+DISCONNECT_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+
+
+class DownstreamConnection(asyncio.BufferedProtocol):
+    """One client's connection.
+
+    Reading goes on while a request is served: nothing else tells that the client disconnects.
+
+    Attributes:
+        on_disconnect: Called once, where the client disconnects before the response that it waits for.
+            Whoever takes a request sets it; the response clears it.
+    """
+
+    def __init__(self, listener: Listener) -> None:
+        self.on_disconnect: Callable[[], None] | None = None
+        self._listener = listener
+        self._connections = listener.connections
+        self._loop = asyncio.get_running_loop()
+        self._state = ConnectionState.NEW
+        self._queue: deque[ClientRequest | HttpError] = deque()  # an error is always the last
+        self._parser = RequestParser(self._queue.append)
+        self._idle_timeout = eviction.MIN_IDLE_TIMEOUT  # longer once a request of it was forwarded
+        self._keep_alive = False  # whether the client wants to go on after the request that is served
+        self._write_paused = False  # the client does not read its responses
+        self._input_ended = False  # a rejection is queued or written: what still comes is discarded
+        self._discarded_bytes = 0
+        self._buffered_bytes = 0  # its part of what the listener counts
+
+    # ---- the connection ------------------------------------------------------------------
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take up the connection."""
+        assert isinstance(transport, asyncio.Transport)
+        self._transport = transport
+        now = self._listener.last_accepted_at = self._loop.time()
+        self._connections.open.add(self)
+        self._enter(ConnectionState.NEW, now + eviction.FIRST_REQUEST_TIMEOUT)
+        # The limit on descriptors holds from here on; where none can go, a request is rejected later.
+        self._connections.make_room(self)
+
+    def eof_received(self) -> None:
+        """Take the end of the client's sending for a disconnect.
+
+        Requests that still wait are dropped, so that nothing is attempted for nobody. Without this, where an
+        earlier response is still unread, the connection would end only once that is out.
+        """
+        self._queue.clear()
+        self._report_disconnect()
+
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Let go of all that the connection holds."""
+        self._enter(ConnectionState.CLOSED)
+        self._queue.clear()
+        self._account_for(0)
+        self._parser.close()
+        self._report_disconnect()
+
+    def _report_disconnect(self) -> None:
+        on_disconnect, self.on_disconnect = self.on_disconnect, None
+        if on_disconnect is not None:
+            on_disconnect()
+
+    def _enter(self, state: ConnectionState, deadline: float = 0.0) -> None:
+        """Change the state: every change is made here.
+
+        Args:
+            state: The new state; the same one again renews the deadline.
+            deadline: The loop's time at which the connection is closed, where the state has a time limit.
+        """
+        deadlines_by_state = self._connections.deadlines_by_state
+        left = deadlines_by_state[self._state]
+        if left is not None:
+            left.pop(self, None)
+        self._state = state
+        entered = deadlines_by_state[state]
+        if entered is not None:
+            entered[self] = deadline
+        elif state is ConnectionState.CLOSED:
+            self._connections.open.discard(self)
+
+    def close(self) -> None:
+        """Close the connection once what is written is out."""
+        self._enter(ConnectionState.CLOSING, self._loop.time() + eviction.CLOSING_TIMEOUT)
+        self._transport.close()
+
+    def abort(self) -> None:
+        """Close the connection at once."""
+        self._enter(ConnectionState.CLOSED)
+        self._transport.abort()
+
+    def has_disconnected(self) -> bool:
+        """Return whether the client has closed its connection, whether or not that was read yet.
+
+        While the loop was busy, or behind bytes that are still unread, a close waits in the socket; asking
+        the system for it keeps attempts for nobody away from backends. A client that ends only its sending
+        looks the same, and counts as disconnected too.
+        """
+        if self._transport.is_closing():
+            return True
+        poll = select.poll()
+        poll.register(self._transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+        return any(events & DISCONNECT_EVENTS for _, events in poll.poll(0))
+
+    def pause_writing(self) -> None:
+        """Note that the client reads more slowly than is written."""
+        self._write_paused = True
+
+    def resume_writing(self) -> None:
+        """Go on with the requests that wait: the client has caught up."""
+        self._write_paused = False
+        self._resume()
+
+    # ---- reading -------------------------------------------------------------------------
+
+    def get_buffer(self, _sizehint: int) -> memoryview:
+        """Return where the next bytes go."""
+        return self._listener.read_buffer
+
+    def buffer_updated(self, nbytes: int) -> None:
+        """Parse what has come, and serve the first request that is complete."""
+        if self._input_ended:
+            self._discard(nbytes)
+            return
+        parser = self._parser
+        parser.feed(self._listener.read_buffer[:nbytes], self._loop.time())
+        self._enforce_buffer_limits()
+        if parser.error is not None:
+            self._input_ended = True
+            self._queue.append(parser.error)
+            self._account_for(parser.buffered_bytes())
+        if self._queue:
+            self._serve_next()
+        elif parser.reading:
+            self._begin_reading()
+
+    def _begin_reading(self) -> None:
+        """Set the time limit for the request of which a part has come, unless another is being served."""
+        if self._state is ConnectionState.NEW:  # counted from connecting: single bytes win no more time
+            self._enter(ConnectionState.READING, self._connections.new[self])
+        elif self._state is ConnectionState.IDLE:
+            self._enter(ConnectionState.READING, self._parser.started_at + eviction.REQUEST_TIMEOUT)
+
+    def _discard(self, nbytes: int) -> None:
+        """Drop what comes behind a rejection.
+
+        To close with bytes unread would reset the connection, and the response with it. A client that goes on
+        for ever must not keep a core busy, so there is an end to it.
+        """
+        self._discarded_bytes += nbytes
+        if self._discarded_bytes > MAX_DISCARDED_BYTES:
+            self.abort()
+
+    def _enforce_buffer_limits(self) -> None:
+        """Reject the connection's input where it holds too much memory or too many requests.
+
+        Many incomplete bodies, and many requests that wait behind another, would together exceed the memory
+        limit; a flood of requests on one connection would do so alone, and overload backends.
+        """
+        parser, listener, queue = self._parser, self._listener, self._queue
+        buffered = parser.buffered_bytes()
+        must_wait = self._state is ConnectionState.SERVING or self._write_paused
+        if must_wait:
+            buffered += sum(
+                request.buffered_bytes() for request in queue if isinstance(request, ClientRequest)
+            )
+        self._account_for(buffered)
+        if buffered and listener.buffered_bytes > listener.max_buffered_bytes:
+            parser.error = HttpError(503, "too many bodies at once")
+            if must_wait:
+                queue.clear()
+        if len(queue) > MAX_PIPELINED_REQUESTS:
+            queue.clear()
+            parser.error = HttpError(400, "too many requests at once")
+
+    def _account_for(self, buffered_bytes: int) -> None:
+        self._listener.buffered_bytes += buffered_bytes - self._buffered_bytes
+        self._buffered_bytes = buffered_bytes
+
+    # ---- requests and responses ----------------------------------------------------------
+
+    def _resume(self) -> None:
+        if self._queue:
+            self._serve_next()
+
+    def _serve_next(self) -> None:
+        """Take up the next request, unless an earlier one is still unanswered or its response unread."""
+        if self._state is ConnectionState.SERVING or self._write_paused:
+            return
+        request = self._queue.popleft()
+        if isinstance(request, HttpError):
+            self.reject(request)
+            return
+        self._enter(ConnectionState.SERVING)
+        self._keep_alive = request.keep_alive
+        try:
+            self._dispatch(request)
+        except HttpError as error:
+            self.reject(error)
+
+    def _dispatch(self, request: ClientRequest) -> None:
+        path = request.target.partition(b"?")[0]
+        if path == b"/healthz" and request.method == b"GET":
+            self._answer_health_check()
+        elif path == b"/api" or path.startswith(b"/api/"):  # a request without a key has no last part
+            if not self._connections.make_room(self, request_complete=True):
+                raise HttpError(503, "too many connections")
+            self._idle_timeout = eviction.IDLE_TIMEOUT
+            self._listener.on_request(request, self)
+        else:
+            raise HttpError(404, "no such path")
+
+    def _answer_health_check(self) -> None:
+        healthy = self._listener.healthy()
+        status, verdict = (200, b"ok") if healthy else (503, b"not ready")
+        self.send_response(status, b"", b"%b\nversion %b\n" % (verdict, self._listener.version.encode()))
+
+    def reject(self, error: HttpError) -> None:
+        """Answer a request that is not served, as the last one of the connection.
+
+        Kept alive, a client that is rejected would come again at full speed. Only the sending side is closed:
+        what still comes is read until the client closes, since a reset would take the response with it.
+        """
+        self.on_disconnect = None
+        self._input_ended = True
+        self._queue.clear()
+        self._account_for(0)
+        body = error.reason.encode() + b"\n"
+        self._transport.write(encode_response(error.status, b"", body, keep_alive=False))
+        self._enter(ConnectionState.CLOSING, self._loop.time() + eviction.CLOSING_TIMEOUT)
+        self._transport.write_eof()
+
+    def send_response(self, status: int, headers: bytes, body: bytes) -> None:
+        """Write the one final response to the request that is being served.
+
+        Args:
+            status: Its status code.
+            headers: Its end-to-end headers, each with its line end.
+            body: Its whole body.
+        """
+        self.on_disconnect = None
+        keep_alive = self._keep_alive and self._may_go_on()
+        self._transport.write(encode_response(status, headers, body, keep_alive))
+        if not keep_alive:
+            self._queue.clear()
+            self.close()
+            return
+        now = self._loop.time()
+        if self._parser.reading:
+            self._enter(ConnectionState.READING, now + eviction.REQUEST_TIMEOUT)
+        else:
+            self._enter(ConnectionState.IDLE, now + self._idle_timeout)
+        if self._queue and not self._write_paused:
+            self._loop.call_soon(self._resume)
+
+    def _may_go_on(self) -> bool:
+        """Return whether more is answered on this connection.
+
+        While the proxy shuts down, that is only what had come before connections began to close.
+        """
+        closing_since = self._listener.closing_since
+        if closing_since == inf:
+            return True
+        waiting = self._queue[0] if self._queue else None
+        return isinstance(waiting, ClientRequest) and waiting.received_at < closing_since
--- /dev/null
+++ b/proxy/downstream/connection_state.py
@@ -0,0 +1,24 @@
+"""The states of a client's connection; `connection` owns the changes, `eviction` the time limits in each."""
+
+from __future__ import annotations
+
+from enum import IntEnum
+
+
+class ConnectionState(IntEnum):
+    """What a client's connection is doing.
+
+    A connection begins as NEW. The first bytes of a request make it READING, the complete request SERVING (at
+    once, where it comes in one piece). The response makes it IDLE, or READING again where a part of the next
+    request is already there. A rejection, and a response that ends the connection, make it CLOSING. When it
+    is aborted, or has ended, it is CLOSED.
+
+    The values are positions in `ConnectionRegistry.deadlines_by_state`.
+    """
+
+    NEW = 0  # connected, and nothing has come yet
+    READING = 1  # a part of a request has come
+    SERVING = 2  # a request waits for its response: the only state without a time limit of its own
+    IDLE = 3  # between two requests
+    CLOSING = 4  # the last response is written, the end of the connection is not seen yet
+    CLOSED = 5  # aborted or ended
--- a/proxy/downstream/request_parser.py
+++ b/proxy/downstream/request_parser.py
@@ -1,4 +1,8 @@
-"""Reads one caller's bytes into requests; what may not go on to a backend ends as a rejection."""
+"""Parses the bytes of one client's connection into requests; what may not be forwarded ends as an error.
+
+It owns the limits on a request's size and the rules of HTTP that protect backends and other clients. What the
+headers mean to the decisions is `classification`'s, and when a request is served is `connection`'s.
+"""
 
 from __future__ import annotations
 
@@ -7,12 +11,16 @@
 
 import httptools
 
+from proxy.downstream.errors import HttpError
 from proxy.http_common import HOP_BY_HOP_HEADERS, MAX_BODY_BYTES
 
-HEAD_MOST = 16 << 10  # bytes of a request's head: what backends commonly read
-WIRE_MOST = 8 * MAX_BODY_BYTES  # bytes of a request on the wire: the smallest chunks take six times the body
-VERSIONS = ("1.1", "1.0")
-NAMED = frozenset(
+MAX_HEAD_BYTES = 16 << 10  # bytes of a request's head: what backends commonly read
+MAX_WIRE_BYTES = 8 * MAX_BODY_BYTES  # bytes of a request as sent: the smallest chunks take six times the body
+HEADER_OVERHEAD_BYTES = 4  # bytes of a header line beside name and value: `: ` and the line end
+SUPPORTED_VERSIONS = ("1.1", "1.0")
+
+#: Headers (in lower case) whose values the proxy reads itself.
+INTERPRETED_HEADERS = frozenset(
     {
         b"x-priority-class",
         b"x-tenant-id",
@@ -26,88 +34,96 @@
 )
 
 
-class HttpError(Exception):
-    """A request that is answered here: its status and one line of reason."""
-
-    def __init__(self, status: int, reason: str) -> None:
-        super().__init__(reason)
-        self.status = status
-        self.reason = reason
-
-    def size(self) -> int:
-        """Bytes that it holds while it waits."""
-        return 0
-
-
 @dataclass(slots=True)
 class ClientRequest:
-    """A whole request as it came; `arrived` is the loop's time of its first byte."""
+    """A complete request as it came.
+
+    Attributes:
+        method: Its method, as sent.
+        target: Its target, query included.
+        headers: Those of `INTERPRETED_HEADERS` that it has, by their names in lower case.
+        forwarded_headers: All its end-to-end headers, each with its line end, but for `X-Timeout`, which is
+            written anew for each attempt.
+        body: Its body, without framing.
+        received_at: The loop's time of its first byte.
+        keep_alive: Whether the client wants to send more on the connection.
+    """
 
     method: bytes
     target: bytes
-    headers: dict[bytes, bytes]  # those that the proxy reads
-    lines: bytes  # the end-to-end headers, each with its line end, but for the time
+    headers: dict[bytes, bytes]
+    forwarded_headers: bytes
     body: bytes
-    arrived: float
+    received_at: float
     keep_alive: bool
 
-    def size(self) -> int:
-        """Bytes that it holds while it waits."""
-        return len(self.target) + len(self.lines) + len(self.body)
+    def buffered_bytes(self) -> int:
+        """Return the bytes that it holds while it waits."""
+        return len(self.target) + len(self.forwarded_headers) + len(self.body)
 
 
 class RequestParser:
-    """The parser of one connection: whole requests are delivered, the first fault is kept and ends it."""
+    """The parser of one connection.
+
+    Complete requests are delivered in order; the first error is kept, and nothing is delivered after it.
+
+    Attributes:
+        error: What ends the connection's input, once there is something.
+        reading: Whether a request has begun and is not complete.
+        started_at: The loop's time of the first byte of the latest request.
+    """
 
-    def __init__(self, deliver: Callable[[ClientRequest], None]) -> None:
-        self._deliver = deliver
+    def __init__(self, on_request: Callable[[ClientRequest], None]) -> None:
+        self._on_request = on_request
         self._parser = httptools.HttpRequestParser(self)
-        self.fault: HttpError | None = None
-        self.reading = False  # a request has begun and is not whole
-        self.arrived = 0.0
-        self._begin()
+        self.error: HttpError | None = None
+        self.reading = False
+        self.started_at = 0.0
+        self._reset()
 
     def close(self) -> None:
-        """Let go of the parser: it and this object hold each other."""
-        del self._parser, self._deliver
+        """Let go of the parser: it and this object hold each other, and only a collection would free them."""
+        del self._parser, self._on_request
 
     def feed(self, data: memoryview, now: float) -> None:
-        """Read what has come in."""
-        begun, self._now = self.reading, now
+        """Parse what has come in at the loop's time `now`."""
+        had_begun, self._now = self.reading, now
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._reject(400, "the request is malformed")
-        if begun and self.reading:
-            self._wire += len(data)
-            if not self._headed and self._wire > HEAD_MOST:  # Guards memory against one header without end.
-                self._reject(431, "the head is too large")
-            elif self._wire > WIRE_MOST:  # Guards memory against chunk framing without end.
-                self._reject(413, "the request is too large")
-
-    def held(self) -> int:
-        """Bytes of the body of a request that is not whole."""
-        return min(self._size, MAX_BODY_BYTES) if self.reading else 0
-
-    def _reject(self, status: int, reason: str) -> None:
-        if self.fault is None:
-            self.fault = HttpError(status, reason)
-
-    def _begin(self) -> None:
+            self._fail(400, "the request is malformed")
+        if had_begun and self.reading:
+            # One header without end never reaches the callbacks below, and chunk framing without end reaches
+            # them in the smallest pieces: both would fill the memory.
+            self._wire_bytes += len(data)
+            if not self._head_complete and self._wire_bytes > MAX_HEAD_BYTES:
+                self._fail(431, "the head is too large")
+            elif self._wire_bytes > MAX_WIRE_BYTES:
+                self._fail(413, "the request is too large")
+
+    def buffered_bytes(self) -> int:
+        """Return the bytes of body held for a request that is not complete."""
+        return min(self._body_bytes, MAX_BODY_BYTES) if self.reading else 0
+
+    def _fail(self, status: int, reason: str) -> None:
+        if self.error is None:
+            self.error = HttpError(status, reason)
+
+    def _reset(self) -> None:
         self._target: list[bytes] = []
         self._headers: dict[bytes, bytes] = {}
-        self._connection = b""
-        self._lines: list[bytes] = []
+        self._connection_options = b""  # the values of all `Connection` headers, each after a comma
+        self._forwarded_headers: list[bytes] = []
         self._body: list[bytes] = []
-        self._head = self._size = self._wire = 0
-        self._headed = False
+        self._head_bytes = self._body_bytes = self._wire_bytes = 0
+        self._head_complete = False
 
-    # ---- the parser's calls ----------------------------------------------------------------
+    # ---- the parser's callbacks ------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Parser callback: a message begins."""
-        self._begin()
-        self.reading, self.arrived = True, self._now
+        """Parser callback: a request begins."""
+        self._reset()
+        self.reading, self.started_at = True, self._now
 
     def on_url(self, url: bytes) -> None:
         """Parser callback: a piece of the target."""
@@ -115,76 +131,82 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Parser callback: one header or trailer."""
-        # Guards against trailers that would count as headers, and against work for what is rejected anyway.
-        if self._headed or self.fault is not None:
+        # A trailer must not count as a header, and what is rejected anyway needs no more work.
+        if self._head_complete or self.error is not None:
             return
-        self._head += len(name) + len(value) + 4
-        if self._head > HEAD_MOST:
-            self._reject(431, "the head is too large")
-        elif not value.isascii():  # Guards backends that close on what they can't read.
-            self._reject(400, "a header is not plain text")
+        self._head_bytes += len(name) + len(value) + HEADER_OVERHEAD_BYTES
+        if self._head_bytes > MAX_HEAD_BYTES:
+            self._fail(431, "the head is too large")
+        elif not value.isascii():  # some backends close the connection on what they can't read
+            self._fail(400, "a header is not plain text")
         else:
-            self._header(name, name.lower(), value)
+            self._take_header(name, name.lower(), value)
 
-    def _header(self, name: bytes, lower: bytes, value: bytes) -> None:
-        if lower in NAMED:
-            if lower in self._headers:  # Guards against a backend that reads the other one.
-                self._reject(400, "a header comes twice")
+    def _take_header(self, name: bytes, lower: bytes, value: bytes) -> None:
+        if lower in INTERPRETED_HEADERS:
+            if lower in self._headers:  # a backend might read the other one of the two
+                self._fail(400, "a header comes twice")
             self._headers[lower] = value
         elif lower == b"connection":
-            self._connection += b"," + value.lower()
+            self._connection_options += b"," + value.lower()
         elif lower == b"content-length" and int(value) > MAX_BODY_BYTES:
-            self._reject(413, "the body is too large")
+            self._fail(413, "the body is too large")
         elif lower == b"transfer-encoding" and value.lower() != b"chunked":
-            # Guards against a body that others end elsewhere.
-            self._reject(400, "the transfer coding is unknown")
-        # Guards, by the last, against a backend that takes `_` for `-` and reads a header not checked here.
+            # Others might see the end of the body elsewhere, and take its rest for a request.
+            self._fail(400, "the transfer coding is unknown")
+        # A name with `_` is not forwarded: a backend that takes `_` for `-` would read a header that was not
+        # checked here.
         if lower != b"x-timeout" and lower not in HOP_BY_HOP_HEADERS and b"_" not in lower:
-            self._lines.append(b"%b: %b\r\n" % (name, value))
+            self._forwarded_headers.append(b"%b: %b\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
         """Parser callback: the head is complete."""
-        self._headed = True
+        self._head_complete = True
         version = self._parser.get_http_version()
-        if self._parser.should_upgrade():  # Guards against bytes behind the head that are no request.
-            self._reject(400, "no upgrade here")
-        elif version not in VERSIONS:
-            self._reject(505, "HTTP/1.1 is spoken here")
+        if self._parser.should_upgrade():  # the bytes behind the head would be no request
+            self._fail(400, "no upgrade here")
+        elif version not in SUPPORTED_VERSIONS:
+            self._fail(505, "HTTP/1.1 is spoken here")
         elif version == "1.1" and b"host" not in self._headers:
-            self._reject(400, "no host")
-        elif self._connection:
-            self._drop_named({token.strip() for token in self._connection.split(b",")})
+            self._fail(400, "no host")
+        elif self._connection_options:
+            self._drop_headers({option.strip() for option in self._connection_options.split(b",")})
+
+    def _drop_headers(self, names: set[bytes]) -> None:
+        """Drop the headers that `Connection` names: they end here, as hop-by-hop ones do.
 
-    def _drop_named(self, named: set[bytes]) -> None:
-        """Headers that `Connection` names end here."""
-        if not named.isdisjoint(NAMED):  # Guards against a request that loses its id on the way.
-            self._reject(400, "a header can't be dropped")
-        self._lines = [line for line in self._lines if line.partition(b":")[0].lower() not in named]
+        One that the proxy reads itself may not be among them, or the request would lose its id on the way.
+        """
+        if not names.isdisjoint(INTERPRETED_HEADERS):
+            self._fail(400, "a header can't be dropped")
+        self._forwarded_headers = [
+            line for line in self._forwarded_headers if line.partition(b":")[0].lower() not in names
+        ]
 
     def on_body(self, body: bytes) -> None:
         """Parser callback: a piece of the body."""
-        self._size += len(body)
-        if self._size <= MAX_BODY_BYTES:
+        self._body_bytes += len(body)
+        if self._body_bytes <= MAX_BODY_BYTES:
             self._body.append(body)
         else:
-            self._reject(413, "the body is too large")
+            self._fail(413, "the body is too large")
 
     def on_message_complete(self) -> None:
-        """Parser callback: the message is complete."""
+        """Parser callback: the request is complete."""
         self.reading = False
         target = b"".join(self._target)
         if b"#" in target:
-            self._reject(400, "the target is malformed")
-        if self.fault is not None:
+            self._fail(400, "the target is malformed")
+        if self.error is not None:
             return
-        self._deliver(
+        self._on_request(
             ClientRequest(
                 self._parser.get_method(),
                 target,
                 self._headers,
-                b"".join(self._lines),
+                b"".join(self._forwarded_headers),
                 b"".join(self._body),
-                self.arrived,
+                self.started_at,
                 self._parser.should_keep_alive(),
             )
         )
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -25,8 +25,11 @@
 from proxy import upstream
 from proxy.config import Config, ConfigError
 from proxy.discovery import watch as discovery
-from proxy.downstream.listener import DownstreamConnection, Listener
-from proxy.downstream.request_parser import ClientRequest, HttpError
+from proxy.downstream.classification import classify
+from proxy.downstream.connection import DownstreamConnection
+from proxy.downstream.errors import HttpError
+from proxy.downstream.listener import Listener
+from proxy.downstream.request_parser import ClientRequest
 
 SPARE_SOCKETS = 48  # descriptors for the listener, discovery, the loop, and callers beyond the limit
 CALLERS_PART = 0.5  # of the other descriptors
@@ -71,7 +74,7 @@
 
     def wanted(self) -> bool:
         """Whether somebody is still there to be answered."""
-        return self.caller is not None and not self.caller.left()
+        return self.caller is not None and not self.caller.has_disconnected()
 
     def bytes_for(self, left: float) -> bytes:
         """The request as it goes to a backend that is waited for so many seconds."""
@@ -81,7 +84,7 @@
         return b"%b %b HTTP/1.1\r\n%bX-Timeout: %.3f\r\n%b\r\n%b" % (
             request.method,
             request.target,
-            request.lines,
+            request.forwarded_headers,
             max(left, 0.001),
             length,
             request.body,
@@ -255,26 +258,26 @@
     # ---- requests ------------------------------------------------------------------------------
 
     def _request(self, request: ClientRequest, caller: DownstreamConnection) -> None:
-        facts = self.front.classify(request)
+        facts = classify(request, self.front.config)
         name = request.headers[b"x-request-id"]
         if name in self._open:  # Guards against a second request that backends would take for the first.
             raise HttpError(409, "a request with this id is open")
         self._open.add(name)
-        deadline = min(request.arrived + facts.timeout, self.front.ending) - ANSWER_EARLY
+        deadline = min(request.received_at + facts.timeout, self.front.final_deadline) - ANSWER_EARLY
         self._count += 1
-        call = ActiveRequest(str(self._count), request, facts.row, caller, deadline)
+        call = ActiveRequest(str(self._count), request, facts.request_class, caller, deadline)
         self._calls[call.rid] = call
-        caller.gone = lambda: self._gone(call)
+        caller.on_disconnect = lambda: self._gone(call)
         call.timer = self._loop.call_at(deadline, self._overdue, call)
         self._perform(
             self._decide(
                 self._balancer.on_request,
                 call.rid,
-                facts.kind,
-                facts.tenant,
+                facts.class_index,
+                facts.tenant_index,
                 deadline + self._epoch,
                 facts.cost,
-                facts.retry,
+                facts.is_retry,
                 call=call,
             )
         )
@@ -309,7 +312,7 @@
         caller = call.caller
         self._settle(call)
         if caller is not None:
-            caller.answer(status, head, body)
+            caller.send_response(status, head, body)
 
     def _settle(self, call: ActiveRequest) -> None:
         """Nothing is owed any more."""
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -289,7 +289,7 @@
         yield Running(proxy, sock.getsockname()[1])
     finally:
         await proxy.front.stop_listening(sock)
-        proxy.front.close()
+        proxy.front.stop_keepalive()
 
 
 def read(number: int = 1, timeout: str = "30", target: str = "/api/k", **headers: str) -> bytes:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -40,18 +40,18 @@
     """Open far more connections than there is room for; also gives the most that the proxy held at once."""
     front, socks, most = up.proxy.front, [], 0
     for _ in range(4 * SOCKETS):
-        accepted, before = front.last_accept, front.callers.copy()
+        accepted, before = front.last_accepted_at, front.connections.open.copy()
         sock = socket.create_connection((HOST, up.port))
         socks.append(sock)
-        await clock.until(lambda before=before: bool(front.callers - before))  # type: ignore[misc]
-        assert front.last_accept >= accepted
+        await clock.until(lambda before=before: bool(front.connections.open - before))  # type: ignore[misc]
+        assert front.last_accepted_at >= accepted
         sock.setblocking(False)
         try:
             sock.send(sent)
         except OSError:  # shut already
             continue
         await clock.settle()
-        most = max(most, len(front.callers))
+        most = max(most, len(front.connections.open))
     return socks, most
 
 
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -65,7 +65,7 @@
             await ending.listen()
             client = await ending.client()
             client.writer.write(book()[:-2])
-            await ending.clock.until(lambda: bool(ending.proxy.front.reading))
+            await ending.clock.until(lambda: bool(ending.proxy.front.connections.reading))
             await ending.term()
             await ending.past(1.5)
             client.writer.write(book()[-2:])
@@ -100,7 +100,7 @@
             if state == "dialling":
                 await ending.clock.until(lambda: bool(ending.proxy._calls))
             elif state == "half read":
-                await ending.clock.until(lambda: bool(ending.proxy.front.reading))
+                await ending.clock.until(lambda: bool(ending.proxy.front.connections.reading))
             else:
                 await ending.clock.until(lambda: one.got.qsize() == 1)
             await ending.term()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -72,7 +72,7 @@
                     client.writer.write(behind)
                     await until(
                         lambda: (
-                            any(c._queue or c._intake.reading for c in up.proxy.front.callers)
+                            any(c._queue or c._parser.reading for c in up.proxy.front.connections.open)
                             or behind == b"\r\n"
                         )
                     )
@@ -147,10 +147,10 @@
             client.writer.write(read(3))
             client.writer.close()
             await soon(one.ended.get())  # its attempt was given up
-            await until(lambda: not up.proxy.front.callers)
+            await until(lambda: not up.proxy.front.connections.open)
             assert one.got.empty()
             assert not up.proxy._calls
-            assert up.proxy.front.held == 0
+            assert up.proxy.front.buffered_bytes == 0
 
     asyncio.run(play())
 
@@ -164,9 +164,9 @@
                 await soon(one.got.get())
                 for number in (2, 3):
                     client.writer.write(book(number, body=b"x" * (60 << 10)))
-                [caller] = up.proxy.front.callers
-                await until(lambda: caller._faulty)
-                assert up.proxy.front.held <= 100 << 10
+                [caller] = up.proxy.front.connections.open
+                await until(lambda: caller._input_ended)
+                assert up.proxy.front.buffered_bytes <= 100 << 10
                 one.open[0].write(OK)
                 assert [status(await client.answer()) for _ in range(2)] == [200, 503]
                 assert await soon(client.reader.read()) == b""
@@ -183,11 +183,11 @@
             client.writer.write(book(1))
             await soon(one.got.get())
             client.writer.write(b"".join(read(number) for number in range(2, 200)) + b"x" * (1 << 20))
-            [caller] = up.proxy.front.callers
-            await until(lambda: caller._faulty)
+            [caller] = up.proxy.front.connections.open
+            await until(lambda: caller._input_ended)
             leave(client, how)
             await soon(one.ended.get())
-            await until(lambda: not up.proxy.front.callers and not up.proxy._calls)
+            await until(lambda: not up.proxy.front.connections.open and not up.proxy._calls)
             assert one.got.empty()
 
     asyncio.run(play())
@@ -221,7 +221,7 @@
 
 async def accepted(clock: Clock, up: Running, callers: int) -> None:
     """Wait until so many connections are the proxy's."""
-    await clock.until(lambda: len(up.proxy.front.callers) == callers)
+    await clock.until(lambda: len(up.proxy.front.connections.open) == callers)
 
 
 async def kept(clock: Clock, up: Running, client: Client, stubs: list[Backend]) -> None:
@@ -385,13 +385,13 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.setblocking(False)
             await asyncio.get_running_loop().sock_connect(sock, (HOST, up.port))
-            await until(lambda: bool(up.proxy.front.callers))
-            [caller] = up.proxy.front.callers
+            await until(lambda: bool(up.proxy.front.connections.open))
+            [caller] = up.proxy.front.connections.open
             number = 0
             while caller._transport.get_write_buffer_size() < 24 << 10:  # more than the system still takes
                 sock.send(read(number := number + 1))
                 await until(lambda sent=number: one.got.qsize() == sent and not up.proxy._calls)  # type: ignore[misc]
-            assert not caller._stuck
+            assert not caller._write_paused
             for connection in tuple(up.proxy._upstream._idle):
                 up.proxy._upstream._close_idle(connection)
             gate = Gate(monkeypatch)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -33,7 +33,7 @@
 from balancer.events import Outcome, Reject
 from balancer.settings import Settings
 from balancer.settings_reader import read_settings
-from proxy.downstream.listener import DownstreamConnection
+from proxy.downstream.connection import DownstreamConnection
 from proxy.downstream.request_parser import RequestParser
 from proxy.proxy import ActiveRequest, Proxy
 from proxy.upstream import connection_pool, keepalive_policy
@@ -199,7 +199,7 @@
             monkeypatch.setattr(up.proxy._balancer, "on_request", request)
             client = await up.client()
             client.writer.write(book()[:30])
-            await until(lambda: bool(up.proxy.front.reading))
+            await until(lambda: bool(up.proxy.front.connections.reading))
             seen = time.time()
             await asyncio.sleep(0.05)
             assert status(await client.ask(book()[30:])) == 200
@@ -694,7 +694,7 @@
                     bad = await up.client()
                     assert status(await bad.ask(b"nonsense\r\n\r\n")) == 400
                     bad.writer.close()
-                await until(lambda: not up.proxy.front.callers)
+                await until(lambda: not up.proxy.front.connections.open)
                 await asyncio.sleep(0)
                 left = [thing for thing in gc.get_objects() if isinstance(thing, kinds)]
                 assert len(left) <= 8, left
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -97,7 +97,7 @@
         yield Site(proxy, sock.getsockname()[1], file)
     finally:
         await proxy.front.stop_listening(sock)
-        proxy.front.close()
+        proxy.front.stop_keepalive()
 
 
 def of(kind: str, number: int, method: str = "GET") -> bytes:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -128,9 +128,11 @@
             assert got.startswith(b"HTTP/1.1 408 ") if len(sent) > 2 else got == b""
             assert one.got.empty()
             client.writer.close()
-            await until(lambda: not up.proxy.front.callers and not up.proxy.front.leaving)
+            await until(
+                lambda: not up.proxy.front.connections.open and not up.proxy.front.connections.closing
+            )
 
-    monkeypatch.setattr("proxy.downstream.listener.FIRST_WITHIN", 0.5)
+    monkeypatch.setattr("proxy.downstream.eviction.FIRST_REQUEST_TIMEOUT", 0.5)
     asyncio.run(play())
 
 
@@ -140,9 +142,9 @@
             client = await up.client()
             assert status(await client.ask(book())) == 200
             assert await soon(client.reader.read()) == b""
-            assert not up.proxy.front.callers
+            assert not up.proxy.front.connections.open
 
-    monkeypatch.setattr("proxy.downstream.listener.IDLE_MOST", 0.1)
+    monkeypatch.setattr("proxy.downstream.eviction.IDLE_TIMEOUT", 0.1)
     asyncio.run(play())
 
 
@@ -153,10 +155,10 @@
                 whole = [book(number, body=b"x" * (60 << 10)) for number in range(2)]
                 first, second = await up.client(), await up.client()
                 first.writer.write(whole[0][:-1])
-                await until(lambda: up.proxy.front.held > 60_000)
+                await until(lambda: up.proxy.front.buffered_bytes > 60_000)
                 assert status(await second.ask(whole[1][:-1])) == 503
                 assert status(await first.ask(whole[0][-1:])) == 200
-                await until(lambda: up.proxy.front.held == 0)
+                await until(lambda: up.proxy.front.buffered_bytes == 0)
                 assert one.got.qsize() == 1
 
     asyncio.run(play())
@@ -170,19 +172,25 @@
                 good, half = await up.client(), await up.client()
                 assert status(await good.ask(book(1))) == 200
                 half.writer.write(book(2)[:-1])
-                await until(lambda: bool(front.reading))
+                await until(lambda: bool(front.connections.reading))
                 bad = await up.client()
                 assert status(await bad.ask(b"nonsense\r\n\r\n")) == 400
                 silent = [await up.client() for _ in range(12)]  # far more than there is room for
-                await until(lambda: not front.leaving and len(front.callers) == 4)
+                await until(lambda: not front.connections.closing and len(front.connections.open) == 4)
                 for client in silent[:-2]:
                     assert await soon(client.reader.read()) == b""
                 assert status(await good.ask(book(3))) == 200
                 assert status(await half.ask(book(2)[-1:])) == 200
 
-    for name in ("FIRST_WITHIN", "WHOLE_WITHIN", "IDLE_LEAST", "IDLE_MOST", "LINGER"):
-        monkeypatch.setattr(f"proxy.downstream.listener.{name}", 3 * WIDE)
-    monkeypatch.setattr("proxy.downstream.listener.SETTLE", 0.0)
+    for name in (
+        "FIRST_REQUEST_TIMEOUT",
+        "REQUEST_TIMEOUT",
+        "MIN_IDLE_TIMEOUT",
+        "IDLE_TIMEOUT",
+        "CLOSING_TIMEOUT",
+    ):
+        monkeypatch.setattr(f"proxy.downstream.eviction.{name}", 3 * WIDE)
+    monkeypatch.setattr("proxy.downstream.eviction.SETTLING_TIME", 0.0)
     asyncio.run(play())
 
 
@@ -229,12 +237,12 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.setblocking(False)
             await asyncio.get_running_loop().sock_connect(sock, (HOST, up.port))
-            await until(lambda: bool(up.proxy.front.callers))
-            [caller] = up.proxy.front.callers
+            await until(lambda: bool(up.proxy.front.connections.open))
+            [caller] = up.proxy.front.connections.open
             number = 0
-            while not caller._stuck:
+            while not caller._write_paused:
                 sock.send(read(number := number + 1))
-                await until(lambda sent=number: caller._stuck or one.got.qsize() == sent)  # type: ignore[misc]
+                await until(lambda sent=number: caller._write_paused or one.got.qsize() == sent)  # type: ignore[misc]
             assert caller._transport.get_write_buffer_size() < 3 * 65536
             sock.close()
 
@@ -258,7 +266,7 @@
                 assert b"Connection: close\r\n" in refused
                 busy[0].writer.close()
                 front = up.proxy.front
-                await until(lambda: len(front.callers) - len(front.leaving) == 3)
+                await until(lambda: len(front.connections.open) - len(front.connections.closing) == 3)
                 assert status(await (await up.client()).ask(book(1))) == 200
 
     asyncio.run(play())
