--- a/emulator/child.py
+++ b/emulator/child.py
@@ -1,4 +1,7 @@
-"""Child processes that hold a role: calls go over a pipe, one by one, into the child's event loop."""
+"""Child processes that each run one object: calls go over a pipe, one by one, into the child's event loop.
+
+It owns the processes and the calls to them; it knows nothing of the objects that run there.
+"""
 
 from __future__ import annotations
 
@@ -8,68 +11,92 @@
 import multiprocessing
 import traceback
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from multiprocessing.connection import Connection
 from types import TracebackType
 from typing import Any
 
-from emulator.meter import Usage, of
+from emulator.meter import Usage, process_usage
 
-CALL = 120.0  # seconds that one call may take
-END = 5.0  # seconds in which a child ends by itself
+CALL_TIMEOUT = 120.0  # seconds that one call may take
+EXIT_TIMEOUT = 5.0  # seconds in which a child ends by itself
 
 
 class ChildError(RuntimeError):
     """A call failed in the child, or the child is gone or too slow."""
 
 
-class Child:
-    """A process in which `factory(*args)` is made; its methods, coroutines too, are called by name."""
+@dataclass(slots=True, frozen=True)
+class _Call:
+    method: str
+    args: tuple[Any, ...]
+    kwargs: dict[str, Any]
+
+
+@dataclass(slots=True, frozen=True)
+class _Reply:
+    """What a call returned, or the traceback of what it raised."""
+
+    value: Any = None
+    error: str | None = None
+
+
+class ChildProcess:
+    """A process that makes `factory(*args)`; the object's methods, coroutines too, are called by name."""
 
     def __init__(self, factory: Callable[..., Any], *args: Any) -> None:
         context = multiprocessing.get_context("spawn")
-        self._pipe, theirs = context.Pipe()
-        self._process = context.Process(target=_serve, args=(theirs, factory, args), daemon=True)
+        self._pipe, child_pipe = context.Pipe()
+        self._process = context.Process(target=_serve, args=(child_pipe, factory, args), daemon=True)
         self._process.start()
-        theirs.close()
+        child_pipe.close()
         self.pid = self._process.pid or 0
 
     def send(self, method: str, *args: Any, **kwargs: Any) -> None:
-        """Begin a call; every one is followed by one `result`."""
+        """Begin a call; each must be followed by one `result`.
+
+        Raises:
+            ChildError: The child is gone.
+        """
         try:
-            self._pipe.send((method, args, kwargs))
+            self._pipe.send(_Call(method, args, kwargs))
         except OSError as fault:
             raise ChildError(f"{method}: the process is gone") from fault
 
-    def result(self, timeout: float = CALL) -> Any:
-        """What the oldest call begun returned; ChildError where it failed or takes longer."""
+    def result(self, timeout: float = CALL_TIMEOUT) -> Any:
+        """Wait for what the oldest call begun returns.
+
+        Raises:
+            ChildError: The call failed or takes longer, or the child is gone.
+        """
         try:
             if not self._pipe.poll(timeout):
                 raise ChildError(f"no answer within {timeout:g} s")
-            good, value = self._pipe.recv()
+            reply: _Reply = self._pipe.recv()
         except (EOFError, OSError) as fault:
             raise ChildError("the process is gone") from fault
-        if not good:
-            raise ChildError(value)
-        return value
+        if reply.error is not None:
+            raise ChildError(reply.error)
+        return reply.value
 
     def call(self, method: str, *args: Any, **kwargs: Any) -> Any:
-        """Call a method and wait."""
+        """Call a method and wait for its result; ChildError as `send` and `result`."""
         self.send(method, *args, **kwargs)
         return self.result()
 
     def usage(self) -> Usage:
         """What the process has spent, read from outside."""
-        return of(self.pid)
+        return process_usage(self.pid)
 
     def close(self) -> None:
         """End the process."""
         self._pipe.close()
-        self._process.join(END)
+        self._process.join(EXIT_TIMEOUT)
         if self._process.is_alive():
             self._process.kill()
-            self._process.join(END)
+            self._process.join(EXIT_TIMEOUT)
 
-    def __enter__(self) -> Child:
+    def __enter__(self) -> ChildProcess:
         return self
 
     def __exit__(
@@ -78,8 +105,8 @@
         self.close()
 
 
-def call_all(children: Iterable[Child], method: str, *args: Any, **kwargs: Any) -> list[Any]:
-    """The same call at all of them at once; their results in order."""
+def call_all(children: Iterable[ChildProcess], method: str, *args: Any, **kwargs: Any) -> list[Any]:
+    """Make the same call in all of them at once; their results in order."""
     called = list(children)
     for child in called:
         child.send(method, *args, **kwargs)
@@ -88,31 +115,34 @@
 
 def _serve(pipe: Connection, factory: Callable[..., Any], args: tuple[Any, ...]) -> None:
     with contextlib.suppress(KeyboardInterrupt):
-        asyncio.run(_answer(pipe, factory, args))
+        asyncio.run(_answer_calls(pipe, factory, args))
 
 
-async def _answer(pipe: Connection, factory: Callable[..., Any], args: tuple[Any, ...]) -> None:
-    """Answer calls until the parent has let go of the pipe."""
-    calls: asyncio.Queue[Any] = asyncio.Queue()
+async def _answer_calls(pipe: Connection, factory: Callable[..., Any], args: tuple[Any, ...]) -> None:
+    """Answer calls until the parent has closed its end of the pipe."""
+    calls: asyncio.Queue[_Call | None] = asyncio.Queue()
     loop = asyncio.get_running_loop()
 
-    def take() -> None:
+    def on_readable() -> None:
         try:
             calls.put_nowait(pipe.recv())
         except (EOFError, OSError):
             loop.remove_reader(pipe.fileno())
             calls.put_nowait(None)
 
-    loop.add_reader(pipe.fileno(), take)
-    role = factory(*args)
+    loop.add_reader(pipe.fileno(), on_readable)
+    target = factory(*args)
     while (call := await calls.get()) is not None:
-        method, given, named = call
-        try:
-            value = getattr(role, method)(*given, **named)
-            if inspect.isawaitable(value):
-                value = await value
-            answer = (True, value)
-        except Exception:  # noqa: BLE001 - whatever it is, the parent gets it
-            answer = (False, traceback.format_exc())
+        reply = await _perform(target, call)
         with contextlib.suppress(OSError):
-            pipe.send(answer)
+            pipe.send(reply)
+
+
+async def _perform(target: Any, call: _Call) -> _Reply:
+    try:
+        value = getattr(target, call.method)(*call.args, **call.kwargs)
+        if inspect.isawaitable(value):
+            value = await value
+    except Exception:  # noqa: BLE001 - whatever it is, the parent gets it
+        return _Reply(error=traceback.format_exc())
+    return _Reply(value)
--- /dev/null
+++ b/emulator/control_cost.py
@@ -0,0 +1,95 @@
+"""What control costs a simulated proxy beside a real one, for one kind of event.
+
+It owns the arithmetic and the form of the comparison in a result; the events happen in `runs.hollow`.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+from typing import Any
+
+
+@dataclass(slots=True, frozen=True)
+class ProxyCost:
+    """What one event costs one proxy.
+
+    Attributes:
+        processor: Processor time in seconds.
+        sent_bytes: Bytes that the control machine sent to it.
+        processor_net: The processor time beyond what as much idle time costs; None where not worked out.
+    """
+
+    processor: float
+    sent_bytes: float
+    processor_net: float | None = None
+
+    def as_dict(self) -> dict[str, float]:
+        """The cost as a result holds it."""
+        figures = {"processor": self.processor, "bytes": self.sent_bytes}
+        if self.processor_net is not None:
+            figures["processor_net"] = self.processor_net
+        return figures
+
+    def net_of_idle(self, idle_seconds: float, idle: ProxyCost, seconds_each: float) -> ProxyCost:
+        """The same cost with its net: `idle` took `idle_seconds`, and one event takes `seconds_each`."""
+        return replace(self, processor_net=self.processor - idle.processor / idle_seconds * seconds_each)
+
+
+@dataclass(slots=True, frozen=True)
+class EventCost:
+    """What one kind of event costs a real and a simulated proxy.
+
+    Attributes:
+        events: How many happened.
+        seconds: How long all of them took.
+        real: For a real proxy and one event.
+        simulated: For a simulated proxy and one event.
+    """
+
+    events: int
+    seconds: float
+    real: ProxyCost
+    simulated: ProxyCost
+
+    def net_of_idle(self, idle: EventCost) -> EventCost:
+        """The same cost with what it is beyond as much time with heartbeats alone."""
+        seconds_each = self.seconds / self.events
+        return replace(
+            self,
+            real=self.real.net_of_idle(idle.seconds, idle.real, seconds_each),
+            simulated=self.simulated.net_of_idle(idle.seconds, idle.simulated, seconds_each),
+        )
+
+    def difference_percent(self) -> dict[str, float | None]:
+        """By how many percent each simulated figure is above the real one; None without a real figure."""
+        real, simulated = self.real.as_dict(), self.simulated.as_dict()
+        return {name: _difference_percent(simulated[name], real[name]) for name in simulated}
+
+    def as_dict(self) -> dict[str, Any]:
+        """The cost as a result holds it."""
+        return {
+            "events": self.events,
+            "seconds": self.seconds,
+            "real": self.real.as_dict(),
+            "hollow": self.simulated.as_dict(),
+            "difference_percent": self.difference_percent(),
+        }
+
+
+def _difference_percent(simulated: float, real: float) -> float | None:
+    return 100.0 * (simulated - real) / real if real else None
+
+
+@dataclass(slots=True, frozen=True)
+class GroupReading:
+    """What a group of proxies has spent and been sent so far."""
+
+    processor: float
+    sent_bytes: int
+
+    def cost_since(self, before: GroupReading, events: int, proxies: int) -> ProxyCost:
+        """The cost of one event for one proxy since an earlier reading."""
+        return ProxyCost(
+            (self.processor - before.processor) / events / proxies,
+            (self.sent_bytes - before.sent_bytes) / events / proxies,
+        )
--- a/emulator/fit.py
+++ b/emulator/fit.py
@@ -1,4 +1,7 @@
-"""Least-squares fits of measured points, with what they leave over."""
+"""Least-squares fits of measured points, with the residuals they leave.
+
+It owns the two models that costs are compared with; which figure is fitted against which is a run's matter.
+"""
 
 from __future__ import annotations
 
@@ -8,14 +11,20 @@
 
 import numpy as np
 
-LEAST = 4  # points that a fit needs: through fewer almost anything fits
+MIN_POINTS = 4  # through fewer almost anything fits
+LINE, N_LOG_N = "line", "n log n"  # what results call the two models
 
 
 @dataclass(slots=True, frozen=True)
 class Fit:
-    """y = intercept + slope * f(x), f being x ("line") or x * log2(x) ("n log n").
-
-    `residual` is the root of the mean square left over, `worst` the largest left over, both in y's unit.
+    """A fitted model: y = intercept + slope * f(x).
+
+    Attributes:
+        kind: `LINE` where f(x) is x, `N_LOG_N` where it is x * log2(x).
+        slope: In y's unit for each unit of f(x).
+        intercept: In y's unit.
+        residual: The root mean square of the residuals, in y's unit.
+        worst: The largest residual, in y's unit.
     """
 
     kind: str
@@ -25,35 +34,44 @@
     worst: float
 
     def as_dict(self) -> dict[str, Any]:
-        """Plain values for a result."""
+        """The fit as a result holds it."""
         return asdict(self)
 
 
-def line(xs: Sequence[float], ys: Sequence[float]) -> Fit:
-    """A straight line; ValueError for fewer than four points or unequal numbers of x and y."""
-    return _solve("line", np.asarray(xs, float), ys)
+def fit_line(xs: Sequence[float], ys: Sequence[float]) -> Fit:
+    """Fit a straight line.
+
+    Raises:
+        ValueError: There are fewer than `MIN_POINTS` points, or unequal numbers of x and y.
+    """
+    return _solve(LINE, np.asarray(xs, float), ys)
+
 
+def fit_n_log_n(xs: Sequence[float], ys: Sequence[float]) -> Fit:
+    """Fit a line in x log2 x.
 
-def n_log_n(xs: Sequence[float], ys: Sequence[float]) -> Fit:
-    """A line in x log2 x, x being above 0; ValueError as for `line`."""
+    Raises:
+        ValueError: As `fit_line`, or an x isn't above 0.
+    """
     x = np.asarray(xs, float)
     if (x <= 0.0).any():
         raise ValueError("x must be above 0")
-    return _solve("n log n", x * np.log2(x), ys)
+    return _solve(N_LOG_N, x * np.log2(x), ys)
 
 
 def _solve(kind: str, x: np.ndarray, ys: Sequence[float]) -> Fit:
     y = np.asarray(ys, float)
-    if len(x) != len(y) or len(x) < LEAST:
-        raise ValueError(f"{len(x)} and {len(y)} values: at least {LEAST} of each are needed")
+    if len(x) != len(y) or len(x) < MIN_POINTS:
+        raise ValueError(f"{len(x)} and {len(y)} values: at least {MIN_POINTS} of each are needed")
     (intercept, slope), *_ = np.linalg.lstsq(np.column_stack([np.ones(len(x)), x]), y, rcond=None)
-    left = y - intercept - slope * x
-    return Fit(
-        kind, float(slope), float(intercept), float(np.sqrt(np.mean(left**2))), float(np.abs(left).max())
-    )
+    residuals = y - intercept - slope * x
+    root_mean_square = float(np.sqrt(np.mean(residuals**2)))
+    return Fit(kind, float(slope), float(intercept), root_mean_square, float(np.abs(residuals).max()))
 
 
-def both(xs: Sequence[float], ys: Sequence[float]) -> list[dict[str, Any]]:
-    """Both fits as plain values, the one that leaves less over first; the line alone where an x is 0."""
-    fits = [line(xs, ys)] + ([n_log_n(xs, ys)] if min(xs) > 0.0 else [])
-    return [each.as_dict() for each in sorted(fits, key=lambda fit: fit.residual)]
+def fit_all(xs: Sequence[float], ys: Sequence[float]) -> list[Fit]:
+    """Fit every model, the one with the smaller residual first; the line alone where an x is 0."""
+    fits = [fit_line(xs, ys)]
+    if min(xs) > 0.0:
+        fits.append(fit_n_log_n(xs, ys))
+    return sorted(fits, key=lambda fit: fit.residual)
--- a/emulator/meter.py
+++ b/emulator/meter.py
@@ -1,4 +1,7 @@
-"""What a process spends: processor time, resident memory, and the worst ten seconds of either or of bytes."""
+"""What a process spends: processor time and resident memory, and the worst ten seconds of a growing sum.
+
+It owns the readings; who is read when is the caller's matter.
+"""
 
 from __future__ import annotations
 
@@ -9,25 +12,30 @@
 
 import psutil
 
-WORST_OVER = 10.0  # seconds that a worst case goes over
+WORST_WINDOW = 10.0  # seconds that a worst case is taken over
 MB = 1 << 20
 
 
 @dataclass(slots=True, frozen=True)
 class Usage:
-    """A process since its start: processor time in seconds (user and system), memory now in bytes."""
+    """What a process has spent.
+
+    Attributes:
+        processor: Processor time since its start in seconds, user and system.
+        memory: Resident memory now in bytes.
+    """
 
     processor: float
     memory: int
 
 
-def own() -> Usage:
-    """This process; its processor time to the clock's resolution."""
+def own_usage() -> Usage:
+    """Read this process; its processor time to the clock's resolution."""
     return Usage(time.process_time(), psutil.Process().memory_info().rss)
 
 
-def of(pid: int) -> Usage:
-    """Another process; psutil.Error where it has ended.
+def process_usage(pid: int) -> Usage:
+    """Read another process; psutil.Error where it has ended.
 
     Its processor time is the scheduler's, exact, of the threads it has now; where the kernel does not tell
     that, it is in ticks of 10 ms.
@@ -35,20 +43,26 @@
     process = psutil.Process(pid)
     with process.oneshot():
         memory = process.memory_info().rss
-        try:
-            texts = [file.read_text() for file in Path(f"/proc/{pid}/task").glob("*/schedstat")]
-        except OSError:
-            texts = []
-        if texts:
-            return Usage(sum(int(text.split()[0]) for text in texts) / 1e9, memory)
+        scheduled = _scheduled_seconds(pid)
+        if scheduled is not None:
+            return Usage(scheduled, memory)
         times = process.cpu_times()
         return Usage(times.user + times.system, memory)
 
 
-def total(pids: Iterable[int]) -> Usage:
+def _scheduled_seconds(pid: int) -> float | None:
+    """The time that the scheduler gave to a process's threads; None where the kernel does not tell it."""
+    try:
+        texts = [file.read_text() for file in Path(f"/proc/{pid}/task").glob("*/schedstat")]
+    except OSError:
+        return None
+    return sum(int(text.split()[0]) for text in texts) / 1e9 if texts else None
+
+
+def total_usage(pids: Iterable[int]) -> Usage:
     """Several processes together."""
-    found = [of(pid) for pid in pids]
-    return Usage(sum(each.processor for each in found), sum(each.memory for each in found))
+    usages = [process_usage(pid) for pid in pids]
+    return Usage(sum(usage.processor for usage in usages), sum(usage.memory for usage in usages))
 
 
 class Series:
@@ -58,28 +72,31 @@
         self._readings: list[tuple[float, float]] = []
 
     def add(self, at: float, value: float) -> None:
-        """One more reading; times ascend."""
+        """Append a reading; times must ascend."""
         self._readings.append((at, value))
 
     def mean(self) -> float:
         """The growth a second over all readings; 0 where they span no time."""
-        return _mean(self._readings)
+        return _mean_growth(self._readings)
 
     def growth(self) -> float:
-        """From the first reading to the last."""
+        """The growth from the first reading to the last."""
         return self._readings[-1][1] - self._readings[0][1] if self._readings else 0.0
 
-    def worst(self, span: float = WORST_OVER) -> float:
-        """The growth a second in the worst `span` seconds; a shorter series stands still before and after."""
-        most, first = 0.0, 0
+    def worst(self, window: float = WORST_WINDOW) -> float:
+        """The growth a second in the worst `window` seconds.
+
+        A shorter series counts as standing still before and after.
+        """
+        worst, first = 0.0, 0
         for at, value in self._readings:
-            while at - self._readings[first][0] > span:
+            while at - self._readings[first][0] > window:
                 first += 1
-            most = max(most, value - self._readings[first][1])
-        return most / span
+            worst = max(worst, value - self._readings[first][1])
+        return worst / window
 
 
-def _mean(readings: Sequence[tuple[float, float]]) -> float:
+def _mean_growth(readings: Sequence[tuple[float, float]]) -> float:
     if len(readings) < 2 or readings[-1][0] <= readings[0][0]:
         return 0.0
     return (readings[-1][1] - readings[0][1]) / (readings[-1][0] - readings[0][0])
--- /dev/null
+++ b/emulator/registry_state.py
@@ -0,0 +1,112 @@
+"""The endpoint list of one control machine: its entries, its version and the log of its last changes.
+
+It owns which entries a client is sent (a complete snapshot, or a delta since the client's version) and
+their encoding as JSON, once for each view. It knows nothing of sockets: see `control_endpoint`.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+import orjson
+
+from emulator.topology import Entry
+
+MAX_LOG_ENTRIES = 4096  # changed entries that a watch can resume over
+View = frozenset[str] | None  # the names of the backends that a client sees; None: all of them
+
+
+@dataclass(slots=True, frozen=True)
+class EncodedUpdate:
+    """One message of the discovery protocol, ready to send.
+
+    Attributes:
+        line: The message as one line of JSON.
+        is_snapshot: Whether it holds the complete list rather than a delta.
+        has_entries: Whether there is anything in it for this view.
+    """
+
+    line: bytes
+    is_snapshot: bool
+    has_entries: bool
+
+
+class RegistryState:
+    """The endpoint list, its version, and the log that deltas are made from."""
+
+    def __init__(self, entries: Iterable[Entry], index: int = 1) -> None:
+        self.index = index
+        self._entries = {entry["name"]: entry for entry in entries}
+        self._log: deque[tuple[int, Entry]] = deque()
+        self._oldest_index = index  # the oldest version from which the log holds every change...
+        self._oldest_resumable = index  # ...and the oldest that a new watch may resume from
+        self._encoded: dict[tuple[View, int], EncodedUpdate | None] = {}
+
+    def change(self, index: int, entries: list[Entry]) -> None:
+        """Apply one version's entries.
+
+        Raises:
+            ValueError: The version isn't newer than the current one.
+        """
+        if index <= self.index:
+            raise ValueError(f"version {index} is not newer than {self.index}")
+        for entry in entries:
+            self._apply(entry)
+            self._log.append((index, entry))
+        while len(self._log) > MAX_LOG_ENTRIES:
+            self._oldest_index = self._log.popleft()[0]
+        self.index = index
+        self._encoded.clear()
+
+    def _apply(self, entry: Entry) -> None:
+        if entry["status"] == "terminated":
+            self._entries.pop(entry["name"], None)
+        else:
+            self._entries[entry["name"]] = entry
+
+    def forget_log(self) -> None:
+        """Lose the log, as a restart does: a watch that resumes from up to this version gets a snapshot."""
+        self._log.clear()
+        self._oldest_index, self._oldest_resumable = self.index, self.index + 1
+        self._encoded.clear()
+
+    def snapshot(self, view: View) -> EncodedUpdate:
+        """The complete list of the backends in a view."""
+        entries = [entry for entry in self._entries.values() if view is None or entry["name"] in view]
+        return EncodedUpdate(self._encode(True, entries), True, True)
+
+    def resume(self, index: int, view: View) -> EncodedUpdate:
+        """What a new watch that resumes from a version is sent first."""
+        if index < self._oldest_resumable:
+            return self.snapshot(view)
+        return self.since(index, view)
+
+    def since(self, index: int, view: View) -> EncodedUpdate:
+        """What changed after a version; a snapshot where the log doesn't reach back to it."""
+        if not self._oldest_index <= index <= self.index:
+            return self.snapshot(view)
+        latest: dict[str, Entry] = {}
+        for changed_at, entry in reversed(self._log):
+            if changed_at <= index:
+                break
+            if view is None or entry["name"] in view:
+                latest.setdefault(entry["name"], entry)
+        entries = list(latest.values())[::-1]
+        return EncodedUpdate(self._encode(False, entries), False, bool(entries))
+
+    def pending_update(self, index: int, view: View) -> EncodedUpdate | None:
+        """What an open watch at a version has yet to be sent; None where nothing concerns its view.
+
+        It is encoded once for all watches with the same view and version.
+        """
+        key = (view, index)
+        if key not in self._encoded:
+            update = self.since(index, view)
+            self._encoded[key] = update if update.has_entries else None
+        return self._encoded[key]
+
+    def _encode(self, is_snapshot: bool, entries: list[Entry]) -> bytes:
+        message = {"index": self.index, "snapshot": is_snapshot, "endpoints": entries}
+        return orjson.dumps(message) + b"\n"
--- a/emulator/runs/common.py
+++ b/emulator/runs/common.py
@@ -16,7 +16,7 @@
 
 import numpy as np
 
-from emulator.registry import HOST
+from emulator.control_endpoint import HOST
 from emulator.result import ROOT
 
 #: The target's rate of configuration changes.
--- /dev/null
+++ b/emulator/runs/fleet_events.py
@@ -0,0 +1,102 @@
+"""The events of the run `fleet`: what happens to a simulated fleet while its costs are measured.
+
+It owns the course of each event; `EVENTS` has them by the names that plans and results use.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+
+from emulator.runs.common import CHANGES_PER_DAY, SECONDS_PER_DAY
+from emulator.runs.pacing import poisson_arrivals
+from emulator.runs.simulated_fleet import SimulatedFleet
+
+TAKEOVER_TIME = 0.3  # seconds after which the other two serve a lost machine's addresses
+REPLACED_BACKENDS = 110
+CHANGES_MEANWHILE = 5  # while watches are away
+LOST_ZONE = "b"
+PARTITIONED_REGION = 1  # the region that is cut off from the control machines
+LOST_MACHINE, RESTARTED_MACHINE = 0, 1
+
+FleetEvent = Callable[[SimulatedFleet], None]
+
+
+def change_at_rate(fleet: SimulatedFleet) -> None:
+    """Single backends change at random moments."""
+    _publish_arrivals(fleet, fleet.plan.change_seconds)
+
+
+def _publish_arrivals(fleet: SimulatedFleet, seconds: float) -> None:
+    rate = fleet.plan.speed * CHANGES_PER_DAY / SECONDS_PER_DAY
+    for _ in poisson_arrivals(fleet.rng, rate, seconds):
+        fleet.publish([fleet.changes.change_any()])
+
+
+def replace_backends(fleet: SimulatedFleet) -> None:
+    """110 backends go and come back on other machines, at once, each in a version of its own."""
+    for place in fleet.rng.permutation(fleet.plan.backends)[:REPLACED_BACKENDS]:
+        fleet.publish([fleet.changes.terminate(int(place))])
+        fleet.publish([fleet.changes.replace(int(place))])
+
+
+def lose_zone(fleet: SimulatedFleet) -> None:
+    """A zone's backends go in one delta."""
+    fleet.publish([fleet.changes.terminate(place) for place in fleet.topology.zone(LOST_ZONE)])
+
+
+def restore_zone(fleet: SimulatedFleet) -> None:
+    """A zone's backends come back in one delta."""
+    fleet.publish([fleet.changes.restart(place) for place in fleet.topology.zone(LOST_ZONE)])
+
+
+def lose_zone_by_rows(fleet: SimulatedFleet) -> None:
+    """A zone's backends go at once, each in a version of its own."""
+    for place in fleet.topology.zone(LOST_ZONE):
+        fleet.publish([fleet.changes.terminate(place)])
+
+
+def restore_zone_by_rows(fleet: SimulatedFleet) -> None:
+    """A zone's backends come back at once, each in a version of its own."""
+    for place in fleet.topology.zone(LOST_ZONE):
+        fleet.publish([fleet.changes.restart(place)])
+
+
+def lose_machine(fleet: SimulatedFleet) -> None:
+    """A control machine is lost: its watches resume at the other two, which have had changes meanwhile."""
+    lost = fleet.lose_machine(LOST_MACHINE)
+    _change_meanwhile(fleet)
+    time.sleep(TAKEOVER_TIME)
+    fleet.open_endpoints(lost)
+
+
+def lose_log(fleet: SimulatedFleet) -> None:
+    """A control machine restarts without its log: its watches come back at once for the complete list."""
+    fleet.restart_without_log(RESTARTED_MACHINE)
+    _change_meanwhile(fleet)
+
+
+def _change_meanwhile(fleet: SimulatedFleet) -> None:
+    """Publish changes that no watch which is away has received."""
+    for _ in range(CHANGES_MEANWHILE):
+        fleet.publish([fleet.changes.change_any()])
+
+
+def partition_region(fleet: SimulatedFleet) -> None:
+    """One region receives nothing while changes go on, then all of them."""
+    fleet.partition_region(PARTITIONED_REGION)
+    _publish_arrivals(fleet, fleet.plan.partition_seconds)
+    fleet.heal_region(PARTITIONED_REGION)
+
+
+EVENTS: dict[str, FleetEvent] = {
+    "changes": change_at_rate,
+    "replaced": replace_backends,
+    "zone_lost": lose_zone,
+    "zone_back": restore_zone,
+    "zone_lost_by_rows": lose_zone_by_rows,
+    "zone_back_by_rows": restore_zone_by_rows,
+    "machine_lost": lose_machine,
+    "log_lost": lose_log,
+    "regions_cut": partition_region,
+}
--- /dev/null
+++ b/emulator/runs/fleet_layout.py
@@ -0,0 +1,76 @@
+"""Which proxy of a simulated fleet runs in which process and watches which control machine.
+
+It owns the assignment alone; `simulated_fleet` starts the processes.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from emulator.topology import REGION_OF, Topology
+
+MACHINES = 3  # for control
+TAKEOVER_GROUPS = MACHINES - 1  # parts of a machine's watches, one for each machine that takes over
+
+
+@dataclass(slots=True)
+class FleetEndpoint:
+    """A port of a control machine that proxies of one region, takeover group and view watch.
+
+    Attributes:
+        name: What control machines call it.
+        port: 0 until it is assigned.
+        machine: The control machine that serves it now.
+        region: The region of its proxies.
+        takeover_group: Which of the other machines serves it when its own is lost.
+        view: The names of the backends that it shows; None: all.
+    """
+
+    name: str
+    port: int
+    machine: int
+    region: int
+    takeover_group: int
+    view: frozenset[str] | None
+
+
+@dataclass(slots=True, frozen=True)
+class FleetLayout:
+    """The endpoints of a fleet, and for each process its proxies: their place, and what they watch."""
+
+    endpoints: list[FleetEndpoint]
+    processes: list[list[tuple[int, FleetEndpoint]]]
+
+
+def assign_proxies(
+    topology: Topology, places: Sequence[int], narrow_view: bool, process_count: int
+) -> FleetLayout:
+    """Deal the proxies of some backends to control machines and processes.
+
+    A process holds proxies of one control machine alone: what that one's loss costs shows in it.
+    """
+    endpoints: dict[str, FleetEndpoint] = {}
+    processes: list[list[tuple[int, FleetEndpoint]]] = [[] for _ in range(process_count)]
+    processes_per_machine = process_count // MACHINES
+    for number, place in enumerate(places):
+        endpoint = _endpoint(topology, number, place, narrow_view)
+        endpoint = endpoints.setdefault(endpoint.name, endpoint)
+        round_number = number // MACHINES
+        process = endpoint.machine + MACHINES * (round_number % processes_per_machine)
+        processes[process].append((place, endpoint))
+    return FleetLayout(list(endpoints.values()), processes)
+
+
+def _endpoint(topology: Topology, number: int, place: int, narrow_view: bool) -> FleetEndpoint:
+    """What the proxy with a number watches; equal names mean the same endpoint."""
+    machine = number % MACHINES
+    takeover_group = number // (2 * MACHINES) % TAKEOVER_GROUPS
+    region = REGION_OF[topology.entries[place]["zone"]]
+    name, view = f"{machine}.{region}.{takeover_group}", None
+    if narrow_view:
+        service = topology.service_of[place]
+        name += f".{service}"
+        called = topology.called_backends(service)
+        view = frozenset(topology.entries[backend]["name"] for backend in called)
+    return FleetEndpoint(name, 0, machine, region, takeover_group, view)
--- a/emulator/runs/hollow.py
+++ b/emulator/runs/hollow.py
@@ -1,25 +1,25 @@
-"""What a hollow proxy's control costs beside a real one's: the same events at four of each, side by side."""
+"""The run `hollow`: what control costs a simulated proxy beside a real one.
+
+Four of each watch one control machine and live through the same events, side by side. The run owns the
+processes and the events; the comparison is worked out in `emulator.control_cost`.
+"""
 
 from __future__ import annotations
 
-import json
-import os
-import subprocess
-import sys
 import time
 from collections.abc import Callable, Iterator
 from contextlib import ExitStack, contextmanager
-from pathlib import Path
-from tempfile import TemporaryDirectory
+from dataclasses import dataclass
 from typing import Any
 
 import numpy as np
 
 from emulator import topology
-from emulator.child import Child
-from emulator.hollow import Host
-from emulator.meter import MB, Usage, of, total
-from emulator.registry import HOST, Registry
+from emulator.child import ChildProcess
+from emulator.control_cost import EventCost, GroupReading
+from emulator.meter import MB, process_usage, total_usage
+from emulator.real_proxies import real_proxies
+from emulator.registry import EndpointAddress, Registry
 from emulator.result import write_result
 from emulator.runs.common import (
     CHANGES_PER_DAY,
@@ -31,179 +31,183 @@
 )
 from emulator.runs.endpoint_changes import EndpointChanges
 from emulator.runs.pacing import evenly_spaced
-
-PROXIES = 4
-RATE = 10.0  # changes a second: each is taken in alone
-READY = 15.0  # seconds in which the real ones watch
-SETTLE = 1.0  # seconds after which what was told has been taken in
+from emulator.simulated_host import ProxyPlacement, SimulatedHost, StartCost
+
+PROXIES = 4  # of each group
+CHANGE_RATE = 10.0  # changes a second: each is applied alone
+START_TIMEOUT = 15.0  # seconds in which the proxies watch
+SETTLING_TIME = 1.0  # seconds after which what was sent has been applied
+RECONNECT_TIME = 0.3  # seconds in which watches that were reset come back
+POLL_INTERVAL = 0.05  # seconds between two looks at who watches
+REAL, SIMULATED = "real", "hollow"  # the two groups' endpoints
 NOTE = (
     "a hollow proxy has no connections of callers and backends, so it does not sweep them, keeps no "
     "addresses of backends, and shares its interpreter's memory with the others of its process"
 )
-ROOT = Path(__file__).parent.parent.parent
 
 
-def config(fleet: topology.Topology, place: int, listen: int, discovery: int) -> dict[str, Any]:
-    """The configuration of one real proxy, as in DEPLOY."""
-    return {
-        "name": fleet.entries[place]["name"],
-        "listen": f"{HOST}:{listen}",
-        "discovery": f"{HOST}:{discovery}",
-        "seed": f"{fleet.seed + place:016x}",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"index": 0, "snapshot": True, "endpoints": []},
-        "settings": topology.settings(fleet, place),
-    }
+@dataclass(slots=True, frozen=True)
+class Amounts:
+    """How much of each event happens."""
 
+    change_seconds: float
+    snapshots: int
+    idle_seconds: float
 
-@contextmanager
-def real_proxies(fleet: topology.Topology, ports: list[int], discovery: int) -> Iterator[list[int]]:
-    """One real proxy for each port, by its process id; they end with the block."""
-    running: list[subprocess.Popen[bytes]] = []
-    clean = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
-    with TemporaryDirectory() as folder:
-        try:
-            for place, port in enumerate(ports):
-                file = Path(folder) / f"{place}.json"
-                file.write_text(json.dumps(config(fleet, place, port, discovery)), encoding="utf-8")
-                running.append(
-                    subprocess.Popen(
-                        [sys.executable, "-m", "proxy"],
-                        cwd=ROOT,
-                        env=clean | {"RELAY_CONFIG": str(file)},
-                        stdin=subprocess.DEVNULL,
-                        stdout=subprocess.DEVNULL,
-                        stderr=subprocess.DEVNULL,
-                    )
-                )
-            yield [process.pid for process in running]
-        finally:
-            for process in running:
-                process.kill()
-                process.wait()
-
-
-class _Pair:
-    """The two groups, and what each event costs them."""
-
-    def __init__(self, registry: Child, real: list[int], hollow: Child) -> None:
-        self._registry, self._real, self._hollow = registry, real, hollow
-
-    def _reading(self) -> dict[str, tuple[Usage, int]]:
+
+FULL = Amounts(change_seconds=15.0, snapshots=20, idle_seconds=10.0)
+QUICK = Amounts(change_seconds=1.5, snapshots=3, idle_seconds=2.0)
+
+
+class Comparison:
+    """The two groups at one control machine, the events that they live through, and what those cost."""
+
+    def __init__(
+        self,
+        registry: ChildProcess,
+        real_pids: list[int],
+        simulated: ChildProcess,
+        changes: EndpointChanges,
+        start_cost: StartCost,
+    ) -> None:
+        self._registry, self._real_pids, self._simulated = registry, real_pids, simulated
+        self._changes = changes
+        self._start_cost = start_cost
+        self._index = 1
+
+    def measure(self, event: Callable[[], int]) -> EventCost:
+        """Let events of one kind happen, and say what one costs a proxy of each group.
+
+        Args:
+            event: Lets them happen; returns how many there were.
+        """
+        before, started = self._readings(), time.monotonic()
+        events = event()
+        time.sleep(SETTLING_TIME)
+        after = self._readings()
+        costs = {group: after[group].cost_since(before[group], events, PROXIES) for group in after}
+        return EventCost(events, time.monotonic() - started, costs[REAL], costs[SIMULATED])
+
+    def _readings(self) -> dict[str, GroupReading]:
+        # The same instrument for both: from outside, not the process's own clock.
         return {
-            "real": (total(self._real), self._registry.call("door", "real")["sent"]),
-            # The same instrument for both: from outside, not the process's own clock.
-            "hollow": (of(self._hollow.pid), self._registry.call("door", "hollow")["sent"]),
+            REAL: GroupReading(total_usage(self._real_pids).processor, self._sent_bytes(REAL)),
+            SIMULATED: GroupReading(
+                process_usage(self._simulated.pid).processor, self._sent_bytes(SIMULATED)
+            ),
         }
 
-    def measure(self, act: Callable[[], int]) -> dict[str, Any]:
-        """Processor time and bytes for a proxy and event; `act` returns how many events it made."""
-        before, begun = self._reading(), time.monotonic()
-        events = act()
-        time.sleep(SETTLE)
-        after = self._reading()
-        found: dict[str, Any] = {"events": events, "seconds": time.monotonic() - begun}
-        for group in ("real", "hollow"):
-            (old, sent), (new, sent_now) = before[group], after[group]
-            found[group] = {
-                "processor": (new.processor - old.processor) / events / PROXIES,
-                "bytes": (sent_now - sent) / events / PROXIES,
-            }
-        found["difference_percent"] = {
-            figure: _difference(found["hollow"][figure], found["real"][figure])
-            for figure in ("processor", "bytes")
+    def _sent_bytes(self, group: str) -> int:
+        return int(self._registry.call("endpoint_traffic", group).sent_bytes)
+
+    def publish_changes(self, seconds: float) -> int:
+        """Change single entries at the run's rate; how many."""
+        first = self._index
+        for _ in evenly_spaced(CHANGE_RATE, seconds):
+            self._index += 1
+            self._registry.call("publish", self._index, [self._changes.change_any()])
+        return self._index - first
+
+    def send_snapshots(self, count: int) -> int:
+        """Let both groups come back for a complete list, so many times."""
+        for number in range(count):
+            self._registry.call("reset_connections", [REAL, SIMULATED], True)
+            time.sleep(RECONNECT_TIME)
+            wait_for_snapshots(self._registry, number + 2)  # the first was that of the start
+        return count
+
+    def stay_idle(self, seconds: float) -> int:
+        """Let time pass with heartbeats alone: one event."""
+        time.sleep(seconds)
+        return 1
+
+    def memory(self) -> dict[str, float]:
+        """Resident memory as a result holds it, in MB."""
+        return {
+            "real_mb": total_usage(self._real_pids).memory / PROXIES / MB,
+            "hollow_mb": self._start_cost.memory / PROXIES / MB,
+            "hollow_process_mb": process_usage(self._simulated.pid).memory / MB,
         }
-        return found
 
 
-def net_of_idle(event: dict[str, Any], idle: dict[str, Any]) -> None:
-    """Add to an event what it cost beyond as much time with empty lines alone, and the difference in that."""
-    for group in ("real", "hollow"):
-        still = idle[group]["processor"] / idle["seconds"] * event["seconds"] / event["events"]
-        event[group]["processor_net"] = event[group]["processor"] - still
-    event["difference_percent"]["processor_net"] = _difference(
-        event["hollow"]["processor_net"], event["real"]["processor_net"]
-    )
-
-
-def _difference(hollow: float, real: float) -> float | None:
-    """By how many percent the hollow figure is above the real one; None where there is nothing to compare."""
-    return 100.0 * (hollow - real) / real if real else None
+@contextmanager
+def running_comparison(seed: int) -> Iterator[Comparison]:
+    """Start the control machine and both groups, and wait until all of them watch.
+
+    Raises:
+        RuntimeError: A proxy does not watch in time.
+    """
+    rng = np.random.default_rng(seed)
+    fleet = topology.build(seed)
+    changes = EndpointChanges(fleet.entries, rng)
+    real_port, simulated_port, *ports = free_ports(PROXIES + 2, rng)
+    with ExitStack() as stack:
+        registry = stack.enter_context(ChildProcess(Registry, fleet.entries))
+        addresses = [EndpointAddress(REAL, real_port), EndpointAddress(SIMULATED, simulated_port)]
+        registry.call("open_endpoints", addresses)
+        real_pids = stack.enter_context(real_proxies(fleet, ports, real_port))
+        simulated = stack.enter_context(ChildProcess(SimulatedHost, seed, topology.BACKENDS))
+        placements = [ProxyPlacement(place, simulated_port) for place in range(PROXIES)]
+        start_cost: StartCost = simulated.call("start_proxies", placements)
+        simulated.call("freeze")
+        wait_for_snapshots(registry)
+        time.sleep(SETTLING_TIME)
+        yield Comparison(registry, real_pids, simulated, changes, start_cost)
+
+
+def wait_for_snapshots(registry: ChildProcess, count: int = 1) -> None:
+    """Wait until every proxy of both groups has been sent so many complete lists.
+
+    Raises:
+        RuntimeError: It takes too long.
+    """
+    deadline = time.monotonic() + START_TIMEOUT
+    while any(
+        registry.call("endpoint_traffic", name).snapshots < PROXIES * count for name in (REAL, SIMULATED)
+    ):
+        if time.monotonic() > deadline:
+            raise RuntimeError("a proxy does not watch")
+        time.sleep(POLL_INTERVAL)
 
 
 def run(options: RunOptions) -> RunResult:
     """Changes of one row, whole lists and empty lines at both groups; writes hollow.json."""
-    begun = time.monotonic()
-    seconds, wholes, idle = (1.5, 3, 2.0) if options.quick else (15.0, 20, 10.0)
-    rng = np.random.default_rng(options.seed)
-    fleet = topology.build(options.seed)
-    changed = EndpointChanges(fleet.entries, rng)
-    ports = free_ports(PROXIES + 2, rng)
-    with ExitStack() as stack:
-        registry = stack.enter_context(Child(Registry, fleet.entries))
-        registry.call("open_all", [("real", ports[0], None), ("hollow", ports[1], None)])
-        real = stack.enter_context(real_proxies(fleet, ports[2:], ports[0]))
-        hollow = stack.enter_context(Child(Host, options.seed, topology.BACKENDS))
-        added = hollow.call("add", [(place, ports[1]) for place in range(PROXIES)])
-        hollow.call("freeze")
-        _watching(registry)
-        time.sleep(SETTLE)
+    started = time.monotonic()
+    with running_comparison(options.seed) as comparison:
         report_progress("hollow", f"{PROXIES} real and {PROXIES} hollow proxies watch")
-        pair, index = _Pair(registry, real, hollow), 1
-
-        def changes() -> int:
-            nonlocal index
-            for _ in evenly_spaced(RATE, seconds):
-                index += 1
-                registry.call("change", index, [changed.change_any()])
-            return index - 1
-
-        def whole_lists() -> int:
-            for number in range(wholes):
-                registry.call("drop", ["real", "hollow"], True)
-                time.sleep(0.3)
-                _watching(registry, number + 2)
-            return wholes
-
-        def empty_lines() -> int:
-            time.sleep(idle)
-            return 1
-
-        events = {
-            "change": pair.measure(changes),
-            "whole_list": pair.measure(whole_lists),
-            "idle": pair.measure(empty_lines),
-        }
-        memory = {
-            "real_mb": total(real).memory / PROXIES / MB,
-            "hollow_mb": added["memory"] / PROXIES / MB,
-            "hollow_process_mb": of(hollow.pid).memory / MB,
-        }
-    for name in ("change", "whole_list"):
-        net_of_idle(events[name], events["idle"])
+        events = _measure_events(comparison, QUICK if options.quick else FULL)
+        memory = comparison.memory()
     for name, event in events.items():
-        apart = {figure: round(value or 0.0, 1) for figure, value in event["difference_percent"].items()}
-        report_progress("hollow", f"{name}: hollow beside real, in percent: {apart}")
-    share = events["idle"]["real"]["processor"] / events["idle"]["seconds"]
-    share += CHANGES_PER_DAY / SECONDS_PER_DAY * events["change"]["real"]["processor"]
-    figures = {"memory": memory["real_mb"], "processor_mean": 100.0 * share}
-    body = {
+        differences = {figure: round(value or 0.0, 1) for figure, value in event.difference_percent().items()}
+        report_progress("hollow", f"{name}: hollow beside real, in percent: {differences}")
+    figures = {"memory": memory["real_mb"], "processor_mean": _mean_processor_percent(events)}
+    body: dict[str, Any] = {
         "quick": options.quick,
         "rows": topology.BACKENDS,
         "proxies": PROXIES,
-        "events": events,
+        "events": {name: event.as_dict() for name, event in events.items()},
         "memory": memory,
         "figures": figures,
         "note": NOTE,
-        "duration": time.monotonic() - begun,
+        "duration": time.monotonic() - started,
     }
     return RunResult(figures, write_result(options.result_name("hollow"), options.seed, body, options.out))
 
 
-def _watching(registry: Child, wholes: int = 1) -> None:
-    """Wait until all of both groups watch and have had so many whole lists; RuntimeError if not soon."""
-    end = time.monotonic() + READY
-    while any(registry.call("door", name)["wholes"] < PROXIES * wholes for name in ("real", "hollow")):
-        if time.monotonic() > end:
-            raise RuntimeError("a proxy does not watch")
-        time.sleep(0.05)
+def _measure_events(comparison: Comparison, amounts: Amounts) -> dict[str, EventCost]:
+    """The cost of each kind of event, by its name in the result."""
+    change = comparison.measure(lambda: comparison.publish_changes(amounts.change_seconds))
+    snapshot = comparison.measure(lambda: comparison.send_snapshots(amounts.snapshots))
+    idle = comparison.measure(lambda: comparison.stay_idle(amounts.idle_seconds))
+    return {
+        "change": change.net_of_idle(idle),
+        "whole_list": snapshot.net_of_idle(idle),
+        "idle": idle,
+    }
+
+
+def _mean_processor_percent(events: dict[str, EventCost]) -> float:
+    """The share of a core that control takes of a real proxy, over the target's day."""
+    idle = events["idle"]
+    idle_share = idle.real.processor / idle.seconds
+    return 100.0 * (idle_share + CHANGES_PER_DAY / SECONDS_PER_DAY * events["change"].real.processor)
--- a/emulator/runs/settings.py
+++ b/emulator/runs/settings.py
@@ -21,7 +21,7 @@
 from emulator import added, fit
 from emulator.backend import HOST, port_of
 from emulator.caller import Plan, Stream, histogram, microseconds, plan_line
-from emulator.meter import MB, of
+from emulator.meter import MB, process_usage
 from emulator.result import commit, write_result
 from emulator.runs.common import (
     CHANGES_PER_DAY,
@@ -298,13 +298,13 @@
 
 async def _spent(proxy: Proxy, first: int, count: int, gap: float, step: int) -> float:
     """Processor seconds of so many SIGHUPs, one every `gap` seconds, each `step` (0 or 1) changes on."""
-    before = of(proxy.process.pid).processor
+    before = process_usage(proxy.process.pid).processor
     for number in range(1, count + 1):
         if step:
             proxy.configure(first + step * number)
         proxy.hang_up()
         await asyncio.sleep(gap)
-    return of(proxy.process.pid).processor - before
+    return process_usage(proxy.process.pid).processor - before
 
 
 async def swap(proxy: Proxy, rows: int, size: Size) -> dict[str, Any]:
@@ -312,9 +312,9 @@
 
     Where the proxy does not tell how many swaps there were, a reload is one signal.
     """
-    before = of(proxy.process.pid).processor
+    before = process_usage(proxy.process.pid).processor
     await asyncio.sleep(size.swaps * size.gap)
-    idle = of(proxy.process.pid).processor - before
+    idle = process_usage(proxy.process.pid).processor - before
     reread = await _spent(proxy, 0, size.swaps, size.gap, 0) - idle
     first = await proxy.version()
     reload = await _spent(proxy, 0, size.swaps, size.gap, 1) - idle
@@ -333,10 +333,10 @@
 async def memory(proxy: Proxy, size: Size) -> dict[str, Any]:
     """Resident memory in MB of a proxy before, amid and after swaps."""
     first, part = await proxy.version(), size.memory_swaps // PART
-    resident = [of(proxy.process.pid).memory / MB]
+    resident = [process_usage(proxy.process.pid).memory / MB]
     for place in range(PART):
         await _spent(proxy, place * part, part, size.gap, 1)
-        resident.append(of(proxy.process.pid).memory / MB)
+        resident.append(process_usage(proxy.process.pid).memory / MB)
     swaps = swapped(first, await proxy.version())
     proxy.configure(0)  # as at its start
     proxy.hang_up()
@@ -355,8 +355,11 @@
     grown = await memory(proxies[-1], size)
     points = [await swap(proxy, rows, size) for proxy, rows in zip(proxies, size.rows, strict=True)]
     fits = {}
-    if len(points) >= fit.LEAST:
-        fits = {y: fit.both(size.rows, [point[y] for point in points]) for y in ("reload", "reread", "swap")}
+    if len(points) >= fit.MIN_POINTS:
+        fits = {
+            figure: [each.as_dict() for each in fit.fit_all(size.rows, [point[figure] for point in points])]
+            for figure in ("reload", "reread", "swap")
+        }
     return {
         "memory": grown,
         "points": points,
--- /dev/null
+++ b/emulator/runs/slopes_proxy.py
@@ -0,0 +1,197 @@
+"""Slopes of a simulated proxy, from the socket to the balancer, in a process of its own.
+
+It owns a control machine with a few proxies, and what is measured at them.
+"""
+
+from __future__ import annotations
+
+import time
+from dataclasses import dataclass
+from types import TracebackType
+
+import numpy as np
+
+from emulator import topology
+from emulator.child import ChildProcess
+from emulator.meter import MB, Usage
+from emulator.registry import Registry
+from emulator.runs.common import RunOptions
+from emulator.runs.endpoint_changes import EndpointChanges
+from emulator.runs.pacing import evenly_spaced
+from emulator.runs.slope import Point, Slope
+from emulator.runs.slopes_balancer import backend_counts
+from emulator.simulated_host import ProxyPlacement, SimulatedHost, StartCost
+
+CHANGE_RATES = (2.0, 5.0, 10.0, 20.0)  # a second
+CALL_RATES = (50.0, 154.0, 400.0, 800.0)  # a second
+PROXIES = 8  # enough to tell their memory from the process's
+APPLY_TIMEOUT = 60.0  # seconds that anything may take to be applied
+MIN_CHANGE_INTERVAL = 0.01  # seconds between two changes, which are not to share a read...
+CHANGE_INTERVAL_EACH = 8e-6  # ...and seconds for each row of each proxy
+ENDPOINT = "all"
+
+
+@dataclass(slots=True, frozen=True)
+class WatchReading:
+    """What a few proxies have spent so far: processor time in seconds, and bytes sent to them."""
+
+    processor: float
+    sent_bytes: int
+
+    def per_proxy(self, before: WatchReading, proxies: int, divisor: float) -> WatchCost:
+        """What a proxy has spent since an earlier reading, for each of so many events or seconds."""
+        return WatchCost(
+            (self.processor - before.processor) / divisor / proxies,
+            (self.sent_bytes - before.sent_bytes) / divisor / proxies,
+        )
+
+
+@dataclass(slots=True, frozen=True)
+class WatchCost:
+    """A proxy's processor time in seconds and bytes, for an event or a second."""
+
+    processor: float
+    sent_bytes: float
+
+
+class WatchBench:
+    """A control machine and a process of simulated proxies that watch it; both end with the block."""
+
+    def __init__(self, seed: int, backends: int, proxies: int) -> None:
+        fleet = topology.build(seed, backends)
+        self.proxies = proxies
+        self._index, self._latest = 1, dict[str, int]()
+        self._snapshots = 1  # that each proxy has been sent
+        self._changes = EndpointChanges(fleet.entries, np.random.default_rng(seed))
+        self._registry = ChildProcess(Registry, fleet.entries)
+        self._host = ChildProcess(SimulatedHost, seed, backends)
+        port = self._registry.call("open_endpoint", ENDPOINT)
+        placements = [ProxyPlacement(place, port) for place in range(proxies)]
+        self.start_cost: StartCost = self._host.call("start_proxies", placements, topology.BACKENDS)
+        self._host.call("freeze")
+
+    def publish_change(self) -> None:
+        """Change one entry at the control machine."""
+        self._index += 1
+        entry = self._changes.change_any()
+        self._registry.call("publish", self._index, [entry])
+        self._latest[entry["name"]] = self._index
+
+    def wait_until_applied(self) -> None:
+        """Wait until the proxies have applied every change; RuntimeError where that takes too long."""
+        if not self._host.call("wait_until_applied", self._latest, APPLY_TIMEOUT):
+            raise RuntimeError(f"a change was not taken in within {APPLY_TIMEOUT:g} s")
+
+    def send_snapshot(self) -> None:
+        """Send the proxies a complete list and wait for it; RuntimeError where that takes too long."""
+        self._snapshots += 1
+        self._registry.call("reset_connections", [ENDPOINT], True)
+        if not self._host.call("wait_for_snapshots", self._snapshots, APPLY_TIMEOUT):
+            raise RuntimeError(f"a whole list was not taken in within {APPLY_TIMEOUT:g} s")
+
+    def set_call_rate(self, rate: float) -> None:
+        """Feed so many calls a second to each proxy from now on."""
+        self._host.call("set_call_rate", rate)
+
+    def host_usage(self) -> Usage:
+        """What the proxies' process has spent, by its own clock."""
+        usage: Usage = self._host.call("usage")
+        return usage
+
+    def reading(self) -> WatchReading:
+        """What the proxies have spent so far."""
+        processor = self.host_usage().processor
+        return WatchReading(processor, self._registry.call("endpoint_traffic", ENDPOINT).sent_bytes)
+
+    def __enter__(self) -> WatchBench:
+        return self
+
+    def __exit__(
+        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        self._host.close()
+        self._registry.close()
+
+
+def by_backends(options: RunOptions) -> Slope:
+    """For a proxy, against rows: seconds and bytes of a change and of a complete list, and memory."""
+    points = [_backends_point(options, backends) for backends in backend_counts(options)]
+    return Slope(points, "rows", ("change", "whole", "change_bytes", "whole_bytes", "memory_mb"))
+
+
+def _backends_point(options: RunOptions, backends: int) -> Point:
+    changes, snapshots = (6, 2) if options.quick else (30, 6)
+    interval = max(MIN_CHANGE_INTERVAL, CHANGE_INTERVAL_EACH * backends * PROXIES)
+    with WatchBench(options.seed, backends, PROXIES) as bench:
+        before = bench.reading()
+        for _ in range(changes):
+            bench.publish_change()
+            time.sleep(interval)
+        bench.wait_until_applied()
+        between = bench.reading()
+        for _ in range(snapshots):
+            bench.send_snapshot()
+        after = bench.reading()
+        change = between.per_proxy(before, PROXIES, changes)
+        snapshot = after.per_proxy(between, PROXIES, snapshots)
+        return {
+            "rows": backends,
+            "change": change.processor,
+            "change_bytes": change.sent_bytes,
+            "whole": snapshot.processor,
+            "whole_bytes": snapshot.sent_bytes,
+            "memory_mb": bench.start_cost.memory / PROXIES / MB,
+        }
+
+
+def by_change_rate(options: RunOptions) -> Slope:
+    """For a proxy with 910 rows, against changes a second: processor share, bytes a second, memory."""
+    seconds, proxies = (0.6, 2) if options.quick else (4.0, 4)
+    rates = CHANGE_RATES if options.quick else (0.0, *CHANGE_RATES)
+    with WatchBench(options.seed, topology.BACKENDS, proxies) as bench:
+        points = [_change_rate_point(bench, rate, seconds) for rate in rates]
+    return Slope(points, "changes", ("processor", "bytes", "memory_mb"))
+
+
+def _change_rate_point(bench: WatchBench, rate: float, seconds: float) -> Point:
+    before, started = bench.reading(), time.monotonic()
+    changes = 0
+    if rate:
+        for _ in evenly_spaced(rate, seconds):
+            bench.publish_change()
+            changes += 1
+        bench.wait_until_applied()
+    else:
+        time.sleep(seconds)  # heartbeats alone
+    after, elapsed = bench.reading(), time.monotonic() - started
+    cost = after.per_proxy(before, bench.proxies, elapsed)
+    return {
+        "changes": changes
+        / elapsed,  # the rate that was reached, not the one wanted: settling takes time too
+        "processor": cost.processor,
+        "bytes": cost.sent_bytes,
+        "memory_mb": bench.host_usage().memory / MB,
+    }
+
+
+def by_call_rate(options: RunOptions) -> Slope:
+    """For a proxy with 910 rows, against calls a second fed to the balancer: processor share, memory.
+
+    What is left at no calls is the feeding itself, 50 times a second; sockets and HTTP are not in it.
+    """
+    seconds = 0.6 if options.quick else 3.0
+    with WatchBench(options.seed, topology.BACKENDS, 1) as bench:
+        points = [_call_rate_point(bench, rate, seconds) for rate in CALL_RATES]
+    return Slope(points, "calls", ("processor", "memory_mb"))
+
+
+def _call_rate_point(bench: WatchBench, rate: float, seconds: float) -> Point:
+    bench.set_call_rate(rate)
+    before, started = bench.reading(), time.monotonic()
+    time.sleep(seconds)
+    after, elapsed = bench.reading(), time.monotonic() - started
+    return {
+        "calls": rate,
+        "processor": after.per_proxy(before, bench.proxies, elapsed).processor,
+        "memory_mb": bench.host_usage().memory / MB,
+    }
--- /dev/null
+++ b/emulator/simulated_host.py
@@ -0,0 +1,164 @@
+"""A process of simulated proxies.
+
+It owns their start, the calls fed to them, the waits for them and the sums of what they measured.
+A run calls its methods by name from another process (`child`), so arguments and results are plain or typed
+values without a tie to this process.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from emulator import meter, topology
+from emulator.change_ages import AgeReport, Publications, age_histogram, record_age
+from emulator.proxy_configuration import proxy_settings
+from emulator.simulated_proxy import SimulatedProxy, endpoint_reader
+
+FEEDING_INTERVAL = 0.02  # seconds between two feedings of calls
+START_BATCH = 8  # watches that are begun together: a start must not look like silence to the rest
+LIST_TIMEOUT = 30.0  # seconds in which a watch that was begun has its list
+POLL_INTERVAL = 0.1  # seconds between two looks at who is behind: looking costs too
+
+
+@dataclass(slots=True, frozen=True)
+class ProxyPlacement:
+    """A proxy to start: the place in the topology of its backend, and the port that it watches."""
+
+    place: int
+    port: int
+
+
+@dataclass(slots=True, frozen=True)
+class StartCost:
+    """What a start of proxies has added to its process.
+
+    Attributes:
+        processor: Processor time in seconds.
+        memory: Resident memory in bytes.
+        proxies: How many proxies were started.
+        resident: Resident memory of the process afterwards in bytes.
+    """
+
+    processor: float
+    memory: int
+    proxies: int
+    resident: int
+
+
+class SimulatedHost:
+    """The simulated proxies of one process."""
+
+    def __init__(self, seed: int, backends: int, services: int | None = None) -> None:
+        self._topology = topology.build(seed, backends, services)
+        self._seed = seed
+        self._reader = endpoint_reader()
+        self._proxies: list[SimulatedProxy] = []
+        self._feeding: asyncio.Task[None] | None = None
+
+    async def start_proxies(
+        self, placements: list[ProxyPlacement], fleet_size: int | None = None, narrow_view: bool = False
+    ) -> StartCost:
+        """Start proxies and wait until they hold their lists.
+
+        Args:
+            placements: The proxies.
+            fleet_size: Proxies of the fleet in all, by the settings; None: one for each backend.
+            narrow_view: Whether their ports show only the backends of the services that each one calls.
+
+        Raises:
+            TimeoutError: A list does not come in time.
+        """
+        gc.collect()
+        before = meter.own_usage()
+        for first in range(0, len(placements), START_BATCH):
+            batch = placements[first : first + START_BATCH]
+            await self._start_batch([self._create(each, fleet_size, narrow_view) for each in batch])
+        gc.collect()
+        after = meter.own_usage()
+        return StartCost(
+            processor=after.processor - before.processor,
+            memory=after.memory - before.memory,
+            proxies=len(placements),
+            resident=after.memory,
+        )
+
+    def _create(self, placement: ProxyPlacement, fleet_size: int | None, narrow_view: bool) -> SimulatedProxy:
+        place, view = placement.place, None
+        if narrow_view:
+            called = self._topology.called_backends(self._topology.service_of[place])
+            view = frozenset(self._topology.entries[backend]["name"] for backend in called)
+        settings = proxy_settings(self._topology, place, fleet_size)
+        return SimulatedProxy(settings, self._seed + place, placement.port, self._reader, view)
+
+    async def _start_batch(self, proxies: list[SimulatedProxy]) -> None:
+        for proxy in proxies:
+            proxy.discovery.open()
+        async with asyncio.timeout(LIST_TIMEOUT):
+            for proxy in proxies:
+                await proxy.has_list.wait()
+        self._proxies += proxies
+
+    def freeze(self) -> None:
+        """Exempt what is there now from garbage collection, as the real proxy does once it has its list."""
+        gc.collect()
+        gc.freeze()
+
+    async def wait_until_applied(self, latest: dict[str, int], timeout: float) -> bool:
+        """Wait until no proxy is behind the latest versions, by name; False where that takes longer."""
+        return await self._wait_for_all(lambda proxy: not proxy.is_behind(latest), timeout)
+
+    async def wait_for_snapshots(self, count: int, timeout: float) -> bool:
+        """Wait until every proxy has had so many complete lists; False where that takes longer."""
+        return await self._wait_for_all(lambda proxy: proxy.snapshots >= count, timeout)
+
+    async def _wait_for_all(self, holds: Callable[[SimulatedProxy], bool], timeout: float) -> bool:
+        deadline = time.monotonic() + timeout
+        while not all(holds(proxy) for proxy in self._proxies):
+            if time.monotonic() > deadline:
+                return False
+            await asyncio.sleep(POLL_INTERVAL)
+        return True
+
+    def set_call_rate(self, rate: float) -> None:
+        """Feed so many calls a second to each proxy from now on; 0: none."""
+        if self._feeding is not None:
+            self._feeding.cancel()
+            self._feeding = None
+        if rate > 0.0:
+            self._feeding = asyncio.get_running_loop().create_task(self._feed_calls(rate))
+
+    async def _feed_calls(self, rate: float) -> None:
+        loop = asyncio.get_running_loop()
+        started, fed = loop.time(), 0
+        while True:
+            await asyncio.sleep(FEEDING_INTERVAL)
+            due = int((loop.time() - started) * rate)
+            for proxy in self._proxies:
+                for _ in range(due - fed):
+                    proxy.call()
+            fed = due
+
+    def usage(self) -> meter.Usage:
+        """What this process has spent."""
+        return meter.own_usage()
+
+    def worst_list_cost(self, started: float, ended: float, window: float = meter.WORST_WINDOW) -> float:
+        """The most processor time that one proxy gave to lists in any `window` between two times; seconds."""
+        costs = (proxy.worst_list_cost(started, ended, window) for proxy in self._proxies)
+        return max(costs, default=0.0)
+
+    def age_report(self, publications: Publications) -> AgeReport:
+        """The ages of versions when the proxies applied them."""
+        histogram, oldest, missing = age_histogram(), dict.fromkeys(publications, 0.0), 0
+        for proxy in self._proxies:
+            ages = proxy.ages(publications)
+            expected = sum(publication.concerns(proxy.view) for publication in publications.values())
+            missing += expected - len(ages)
+            for version, age in ages.items():
+                record_age(histogram, age)
+                oldest[version] = max(oldest[version], age)
+        return AgeReport(histogram.encode(), oldest, missing)
--- /dev/null
+++ b/emulator/simulated_proxy.py
@@ -0,0 +1,143 @@
+"""One simulated proxy: the real decisions and the real watch, without callers and backends.
+
+Calls are events that are fed to the balancer; nothing goes to a backend. What a proxy does for control is
+real: the socket, the parsing, the reading of entries and the balancer's endpoint list.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable, Mapping
+from typing import Any
+
+from balancer.decide import Balancer
+from balancer.endpoints import UpdateKind
+from balancer.events import Outcome, StartAttempt
+from balancer.settings_reader import read_settings
+from emulator import topology
+from emulator.change_ages import AppliedUpdate, Publications, ages_when_applied
+from emulator.control_endpoint import HOST
+from proxy.discovery.watch import DiscoveredEndpoint, DiscoveryClient, EndpointReader, WatchConnection
+
+CALL_LATENCY = 0.004  # seconds that a simulated call takes at its backend
+CLASSES = 2  # classes of requests in the settings of the fleet
+
+
+def endpoint_reader() -> EndpointReader:
+    """A reader for the entries of a simulated fleet."""
+    return EndpointReader(
+        {name: number for number, name in enumerate(topology.ZONES)},
+        {name: number for number, name in enumerate(topology.TYPES)},
+    )
+
+
+def simulate_call(balancer: Balancer, now: float, number: int) -> None:
+    """Feed one call to a balancer, from its arrival to its answer."""
+    request_id = str(number)
+    actions = balancer.on_request(now, request_id, number % CLASSES)
+    if any(isinstance(action, StartAttempt) for action in actions):
+        balancer.on_attempt_finished(now + CALL_LATENCY, request_id, 0, Outcome.SUCCESS, CALL_LATENCY, True)
+
+
+class MeteredDiscovery(DiscoveryClient):
+    """The real watch, which records when it applied which versions and what that cost.
+
+    Attributes:
+        applied: The messages applied, in order.
+        cost_by_second: Processor time in seconds of reading and applying entries, by whole second of the
+            monotonic clock.
+    """
+
+    def __init__(
+        self,
+        address: tuple[str, int],
+        reader: EndpointReader,
+        on_update: Callable[[UpdateKind, list[DiscoveredEndpoint]], None],
+    ) -> None:
+        super().__init__(address, reader, 0, on_update)
+        self.applied: list[AppliedUpdate] = []
+        self.cost_by_second: dict[int, float] = {}
+
+    def message(self, watch: WatchConnection, message: Mapping[str, Any] | None) -> None:
+        """Handle one message of a watch; None: its end."""
+        if message is None:
+            super().message(watch, message)
+            return
+        started, previous_index = time.thread_time(), self._index
+        super().message(watch, message)
+        now = time.monotonic()
+        self.applied.append(AppliedUpdate(now, previous_index, self._index))
+        second = int(now)
+        cost = time.thread_time() - started
+        self.cost_by_second[second] = self.cost_by_second.get(second, 0.0) + cost
+
+    @property
+    def index(self) -> int:
+        """The version applied last."""
+        return self._index
+
+
+class SimulatedProxy:
+    """One proxy without callers and backends.
+
+    Attributes:
+        view: The names of the backends that it sees; None: all.
+        has_list: Set once the first message has been applied.
+        snapshots: How many complete lists it has applied.
+    """
+
+    def __init__(
+        self,
+        settings: dict[str, Any],
+        seed: int,
+        port: int,
+        reader: EndpointReader,
+        view: frozenset[str] | None,
+    ) -> None:
+        loop = asyncio.get_running_loop()
+        self._loop, self._epoch = loop, time.time() - loop.time()
+        self.balancer = Balancer(read_settings(settings), seed)
+        self.view = view
+        self.has_list = asyncio.Event()
+        self.snapshots = 0
+        self.discovery = MeteredDiscovery((HOST, port), reader, self._on_update)
+        self._calls = 0
+
+    def _now(self) -> float:
+        return self._loop.time() + self._epoch
+
+    def _on_update(self, kind: UpdateKind, endpoints: list[DiscoveredEndpoint]) -> None:
+        if endpoints or kind is not UpdateKind.DELTA:
+            self.balancer.on_endpoints_updated(self._now(), kind, [endpoint.row for endpoint in endpoints])
+            self.snapshots += kind is UpdateKind.SNAPSHOT
+        self.has_list.set()
+
+    def call(self) -> None:
+        """Feed one call to the balancer."""
+        self._calls += 1
+        simulate_call(self.balancer, self._now(), self._calls)
+
+    def is_behind(self, latest: Mapping[str, int]) -> bool:
+        """Whether it hasn't applied the latest version, by name, of a backend that it sees."""
+        names = latest.keys() if self.view is None else self.view & latest.keys()
+        return self.discovery.index < max((latest[name] for name in names), default=0)
+
+    def ages(self, publications: Publications) -> dict[int, float]:
+        """The age in seconds of each version that concerns it, when it applied that."""
+        return ages_when_applied(self.discovery.applied, publications, self.view)
+
+    def worst_list_cost(self, started: float, ended: float, window: float) -> float:
+        """The most processor time that it gave to messages in any `window` seconds between two times."""
+        costs = {
+            second: cost
+            for second, cost in self.discovery.cost_by_second.items()
+            if started - 1.0 < second <= ended
+        }
+        return max(
+            (
+                sum(cost for second, cost in costs.items() if first <= second < first + window)
+                for first in costs
+            ),
+            default=0.0,
+        )
--- /dev/null
+++ b/tests/emulator_fixtures.py
@@ -0,0 +1,29 @@
+"""What the tests of the control machine and of its watches share: a small fleet and a running registry."""
+
+from __future__ import annotations
+
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+
+from emulator import topology
+from emulator.registry import Registry
+
+SEED, BACKENDS, SERVICES = 1, 20, 4
+FLEET = topology.build(SEED, BACKENDS, SERVICES)
+NAMES = [entry["name"] for entry in FLEET.entries]
+ENDPOINT = "all"  # an endpoint that shows every backend
+
+
+def changed(place: int, status: str = "terminating") -> topology.Entry:
+    """A backend's entry with another status."""
+    return FLEET.entries[place] | {"status": status}
+
+
+@asynccontextmanager
+async def running_registry() -> AsyncIterator[Registry]:
+    """A registry of the small fleet, whose endpoints are closed at the end."""
+    registry = Registry(FLEET.entries)
+    try:
+        yield registry
+    finally:
+        registry.close()
--- /dev/null
+++ b/tests/test_emulator_child.py
@@ -0,0 +1,19 @@
+"""Calls into child processes."""
+
+from __future__ import annotations
+
+import pytest
+
+from emulator import topology
+from emulator.child import ChildError, ChildProcess
+from emulator.registry import Registry
+
+
+def test_a_fault_in_a_child_is_raised_in_its_parent() -> None:
+    with ChildProcess(Registry, topology.build(1, 5, 1).entries) as child:
+        with pytest.raises(ChildError, match="KeyError"):
+            child.call("endpoint_traffic", "odd")
+        assert child.call("usage").open_watches == 0
+        child.close()
+        with pytest.raises(ChildError):
+            child.call("usage")
--- /dev/null
+++ b/tests/test_emulator_fit.py
@@ -0,0 +1,24 @@
+"""The fits of measured points."""
+
+from __future__ import annotations
+
+import pytest
+
+from emulator import fit
+
+
+def test_fits_find_known_slopes() -> None:
+    xs = [1.0, 2.0, 4.0, 8.0, 16.0]
+    straight = fit.fit_line(xs, [3.0 + 2.0 * x for x in xs])
+    assert [straight.slope, straight.intercept] == pytest.approx([2.0, 3.0])
+    assert straight.residual == pytest.approx(0.0, abs=1e-9)
+    curved = [1.0, 3.0, 9.0, 25.0, 65.0]  # 1 + x log2 x
+    assert fit.fit_n_log_n(xs, curved).slope == pytest.approx(1.0)
+    assert fit.fit_all(xs, curved)[0].kind == "n log n"
+    assert fit.fit_line([0.0, 1.0, 2.0, 3.0], [1.0, -1.0, -1.0, 1.0]).residual == pytest.approx(1.0)
+
+
+@pytest.mark.parametrize(("xs", "ys"), [([1.0, 2.0, 3.0], [1.0, 2.0, 3.0]), ([1.0] * 4, [1.0] * 5)])
+def test_a_fit_needs_four_points(xs: list[float], ys: list[float]) -> None:
+    with pytest.raises(ValueError, match="at least 4"):
+        fit.fit_line(xs, ys)
--- a/tests/test_emulator_fleet.py
+++ b/tests/test_emulator_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet over real processes and sockets: who moves where, and what was heard."""
+"""A small simulated fleet over real processes and sockets: who watches which machine, and what is applied."""
 
 from __future__ import annotations
 
@@ -7,43 +7,35 @@
 
 import pytest
 
-from emulator import topology
-from emulator.child import Child, ChildError
-from emulator.registry import Registry
-from emulator.runs.fleet import Fleet, Plan
+from emulator.runs.fleet_events import lose_machine, lose_zone
+from emulator.runs.fleet_measurement import measure
+from emulator.runs.fleet_plans import Plan
+from emulator.runs.simulated_fleet import SimulatedFleet
 
-ROWS, PROXIES = 60, 12
+SEED = 1
+BACKENDS, PROXIES = 60, 12
 
 
 @pytest.fixture
-def fleet() -> Iterator[Fleet]:
+def fleet() -> Iterator[SimulatedFleet]:
+    """A running fleet that sees all rows."""
     with ExitStack() as stack:
-        yield Fleet(Plan("small", PROXIES, False, 100.0, (), 0.0, 0.0, ROWS), 1, stack)
+        yield SimulatedFleet(Plan("small", PROXIES, False, 100.0, (), 0.0, 0.0, BACKENDS), SEED, stack)
 
 
-def test_every_proxy_hears_of_a_lost_zone(fleet: Fleet) -> None:
-    told = fleet.measure(fleet.zone_lost)
-    assert (told["versions"], told["whole"], told["age"]["missing"]) == (1, True, 0)
-    assert told["age"]["all"]["count"] == PROXIES
-    assert told["age"]["last"]["count"] == 1
-    assert [machine["watches"] for machine in told["machines"]] == [4, 4, 4]
+def test_every_proxy_applies_the_loss_of_a_zone(fleet: SimulatedFleet) -> None:
+    measured = measure(fleet, lose_zone)
+    assert (measured.versions, measured.is_complete, measured.ages.missing) == (1, True, 0)
+    assert measured.ages.everywhere.count == PROXIES
+    assert measured.ages.at_last.count == 1
+    assert [machine.open_watches for machine in measured.machines] == [4, 4, 4]
 
 
-def test_a_lost_machines_watches_resume_at_the_other_two(fleet: Fleet) -> None:
-    told = fleet.measure(fleet.machine_lost)
-    assert (told["whole"], told["age"]["missing"]) == (True, 0)
-    watches = [machine["watches"] for machine in told["machines"]]
+def test_a_lost_machines_watches_resume_at_the_other_two(fleet: SimulatedFleet) -> None:
+    measured = measure(fleet, lose_machine)
+    assert (measured.is_complete, measured.ages.missing) == (True, 0)
+    watches = [machine.open_watches for machine in measured.machines]
     assert watches[0] == 0
     assert sum(watches) == PROXIES
     assert min(watches[1:]) > 4
-    assert sum(machine["wholes"] for machine in told["machines"]) == 0
-
-
-def test_a_fault_in_a_child_comes_back() -> None:
-    with Child(Registry, topology.build(1, 5, 1).entries) as child:
-        with pytest.raises(ChildError, match="KeyError"):
-            child.call("door", "odd")
-        assert child.call("spent")["open"] == 0
-        child.close()
-        with pytest.raises(ChildError):
-            child.call("spent")
+    assert sum(machine.snapshots for machine in measured.machines) == 0
--- /dev/null
+++ b/tests/test_emulator_registry_state.py
@@ -0,0 +1,19 @@
+"""The endpoint list of a control machine: deltas and snapshots."""
+
+from __future__ import annotations
+
+import orjson
+import pytest
+from emulator_fixtures import FLEET, changed
+
+from emulator.registry_state import RegistryState
+
+
+def test_the_log_bounds_what_can_be_resumed(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("emulator.registry_state.MAX_LOG_ENTRIES", 3)
+    state = RegistryState(FLEET.entries)
+    for index in range(2, 8):
+        state.change(index, [changed(index)])
+    are_snapshots = [state.since(index, None).is_snapshot for index in (3, 4, 7, 8)]
+    assert are_snapshots == [True, False, False, True]
+    assert len(orjson.loads(state.since(4, None).line)["endpoints"]) == 3
