--- a/emulator/change_ages.py
+++ b/emulator/change_ages.py
@@ -1,6 +1,6 @@
 """How old a change of the endpoint list is when a proxy applies it.
 
-It owns what is recorded at publishing and at applying a version, and the histogram that ages are kept in.
+It owns what is recorded when a version is published and when it is applied, and the histogram of ages.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-MAX_AGE_MICROSECONDS = 600_000_000  # older than that counts as that old
+MAX_AGE_MICROSECONDS = 600_000_000  # greater ages are recorded as this one
 MICROSECONDS = 1e6  # in a second
 
 
--- a/emulator/child.py
+++ b/emulator/child.py
@@ -53,7 +53,7 @@
         self.pid = self._process.pid or 0
 
     def send(self, method: str, *args: Any, **kwargs: Any) -> None:
-        """Begin a call; each must be followed by one `result`.
+        """Start a call; each one must be followed by one `result`.
 
         Raises:
             ChildError: The child is gone.
@@ -64,7 +64,7 @@
             raise ChildError(f"{method}: the process is gone") from fault
 
     def result(self, timeout: float = CALL_TIMEOUT) -> Any:
-        """Wait for what the oldest call begun returns.
+        """Wait for the result of the oldest call that was started.
 
         Raises:
             ChildError: The call failed or takes longer, or the child is gone.
--- a/emulator/control_endpoint.py
+++ b/emulator/control_endpoint.py
@@ -34,7 +34,7 @@
         updates: Messages sent in watches.
         heartbeats: Empty lines.
         snapshots: Complete lists, in watches and on request.
-        watches: Watches begun.
+        watches: Watches opened.
         list_requests: Lists asked for without a watch.
     """
 
@@ -53,7 +53,7 @@
     """One port of a control machine, whose clients see the backends of its view.
 
     Attributes:
-        port: Where it listens; 0 until the first `open` where any port will do.
+        port: The port that it listens on; 0 before the first `open` if any free one was asked for.
         is_silent: Whether it is cut off: it accepts connections, but sends nothing.
     """
 
--- a/emulator/meter.py
+++ b/emulator/meter.py
@@ -37,7 +37,7 @@
 def process_usage(pid: int) -> Usage:
     """Read another process; psutil.Error where it has ended.
 
-    Its processor time is the scheduler's, exact, of the threads it has now; where the kernel does not tell
+    Its processor time is the scheduler's, exact, of the threads it has now; where the kernel does not report
     that, it is in ticks of 10 ms.
     """
     process = psutil.Process(pid)
@@ -51,7 +51,7 @@
 
 
 def _scheduled_seconds(pid: int) -> float | None:
-    """The time that the scheduler gave to a process's threads; None where the kernel does not tell it."""
+    """The time that the scheduler gave to a process's threads; None where the kernel does not report it."""
     try:
         texts = [file.read_text() for file in Path(f"/proc/{pid}/task").glob("*/schedstat")]
     except OSError:
--- a/emulator/proxy_configuration.py
+++ b/emulator/proxy_configuration.py
@@ -13,13 +13,19 @@
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}  # of one real proxy
 
 
-def proxy_settings(topology: Topology, place: int, fleet_size: int | None = None) -> dict[str, Any]:
-    """The settings of one backend's proxy (DEPLOY, `settings`) in a fleet of so many proxies."""
-    entry = topology.entries[place % len(topology.entries)]
+def proxy_settings(topology: Topology, position: int, fleet_size: int | None = None) -> dict[str, Any]:
+    """The settings of one backend's proxy (DEPLOY, `settings`).
+
+    Args:
+        topology: The fleet.
+        position: The backend.
+        fleet_size: How many proxies there are; None: one for each backend.
+    """
+    entry = topology.entries[position % len(topology.entries)]
     fleet_size = fleet_size or len(topology.entries)
     return {
         "Instances": fleet_size,
-        "Ordinal": place % fleet_size,
+        "Ordinal": position % fleet_size,
         "RegistryMode": "pushed",
         "Services": [
             {"Name": "read", "Aim": 0.5, "HardLimit": 2.0, "Repeat": "retryable", "LateWorth": 0.5},
@@ -46,15 +52,15 @@
 
 
 def proxy_configuration(
-    topology: Topology, place: int, listen_port: int, discovery_port: int
+    topology: Topology, position: int, listen_port: int, discovery_port: int
 ) -> dict[str, Any]:
     """The configuration file of one real proxy, which knows no endpoint at its start."""
     return {
-        "name": topology.entries[place]["name"],
+        "name": topology.entries[position]["name"],
         "listen": f"{HOST}:{listen_port}",
         "discovery": f"{HOST}:{discovery_port}",
-        "seed": f"{topology.seed + place:016x}",
+        "seed": f"{topology.seed + position:016x}",
         "limits": LIMITS,
         "known": {"index": 0, "snapshot": True, "endpoints": []},
-        "settings": proxy_settings(topology, place),
+        "settings": proxy_settings(topology, position),
     }
--- a/emulator/real_proxies.py
+++ b/emulator/real_proxies.py
@@ -27,9 +27,9 @@
     running: list[subprocess.Popen[bytes]] = []
     with TemporaryDirectory() as folder:
         try:
-            for place, port in enumerate(ports):
-                file = Path(folder) / f"{place}.json"
-                configuration = proxy_configuration(topology, place, port, discovery_port)
+            for position, port in enumerate(ports):
+                file = Path(folder) / f"{position}.json"
+                configuration = proxy_configuration(topology, position, port, discovery_port)
                 file.write_text(json.dumps(configuration), encoding="utf-8")
                 running.append(_start(file))
             yield [process.pid for process in running]
--- a/emulator/registry.py
+++ b/emulator/registry.py
@@ -50,8 +50,8 @@
         """Open an endpoint under a name, or one that was closed once more.
 
         Args:
-            name: What the other methods call it.
-            port: Where it listens; 0: at any free port.
+            name: Identifies it in the other methods.
+            port: The port to listen on; 0: any free one.
             view: The names of the backends that it shows; None: all.
 
         Returns:
@@ -77,7 +77,7 @@
         """Apply a change and send it to all watches.
 
         Returns:
-            When that was begun, on the machine's monotonic clock.
+            When that started, on the machine's monotonic clock.
 
         Raises:
             ValueError: The version isn't newer than the current one.
--- a/emulator/runs/fleet.py
+++ b/emulator/runs/fleet.py
@@ -1,7 +1,7 @@
 """The run `fleet`: the target's size on one machine, through changes and failures.
 
-Up to 910 simulated proxies watch three control machines. The run owns the order of plans and events and the
-result; see `fleet_plans`, `fleet_events` and `fleet_measurement` for what they are.
+Up to 910 simulated proxies watch three control machines. The run goes through the plans (`fleet_plans`) and
+their events (`fleet_events`) in order and writes the result; `fleet_measurement` measures.
 """
 
 from __future__ import annotations
@@ -14,14 +14,15 @@
 from emulator.result import write_result
 from emulator.runs.common import RunOptions, RunResult, report_progress
 from emulator.runs.fleet_events import EVENTS
-from emulator.runs.fleet_measurement import EventMeasurement, measure
+from emulator.runs.fleet_figures import EventMeasurement
+from emulator.runs.fleet_measurement import measure
 from emulator.runs.fleet_plans import PLANS, QUICK_PLANS, Plan
 from emulator.runs.simulated_fleet import FleetStart, SimulatedFleet
 
 
 @dataclass(slots=True, frozen=True)
 class PlanResult:
-    """What one plan gave: its start, and its events by name."""
+    """What was measured for one plan: its start, and its events by name."""
 
     plan: Plan
     start: FleetStart
@@ -77,7 +78,7 @@
     """The budgets' figures: the worst of all plans and events, ages of ordinary changes alone."""
     costs = [event.proxy for plan in plans for event in plan.events.values()]
     return {
-        # A process's mean over its proxies, or what lists alone cost the proxy that had most to do.
+        # The busiest process's mean over its proxies, or what lists alone cost the busiest proxy.
         "processor_worst": max(max(cost.processor_worst, cost.lists_worst) for cost in costs),
         "bytes_worst": max(cost.bytes_worst for cost in costs),
         "change_age": max(plan.events["changes"].ages.at_last.worst or 0.0 for plan in plans),
--- a/emulator/runs/fleet_events.py
+++ b/emulator/runs/fleet_events.py
@@ -1,6 +1,6 @@
 """The events of the run `fleet`: what happens to a simulated fleet while its costs are measured.
 
-It owns the course of each event; `EVENTS` has them by the names that plans and results use.
+It owns the steps of each event; `EVENTS` maps the names that plans and results use to them.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from emulator.runs.pacing import poisson_arrivals
 from emulator.runs.simulated_fleet import SimulatedFleet
 
-TAKEOVER_TIME = 0.3  # seconds after which the other two serve a lost machine's addresses
+TAKEOVER_TIME = 0.3  # seconds after which the other two machines serve a lost one's addresses
 REPLACED_BACKENDS = 110
-CHANGES_MEANWHILE = 5  # while watches are away
+CHANGES_MEANWHILE = 5  # published while watches are disconnected
 LOST_ZONE = "b"
 PARTITIONED_REGION = 1  # the region that is cut off from the control machines
 LOST_MACHINE, RESTARTED_MACHINE = 0, 1
@@ -35,35 +35,39 @@
 
 def replace_backends(fleet: SimulatedFleet) -> None:
     """110 backends go and come back on other machines, at once, each in a version of its own."""
-    for place in fleet.rng.permutation(fleet.plan.backends)[:REPLACED_BACKENDS]:
-        fleet.publish([fleet.changes.terminate(int(place))])
-        fleet.publish([fleet.changes.replace(int(place))])
+    for position in fleet.rng.permutation(fleet.plan.backends)[:REPLACED_BACKENDS]:
+        fleet.publish([fleet.changes.terminate(int(position))])
+        fleet.publish([fleet.changes.replace(int(position))])
 
 
 def lose_zone(fleet: SimulatedFleet) -> None:
     """A zone's backends go in one delta."""
-    fleet.publish([fleet.changes.terminate(place) for place in fleet.topology.zone(LOST_ZONE)])
+    fleet.publish(
+        [fleet.changes.terminate(position) for position in fleet.topology.backends_in_zone(LOST_ZONE)]
+    )
 
 
 def restore_zone(fleet: SimulatedFleet) -> None:
     """A zone's backends come back in one delta."""
-    fleet.publish([fleet.changes.restart(place) for place in fleet.topology.zone(LOST_ZONE)])
+    fleet.publish(
+        [fleet.changes.restart(position) for position in fleet.topology.backends_in_zone(LOST_ZONE)]
+    )
 
 
 def lose_zone_by_rows(fleet: SimulatedFleet) -> None:
     """A zone's backends go at once, each in a version of its own."""
-    for place in fleet.topology.zone(LOST_ZONE):
-        fleet.publish([fleet.changes.terminate(place)])
+    for position in fleet.topology.backends_in_zone(LOST_ZONE):
+        fleet.publish([fleet.changes.terminate(position)])
 
 
 def restore_zone_by_rows(fleet: SimulatedFleet) -> None:
     """A zone's backends come back at once, each in a version of its own."""
-    for place in fleet.topology.zone(LOST_ZONE):
-        fleet.publish([fleet.changes.restart(place)])
+    for position in fleet.topology.backends_in_zone(LOST_ZONE):
+        fleet.publish([fleet.changes.restart(position)])
 
 
 def lose_machine(fleet: SimulatedFleet) -> None:
-    """A control machine is lost: its watches resume at the other two, which have had changes meanwhile."""
+    """A control machine is lost: its watches resume at the other two, after changes that they missed."""
     lost = fleet.lose_machine(LOST_MACHINE)
     _change_meanwhile(fleet)
     time.sleep(TAKEOVER_TIME)
@@ -77,7 +81,7 @@
 
 
 def _change_meanwhile(fleet: SimulatedFleet) -> None:
-    """Publish changes that no watch which is away has received."""
+    """Publish changes while some watches are disconnected."""
     for _ in range(CHANGES_MEANWHILE):
         fleet.publish([fleet.changes.change_any()])
 
--- a/emulator/runs/fleet_layout.py
+++ b/emulator/runs/fleet_layout.py
@@ -37,39 +37,44 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetLayout:
-    """The endpoints of a fleet, and for each process its proxies: their place, and what they watch."""
+    """Where the proxies of a fleet run and what they watch.
+
+    Attributes:
+        endpoints: All endpoints.
+        processes: The proxies of each process: the position of the backend, and the endpoint watched.
+    """
 
     endpoints: list[FleetEndpoint]
     processes: list[list[tuple[int, FleetEndpoint]]]
 
 
 def assign_proxies(
-    topology: Topology, places: Sequence[int], narrow_view: bool, process_count: int
+    topology: Topology, positions: Sequence[int], narrow_view: bool, process_count: int
 ) -> FleetLayout:
-    """Deal the proxies of some backends to control machines and processes.
+    """Assign the proxies of some backends to control machines and processes in turn.
 
-    A process holds proxies of one control machine alone: what that one's loss costs shows in it.
+    All proxies of a process watch the same control machine, so that the cost of its loss can be seen there.
     """
     endpoints: dict[str, FleetEndpoint] = {}
     processes: list[list[tuple[int, FleetEndpoint]]] = [[] for _ in range(process_count)]
     processes_per_machine = process_count // MACHINES
-    for number, place in enumerate(places):
-        endpoint = _endpoint(topology, number, place, narrow_view)
+    for number, position in enumerate(positions):
+        endpoint = _endpoint(topology, number, position, narrow_view)
         endpoint = endpoints.setdefault(endpoint.name, endpoint)
         round_number = number // MACHINES
         process = endpoint.machine + MACHINES * (round_number % processes_per_machine)
-        processes[process].append((place, endpoint))
+        processes[process].append((position, endpoint))
     return FleetLayout(list(endpoints.values()), processes)
 
 
-def _endpoint(topology: Topology, number: int, place: int, narrow_view: bool) -> FleetEndpoint:
+def _endpoint(topology: Topology, number: int, position: int, narrow_view: bool) -> FleetEndpoint:
     """What the proxy with a number watches; equal names mean the same endpoint."""
     machine = number % MACHINES
     takeover_group = number // (2 * MACHINES) % TAKEOVER_GROUPS
-    region = REGION_OF[topology.entries[place]["zone"]]
+    region = REGION_OF[topology.entries[position]["zone"]]
     name, view = f"{machine}.{region}.{takeover_group}", None
     if narrow_view:
-        service = topology.service_of[place]
+        service = topology.service_of[position]
         name += f".{service}"
         called = topology.called_backends(service)
         view = frozenset(topology.entries[backend]["name"] for backend in called)
--- a/emulator/runs/fleet_plans.py
+++ b/emulator/runs/fleet_plans.py
@@ -1,7 +1,7 @@
-"""The plans of the run `fleet`: how many proxies, what they see and what they live through.
+"""The plans of the run `fleet`: how many proxies there are, what they see and what happens to them.
 
-A proxy of a real fleet has a core of its own; here many share one. So events that this machine can't carry
-at all proxies happen to fewer.
+A proxy of a real fleet has a core of its own; here many share one. So events that would overload one machine
+with all proxies happen to fewer of them.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
         speed: How much faster than the target's rate changes come.
         events: The names of the events, in order (`fleet_events.EVENTS`).
         change_seconds: How long changes come at the rate, in the event `changes`.
-        partition_seconds: How long regions are without each other, in the event `regions_cut`.
+        partition_seconds: How long a region is cut off, in the event `regions_cut`.
         backends: How many backends there are.
     """
 
@@ -38,13 +38,54 @@
 
 FAILURES = ("zone_lost", "zone_back", "machine_lost", "log_lost", "regions_cut")
 BY_ROWS = ("replaced", "zone_lost_by_rows", "zone_back_by_rows")
-# All rows at all proxies cost this machine some 3 s of processor time a change: so slower, and in one delta.
+# Where all 910 proxies see all rows, a change of one costs some 3 s of processor time: so changes come
+# slower there, and a zone goes in one delta.
 PLANS = (
-    Plan("all_rows", 910, False, 15.0, ("changes", *FAILURES), 15.0, 8.0),
-    Plan("all_rows_by_row", 48, False, 100.0, ("changes", *BY_ROWS), 12.0, 0.0),
-    Plan("next_rows", 910, True, 100.0, ("changes", *BY_ROWS, *FAILURES), 15.0, 8.0),
+    Plan(
+        name="all_rows",
+        proxies=910,
+        narrow_view=False,
+        speed=15.0,
+        events=("changes", *FAILURES),
+        change_seconds=15.0,
+        partition_seconds=8.0,
+    ),
+    Plan(
+        name="all_rows_by_row",
+        proxies=48,
+        narrow_view=False,
+        speed=100.0,
+        events=("changes", *BY_ROWS),
+        change_seconds=12.0,
+        partition_seconds=0.0,
+    ),
+    Plan(
+        name="next_rows",
+        proxies=910,
+        narrow_view=True,
+        speed=100.0,
+        events=("changes", *BY_ROWS, *FAILURES),
+        change_seconds=15.0,
+        partition_seconds=8.0,
+    ),
 )
 QUICK_PLANS = (
-    Plan("all_rows", 12, False, 100.0, ("changes", "zone_lost_by_rows", "zone_back", "log_lost"), 1.5, 0.0),
-    Plan("next_rows", 240, True, 100.0, ("changes", "replaced", "machine_lost"), 1.5, 0.0),
+    Plan(
+        name="all_rows",
+        proxies=12,
+        narrow_view=False,
+        speed=100.0,
+        events=("changes", "zone_lost_by_rows", "zone_back", "log_lost"),
+        change_seconds=1.5,
+        partition_seconds=0.0,
+    ),
+    Plan(
+        name="next_rows",
+        proxies=240,
+        narrow_view=True,
+        speed=100.0,
+        events=("changes", "replaced", "machine_lost"),
+        change_seconds=1.5,
+        partition_seconds=0.0,
+    ),
 )
--- a/emulator/runs/hollow.py
+++ b/emulator/runs/hollow.py
@@ -1,7 +1,8 @@
-"""The run `hollow`: what control costs a simulated proxy beside a real one.
+"""The run `hollow`: what control costs a simulated proxy, compared with a real one.
 
-Four of each watch one control machine and live through the same events, side by side. The run owns the
-processes and the events; the comparison is worked out in `emulator.control_cost`.
+"Hollow" is what the command and its results call a simulated proxy. Four proxies of each kind watch one
+control machine and are given the same events at the same time. The run owns the processes and the events; the
+comparison is worked out in `emulator.control_cost`.
 """
 
 from __future__ import annotations
@@ -35,10 +36,10 @@
 
 PROXIES = 4  # of each group
 CHANGE_RATE = 10.0  # changes a second: each is applied alone
-START_TIMEOUT = 15.0  # seconds in which the proxies watch
+SNAPSHOT_TIMEOUT = 15.0  # seconds in which every proxy has been sent its list
 SETTLING_TIME = 1.0  # seconds after which what was sent has been applied
-RECONNECT_TIME = 0.3  # seconds in which watches that were reset come back
-POLL_INTERVAL = 0.05  # seconds between two looks at who watches
+RECONNECT_TIME = 0.3  # seconds in which watches that were reset reconnect
+POLL_INTERVAL = 0.05  # seconds between two checks
 REAL, SIMULATED = "real", "hollow"  # the two groups' endpoints
 NOTE = (
     "a hollow proxy has no connections of callers and backends, so it does not sweep them, keeps no "
@@ -48,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Amounts:
-    """How much of each event happens."""
+    """How many events of each kind happen, or for how long."""
 
     change_seconds: float
     snapshots: int
@@ -60,7 +61,7 @@
 
 
 class Comparison:
-    """The two groups at one control machine, the events that they live through, and what those cost."""
+    """The two groups of proxies at one control machine, the events that happen to them, and their costs."""
 
     def __init__(
         self,
@@ -76,7 +77,7 @@
         self._index = 1
 
     def measure(self, event: Callable[[], int]) -> EventCost:
-        """Let events of one kind happen, and say what one costs a proxy of each group.
+        """Let events of one kind happen, and measure what one of them costs a proxy of each group.
 
         Args:
             event: Lets them happen; returns how many there were.
@@ -101,7 +102,7 @@
         return int(self._registry.call("endpoint_traffic", group).sent_bytes)
 
     def publish_changes(self, seconds: float) -> int:
-        """Change single entries at the run's rate; how many."""
+        """Change single entries at the run's rate; returns how many."""
         first = self._index
         for _ in evenly_spaced(CHANGE_RATE, seconds):
             self._index += 1
@@ -109,7 +110,7 @@
         return self._index - first
 
     def send_snapshots(self, count: int) -> int:
-        """Let both groups come back for a complete list, so many times."""
+        """Make both groups reconnect for a complete list, `count` times."""
         for number in range(count):
             self._registry.call("reset_connections", [REAL, SIMULATED], True)
             time.sleep(RECONNECT_TIME)
@@ -117,7 +118,7 @@
         return count
 
     def stay_idle(self, seconds: float) -> int:
-        """Let time pass with heartbeats alone: one event."""
+        """Let time pass with heartbeats alone, which counts as one event."""
         time.sleep(seconds)
         return 1
 
@@ -147,7 +148,7 @@
         registry.call("open_endpoints", addresses)
         real_pids = stack.enter_context(real_proxies(fleet, ports, real_port))
         simulated = stack.enter_context(ChildProcess(SimulatedHost, seed, topology.BACKENDS))
-        placements = [ProxyPlacement(place, simulated_port) for place in range(PROXIES)]
+        placements = [ProxyPlacement(position, simulated_port) for position in range(PROXIES)]
         start_cost: StartCost = simulated.call("start_proxies", placements)
         simulated.call("freeze")
         wait_for_snapshots(registry)
@@ -156,12 +157,12 @@
 
 
 def wait_for_snapshots(registry: ChildProcess, count: int = 1) -> None:
-    """Wait until every proxy of both groups has been sent so many complete lists.
+    """Wait until every proxy of both groups has been sent `count` complete lists.
 
     Raises:
         RuntimeError: It takes too long.
     """
-    deadline = time.monotonic() + START_TIMEOUT
+    deadline = time.monotonic() + SNAPSHOT_TIMEOUT
     while any(
         registry.call("endpoint_traffic", name).snapshots < PROXIES * count for name in (REAL, SIMULATED)
     ):
--- a/emulator/runs/simulated_fleet.py
+++ b/emulator/runs/simulated_fleet.py
@@ -1,7 +1,7 @@
 """The processes of a simulated fleet: control machines, hosts of simulated proxies, and what is done to them.
 
-It owns start-up, publishing of changes and the failures of control machines and networks. Which of them
-happen when is in `fleet_events`, what they cost in `fleet_measurement`.
+It owns start-up, publishing of changes and the failures of control machines and networks. When they happen
+is decided in `fleet_events`; what they cost is measured in `fleet_measurement`.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 from emulator.runs.fleet_plans import Plan
 from emulator.simulated_host import ProxyPlacement, SimulatedHost, StartCost
 
-MAX_HOSTS = 6  # processes of simulated proxies...
-MIN_PROXIES_FOR_MAX_HOSTS = 30  # ...from so many proxies on...
-MIN_CPUS_FOR_MAX_HOSTS = 8  # ...and on a machine with so many processors
+MAX_HOSTS = 6  # processes of simulated proxies; fewer for a small fleet or on a small machine
+MIN_PROXIES_FOR_MAX_HOSTS = 30
+MIN_CPUS_FOR_MAX_HOSTS = 8
 
 
 @dataclass(slots=True, frozen=True)
 class FleetStart:
-    """What the start of a fleet took.
+    """What starting a fleet cost.
 
     Attributes:
-        memory_mb: What a proxy has added to its process.
-        processor: Processor time in seconds for a proxy.
+        memory_mb: Resident memory that a proxy added to its process.
+        processor: Processor time in seconds for each proxy.
         processes: How many processes hold the proxies.
         resident_mb: Resident memory of all of them.
     """
@@ -63,14 +63,14 @@
 
     Attributes:
         topology: The backends.
-        rng: For everything random that happens to the fleet.
+        rng: The source of everything random that happens to the fleet.
         changes: The endpoint list as it stands.
-        start: What the start took.
+        start: What starting them cost.
         hosts: The processes of simulated proxies.
         proxies_per_host: How many proxies each of them holds.
         machines: The control machines.
         endpoints: The ports that proxies watch.
-        publications: The versions published since `forget_publications`.
+        publications: The versions published since the last `forget_publications`.
     """
 
     def __init__(self, plan: Plan, seed: int, stack: ExitStack) -> None:
@@ -90,8 +90,8 @@
             stack.enter_context(ChildProcess(SimulatedHost, seed, plan.backends))
             for _ in range(_host_count(plan))
         ]
-        places = [int(place) for place in self.rng.permutation(plan.backends)[: plan.proxies]]
-        layout = assign_proxies(self.topology, places, plan.narrow_view, len(self.hosts))
+        positions = [int(position) for position in self.rng.permutation(plan.backends)[: plan.proxies]]
+        layout = assign_proxies(self.topology, positions, plan.narrow_view, len(self.hosts))
         self.endpoints = layout.endpoints
         self.proxies_per_host = [len(proxies) for proxies in layout.processes]
         self.start = self._start(layout)
@@ -102,7 +102,7 @@
             endpoint.port = port
         self.open_endpoints(self.endpoints)
         for host, proxies in zip(self.hosts, layout.processes, strict=True):
-            placements = [ProxyPlacement(place, endpoint.port) for place, endpoint in proxies]
+            placements = [ProxyPlacement(position, endpoint.port) for position, endpoint in proxies]
             host.send("start_proxies", placements, self.plan.proxies, self.plan.narrow_view)
         costs: list[StartCost] = [host.result() for host in self.hosts]
         call_all(self.hosts, "freeze")
@@ -120,7 +120,7 @@
         call_all(machines, "publish", self._index, entries)
 
     def forget_publications(self) -> None:
-        """Begin anew with the versions that ages are asked for."""
+        """Forget the versions published so far: ages are reported for later ones."""
         self.publications = {}
 
     def wait_until_applied(self, timeout: float) -> bool:
@@ -150,7 +150,11 @@
         return [endpoint for endpoint in self.endpoints if endpoint.machine == machine]
 
     def lose_machine(self, machine: int) -> list[FleetEndpoint]:
-        """Lose a control machine; its ports, which others serve once they are opened again."""
+        """Lose a control machine; its ports pass to the others.
+
+        Returns:
+            The ports, which are closed until they are opened again.
+        """
         lost = self.endpoints_at(machine)
         self.machines[machine].call("close_endpoints", [endpoint.name for endpoint in lost])
         self._live_machines.discard(machine)
@@ -184,7 +188,7 @@
         return call_all(self.machines, "usage")
 
     def worst_list_cost(self, started: float, ended: float) -> float:
-        """The most processor time in seconds that a proxy gave to lists in any window between two times."""
+        """The most processor time in seconds that a proxy spent on lists in any window between two times."""
         costs: list[float] = call_all(self.hosts, "worst_list_cost", started, ended)
         return max(costs)
 
--- a/emulator/runs/slope.py
+++ b/emulator/runs/slope.py
@@ -17,11 +17,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Slope:
-    """Figures measured against a quantity.
+    """Figures measured while one quantity varies.
 
     Attributes:
-        points: The measurements, each with the quantity and all figures.
-        against: The quantity's name in the points.
+        points: The measurements; each holds the quantity and all figures.
+        against: The name of the quantity that varies.
         figures: The names of the figures that are fitted.
     """
 
--- a/emulator/runs/slopes.py
+++ b/emulator/runs/slopes.py
@@ -1,7 +1,7 @@
-"""The run `slopes`: what control costs a proxy and a control machine, for each unit of what grows.
+"""The run `slopes`: how the cost of control grows, for a proxy and for a control machine.
 
-It owns which slopes are measured and the budgets' figures from them; the modules `slopes_balancer`,
-`slopes_proxy` and `slopes_registry` measure.
+It owns which slopes are measured and the budgets' figures that follow from them; the modules
+`slopes_balancer`, `slopes_proxy` and `slopes_registry` measure.
 """
 
 from __future__ import annotations
@@ -27,7 +27,8 @@
     "registry_watches": slopes_registry.by_watches,
     "registry_changes": slopes_registry.by_change_rate,
 }
-QUICK_SLOPES = ("module", "path", "changes", "registry_watches")  # those behind the budgets, one of each kind
+# Those that the budgets' figures need, and one of each other kind.
+QUICK_SLOPES = ("module", "path", "changes", "registry_watches")
 
 
 def run(options: RunOptions) -> RunResult:
--- a/emulator/runs/slopes_balancer.py
+++ b/emulator/runs/slopes_balancer.py
@@ -29,7 +29,7 @@
 FLEET_SIZES = (100, 303, 455, 910, 1820)  # proxies by the settings
 CALL_RATE = 154.0  # a second: the target's mean
 UPDATE_INTERVAL = 1.0  # seconds between two messages of the watch
-MIN_DECISIONS = 100  # that a decision's mean goes over
+MIN_DECISIONS = 100  # over which a decision's cost is averaged
 SECONDS_EACH, QUICK_SECONDS_EACH = 0.3, 0.05  # processor time that one figure may take, about
 
 
@@ -43,7 +43,8 @@
         self._balancer = Balancer(read_settings(proxy_settings(fleet, 0, fleet_size)), fleet.seed)
         self._now = 0.0
         self._send_snapshot()
-        # As the real proxy does once it has its list: what others left here must not be paid for.
+        # As the real proxy does once it has its list: collecting what earlier points left here must not be
+        # measured.
         gc.collect()
         gc.freeze()
         self._changes = EndpointChanges(fleet.entries, np.random.default_rng(fleet.seed))
@@ -81,7 +82,7 @@
 
 
 def _reading(line: bytes) -> Callable[[], object]:
-    """What reads a complete list from its message."""
+    """A function that reads a complete list from its message."""
     reader = endpoint_reader()
     return lambda: reader.endpoints(orjson.loads(line))
 
--- a/emulator/runs/slopes_proxy.py
+++ b/emulator/runs/slopes_proxy.py
@@ -24,10 +24,12 @@
 
 CHANGE_RATES = (2.0, 5.0, 10.0, 20.0)  # a second
 CALL_RATES = (50.0, 154.0, 400.0, 800.0)  # a second
-PROXIES = 8  # enough to tell their memory from the process's
+PROXIES = 8  # enough that their memory stands out from the process's
 APPLY_TIMEOUT = 60.0  # seconds that anything may take to be applied
-MIN_CHANGE_INTERVAL = 0.01  # seconds between two changes, which are not to share a read...
-CHANGE_INTERVAL_EACH = 8e-6  # ...and seconds for each row of each proxy
+# Seconds between two changes, so that a proxy doesn't read several at once: a minimum, or if greater, a time
+# for each row of each proxy.
+MIN_CHANGE_INTERVAL = 0.01
+CHANGE_INTERVAL_EACH = 8e-6
 ENDPOINT = "all"
 
 
@@ -39,7 +41,7 @@
     sent_bytes: int
 
     def per_proxy(self, before: WatchReading, proxies: int, divisor: float) -> WatchCost:
-        """What a proxy has spent since an earlier reading, for each of so many events or seconds."""
+        """What a proxy has spent since an earlier reading, divided by a number of events or seconds."""
         return WatchCost(
             (self.processor - before.processor) / divisor / proxies,
             (self.sent_bytes - before.sent_bytes) / divisor / proxies,
@@ -66,7 +68,7 @@
         self._registry = ChildProcess(Registry, fleet.entries)
         self._host = ChildProcess(SimulatedHost, seed, backends)
         port = self._registry.call("open_endpoint", ENDPOINT)
-        placements = [ProxyPlacement(place, port) for place in range(proxies)]
+        placements = [ProxyPlacement(position, port) for position in range(proxies)]
         self.start_cost: StartCost = self._host.call("start_proxies", placements, topology.BACKENDS)
         self._host.call("freeze")
 
@@ -90,7 +92,7 @@
             raise RuntimeError(f"a whole list was not taken in within {APPLY_TIMEOUT:g} s")
 
     def set_call_rate(self, rate: float) -> None:
-        """Feed so many calls a second to each proxy from now on."""
+        """Feed each proxy calls at a rate a second from now on."""
         self._host.call("set_call_rate", rate)
 
     def host_usage(self) -> Usage:
--- a/emulator/runs/slopes_registry.py
+++ b/emulator/runs/slopes_registry.py
@@ -25,7 +25,7 @@
 RATE_AT_WATCHES = 5.0  # changes a second, while watches vary
 WATCHES_AT_RATES = 303  # while changes a second vary: a third of the target's proxies
 SECONDS, QUICK_SECONDS = 2.5, 0.6  # of changes for a point
-OPENING_TIME = 0.2  # seconds in which the lists of new watches are on their way
+OPENING_TIME = 0.2  # seconds in which new watches receive their lists
 
 
 class LoadedRegistry:
@@ -37,7 +37,7 @@
         self._index, self._watches = 1, 0
 
     def open_watches(self, count: int) -> None:
-        """Open watches up to a number, which ascends."""
+        """Open watches until there are `count`, which must not decrease."""
         self._load.call("open", self._port, count - self._watches)
         self._watches = count
         time.sleep(OPENING_TIME)
--- a/emulator/simulated_host.py
+++ b/emulator/simulated_host.py
@@ -19,22 +19,22 @@
 from emulator.simulated_proxy import SimulatedProxy, endpoint_reader
 
 FEEDING_INTERVAL = 0.02  # seconds between two feedings of calls
-START_BATCH = 8  # watches that are begun together: a start must not look like silence to the rest
-LIST_TIMEOUT = 30.0  # seconds in which a watch that was begun has its list
-POLL_INTERVAL = 0.1  # seconds between two looks at who is behind: looking costs too
+START_BATCH = 8  # watches that are opened together: more would keep the open ones waiting past their timeout
+LIST_TIMEOUT = 30.0  # seconds in which a new watch has its list
+POLL_INTERVAL = 0.1  # seconds between two checks of all proxies, which cost processor time themselves
 
 
 @dataclass(slots=True, frozen=True)
 class ProxyPlacement:
-    """A proxy to start: the place in the topology of its backend, and the port that it watches."""
+    """A proxy to start: the position of its backend in the topology, and the port that it watches."""
 
-    place: int
+    position: int
     port: int
 
 
 @dataclass(slots=True, frozen=True)
 class StartCost:
-    """What a start of proxies has added to its process.
+    """What starting proxies added to their process.
 
     Attributes:
         processor: Processor time in seconds.
@@ -70,7 +70,7 @@
             narrow_view: Whether their ports show only the backends of the services that each one calls.
 
         Raises:
-            TimeoutError: A list does not come in time.
+            TimeoutError: A list does not arrive in time.
         """
         gc.collect()
         before = meter.own_usage()
@@ -87,12 +87,12 @@
         )
 
     def _create(self, placement: ProxyPlacement, fleet_size: int | None, narrow_view: bool) -> SimulatedProxy:
-        place, view = placement.place, None
+        position, view = placement.position, None
         if narrow_view:
-            called = self._topology.called_backends(self._topology.service_of[place])
+            called = self._topology.called_backends(self._topology.service_of[position])
             view = frozenset(self._topology.entries[backend]["name"] for backend in called)
-        settings = proxy_settings(self._topology, place, fleet_size)
-        return SimulatedProxy(settings, self._seed + place, placement.port, self._reader, view)
+        settings = proxy_settings(self._topology, position, fleet_size)
+        return SimulatedProxy(settings, self._seed + position, placement.port, self._reader, view)
 
     async def _start_batch(self, proxies: list[SimulatedProxy]) -> None:
         for proxy in proxies:
@@ -103,7 +103,7 @@
         self._proxies += proxies
 
     def freeze(self) -> None:
-        """Exempt what is there now from garbage collection, as the real proxy does once it has its list."""
+        """Exempt all present objects from garbage collection, as the real proxy does once it has its list."""
         gc.collect()
         gc.freeze()
 
@@ -112,7 +112,7 @@
         return await self._wait_for_all(lambda proxy: not proxy.is_behind(latest), timeout)
 
     async def wait_for_snapshots(self, count: int, timeout: float) -> bool:
-        """Wait until every proxy has had so many complete lists; False where that takes longer."""
+        """Wait until every proxy has had `count` complete lists; False where that takes longer."""
         return await self._wait_for_all(lambda proxy: proxy.snapshots >= count, timeout)
 
     async def _wait_for_all(self, holds: Callable[[SimulatedProxy], bool], timeout: float) -> bool:
@@ -124,7 +124,7 @@
         return True
 
     def set_call_rate(self, rate: float) -> None:
-        """Feed so many calls a second to each proxy from now on; 0: none."""
+        """Feed each proxy calls at a rate a second from now on; 0: none."""
         if self._feeding is not None:
             self._feeding.cancel()
             self._feeding = None
@@ -147,7 +147,7 @@
         return meter.own_usage()
 
     def worst_list_cost(self, started: float, ended: float, window: float = meter.WORST_WINDOW) -> float:
-        """The most processor time that one proxy gave to lists in any `window` between two times; seconds."""
+        """The most processor seconds that one proxy spent on lists in any `window` between two times."""
         costs = (proxy.worst_list_cost(started, ended, window) for proxy in self._proxies)
         return max(costs, default=0.0)
 
--- a/emulator/simulated_proxy.py
+++ b/emulator/simulated_proxy.py
@@ -128,7 +128,7 @@
         return ages_when_applied(self.discovery.applied, publications, self.view)
 
     def worst_list_cost(self, started: float, ended: float, window: float) -> float:
-        """The most processor time that it gave to messages in any `window` seconds between two times."""
+        """The most processor time that it spent on messages in any `window` seconds between two times."""
         costs = {
             second: cost
             for second, cost in self.discovery.cost_by_second.items()
--- a/emulator/topology.py
+++ b/emulator/topology.py
@@ -24,12 +24,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Topology:
-    """A fleet; a backend goes by its place in `entries`, a service by its number.
+    """A fleet, in which a backend is identified by its position in `entries`, a service by its number.
 
     Attributes:
         seed: What the fleet was drawn from.
         entries: The backends.
-        service_of: The service of each backend, by its place.
+        service_of: The service of each backend, by its position.
         calls: The services that each service calls, by its number.
     """
 
@@ -38,26 +38,31 @@
     service_of: tuple[int, ...]
     calls: tuple[tuple[int, ...], ...]
 
-    def zone(self, name: str) -> list[int]:
-        """The places of the backends in a zone."""
-        return [place for place, entry in enumerate(self.entries) if entry["zone"] == name]
+    def backends_in_zone(self, name: str) -> list[int]:
+        """The positions of the backends in a zone."""
+        return [position for position, entry in enumerate(self.entries) if entry["zone"] == name]
 
-    def region(self, number: int) -> list[int]:
-        """The places of the backends in a region."""
-        return [place for place, entry in enumerate(self.entries) if REGION_OF[entry["zone"]] == number]
+    def backends_in_region(self, number: int) -> list[int]:
+        """The positions of the backends in a region."""
+        return [position for position, entry in enumerate(self.entries) if REGION_OF[entry["zone"]] == number]
 
     def called_backends(self, service: int) -> list[int]:
-        """The places of the backends of the services that this one calls."""
+        """The positions of the backends of the services that this one calls."""
         called = set(self.calls[service])
-        return [place for place, owner in enumerate(self.service_of) if owner in called]
+        return [position for position, owner in enumerate(self.service_of) if owner in called]
 
 
 def build(seed: int, backends: int = BACKENDS, services: int | None = None) -> Topology:
-    """Draw a fleet of so many backends; services in the target's proportion unless their number is given.
+    """Draw a fleet.
 
-    Every service has a backend at least, sizes are log-normal, and each service is spread evenly over the
+    Every service has at least one backend, sizes are log-normal, and each service is spread evenly over the
     zones.
 
+    Args:
+        seed: Equal seeds give equal fleets.
+        backends: How many backends there are.
+        services: How many services there are; None: in the target's proportion to the backends.
+
     Raises:
         ValueError: There are fewer backends than services, or no service.
     """
@@ -71,8 +76,8 @@
     service_of = tuple(int(service) for service in np.repeat(np.arange(services), sizes))
     groups = max(1, backends // GROUP_SIZE)
     entries = tuple(
-        _entry(place, service, str(rng.choice(TYPES)), int(rng.integers(groups)))
-        for place, service in enumerate(service_of)
+        _entry(position, service, str(rng.choice(TYPES)), int(rng.integers(groups)))
+        for position, service in enumerate(service_of)
     )
     calls = tuple(
         _called_services(rng, [int(size) for size in sizes], service) for service in range(services)
@@ -80,11 +85,11 @@
     return Topology(seed, entries, service_of, calls)
 
 
-def _entry(place: int, service: int, host_type: str, group: int) -> Entry:
+def _entry(position: int, service: int, host_type: str, group: int) -> Entry:
     return {
-        "name": f"s{service:02d}-{place:05d}",
-        "address": f"10.{1 + place // 65536}.{place // 256 % 256}.{place % 256}:8080",
-        "zone": ZONES[place % len(ZONES)],
+        "name": f"s{service:02d}-{position:05d}",
+        "address": f"10.{1 + position // 65536}.{position // 256 % 256}.{position % 256}:8080",
+        "zone": ZONES[position % len(ZONES)],
         "type": host_type,
         "group": group,
         "status": "in_service",
@@ -94,7 +99,7 @@
 
 
 def _called_services(rng: np.random.Generator, sizes: list[int], service: int) -> tuple[int, ...]:
-    """The services that one calls: some others, with no more backends in all than a proxy may see."""
+    """The services that one calls: a few others, with no more backends together than a proxy may see."""
     others = [int(other) for other in rng.permutation(len(sizes)) if other != service]
     wanted, backends = int(rng.integers(1, MAX_CALLED_SERVICES + 1)), 0
     called: list[int] = []
--- a/emulator/usage_sampler.py
+++ b/emulator/usage_sampler.py
@@ -21,7 +21,7 @@
 
     Attributes:
         processor: The processor time of each process, in their order.
-        peak_memory: The most resident memory of each process in bytes.
+        peak_memory: The peak resident memory of each process in bytes.
     """
 
     def __init__(self, children: Sequence[ChildProcess]) -> None:
--- a/tests/emulator_fixtures.py
+++ b/tests/emulator_fixtures.py
@@ -14,9 +14,9 @@
 ENDPOINT = "all"  # an endpoint that shows every backend
 
 
-def changed(place: int, status: str = "terminating") -> topology.Entry:
+def changed(position: int, status: str = "terminating") -> topology.Entry:
     """A backend's entry with another status."""
-    return FLEET.entries[place] | {"status": status}
+    return FLEET.entries[position] | {"status": status}
 
 
 @asynccontextmanager
--- a/tests/test_emulator_fleet.py
+++ b/tests/test_emulator_fleet.py
@@ -14,13 +14,23 @@
 
 SEED = 1
 BACKENDS, PROXIES = 60, 12
+PLAN = Plan(
+    name="small",
+    proxies=PROXIES,
+    narrow_view=False,
+    speed=100.0,
+    events=(),
+    change_seconds=0.0,
+    partition_seconds=0.0,
+    backends=BACKENDS,
+)
 
 
 @pytest.fixture
 def fleet() -> Iterator[SimulatedFleet]:
     """A running fleet that sees all rows."""
     with ExitStack() as stack:
-        yield SimulatedFleet(Plan("small", PROXIES, False, 100.0, (), 0.0, 0.0, BACKENDS), SEED, stack)
+        yield SimulatedFleet(PLAN, SEED, stack)
 
 
 def test_every_proxy_applies_the_loss_of_a_zone(fleet: SimulatedFleet) -> None:
--- a/tests/test_emulator_topology.py
+++ b/tests/test_emulator_topology.py
@@ -23,7 +23,7 @@
     assert len({entry["name"] for entry in fleet.entries}) == len(fleet.entries) == 910
     assert len(set(fleet.service_of)) == 78
     assert set(Counter(entry["zone"] for entry in fleet.entries).values()) == {182}
-    assert len(fleet.region(0)) + len(fleet.region(1)) == 910
+    assert len(fleet.backends_in_region(0)) + len(fleet.backends_in_region(1)) == 910
     called = [len(fleet.called_backends(service)) for service in range(78)]
     assert min(called) >= topology.MIN_CALLED_BACKENDS
     assert max(called) <= topology.MAX_CALLED_BACKENDS
@@ -38,7 +38,7 @@
 
 
 def test_the_settings_of_every_proxy_are_valid(fleet: topology.Topology) -> None:
-    for place in (0, 909):
-        settings = read_settings(proxy_settings(fleet, place))
+    for position in (0, 909):
+        settings = read_settings(proxy_settings(fleet, position))
         settings.check()
-        assert (settings.fleet_size, settings.ordinal, settings.zone_count) == (910, place, 5)
+        assert (settings.fleet_size, settings.ordinal, settings.zone_count) == (910, position, 5)
