--- a/emulator/control_endpoint.py
+++ b/emulator/control_endpoint.py
@@ -11,9 +11,9 @@
 from dataclasses import astuple, dataclass
 from urllib.parse import parse_qs, urlsplit
 
+from emulator.loopback import HOST, port_of
 from emulator.registry_state import EncodedUpdate, RegistryState, View
 
-HOST = "127.0.0.1"
 HEARTBEAT_INTERVAL = 2.0  # seconds without a change after which an empty line is due
 TIMER_TOLERANCE = 0.001  # seconds by which a timer may be early
 MAX_REQUEST_BYTES = 4096  # of a request's head
@@ -75,7 +75,7 @@
         self._server = await asyncio.get_running_loop().create_server(
             lambda: ControlConnection(self), HOST, self.port, backlog=ACCEPT_BACKLOG, reuse_address=True
         )
-        self.port = int(self._server.sockets[0].getsockname()[1])
+        self.port = port_of(self._server)
 
     def close(self) -> None:
         """Stop listening and reset all connections, as the loss of the machine does."""
--- a/emulator/proxy_configuration.py
+++ b/emulator/fleet_settings.py
@@ -1,17 +1,15 @@
-"""What a proxy of the simulated fleet is configured with, in the form of DEPLOY.
+"""The settings of a proxy of the simulated fleet, in the form of the configuration file.
 
-It owns the settings that all runs over a `topology.Topology` share.
+The file itself is in `emulator.proxy_config`; proxies in front of the stub backend have the settings of
+`emulator.stub_fleet`.
 """
 
 from __future__ import annotations
 
 from typing import Any
 
-from emulator.control_endpoint import HOST
 from emulator.topology import TYPES, ZONES, Topology
 
-LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}  # of one real proxy
-
 
 def proxy_settings(topology: Topology, position: int, fleet_size: int | None = None) -> dict[str, Any]:
     """The settings of one backend's proxy (DEPLOY, `settings`).
@@ -49,18 +47,3 @@
             "RatioSpan": 10.0,
         },
     }
-
-
-def proxy_configuration(
-    topology: Topology, position: int, listen_port: int, discovery_port: int
-) -> dict[str, Any]:
-    """The configuration file of one real proxy, which knows no endpoint at its start."""
-    return {
-        "name": topology.entries[position]["name"],
-        "listen": f"{HOST}:{listen_port}",
-        "discovery": f"{HOST}:{discovery_port}",
-        "seed": f"{topology.seed + position:016x}",
-        "limits": LIMITS,
-        "known": {"index": 0, "snapshot": True, "endpoints": []},
-        "settings": proxy_settings(topology, position),
-    }
--- a/emulator/processes.py
+++ b/emulator/processes.py
@@ -34,7 +34,8 @@
     """What a process has used since its start.
 
     Attributes:
-        processor: Processor time in seconds, user and system; in steps of 10 ms on Linux.
+        processor: Processor time in seconds, user and system; in steps of 10 ms on Linux, unlike that of
+            `emulator.meter`, which is exact.
         resident: Bytes of memory that are resident now.
         preemptions: How often it lost its core against its will.
     """
@@ -100,6 +101,11 @@
         await self._process.wait()
 
 
+def inherited_environment() -> dict[str, str]:
+    """Return this process's environment variables without those that configure a proxy."""
+    return {name: value for name, value in os.environ.items() if not name.startswith(CONFIGURATION_PREFIX)}
+
+
 def python_command(*arguments: str) -> tuple[str, ...]:
     """Return the command that runs this interpreter with the arguments."""
     return (sys.executable, *arguments)
@@ -124,13 +130,10 @@
         environment: Variables beside those inherited.
         discard_stderr: Whether its standard error goes nowhere, rather than to this process's.
     """
-    inherited = {
-        name: value for name, value in os.environ.items() if not name.startswith(CONFIGURATION_PREFIX)
-    }
     process = await asyncio.create_subprocess_exec(
         *command,
         cwd=cwd,
-        env=inherited | {"OPENBLAS_NUM_THREADS": "1"} | dict(environment or {}),
+        env=inherited_environment() | {"OPENBLAS_NUM_THREADS": "1"} | dict(environment or {}),
         stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.DEVNULL if discard_stderr else None,
--- a/emulator/proxy_config.py
+++ b/emulator/proxy_config.py
@@ -1,8 +1,7 @@
-"""Configuration files of real proxies, and the endpoint lists and settings that they hold."""
+"""The configuration file of a real proxy: its form, and writing it while a proxy may read it."""
 
 from __future__ import annotations
 
-from collections.abc import Sequence
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -10,48 +9,10 @@
 import orjson
 
 from emulator.loopback import HOST
-from emulator.topology import Entry
 
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 
 
-def endpoint_snapshot(rows: int, ports: Sequence[int]) -> dict[str, Any]:
-    """Build an endpoint list in discovery's form; where it has more rows than ports, they take turns."""
-    return {"index": 1, "snapshot": True, "endpoints": endpoint_entries(rows, ports)}
-
-
-def endpoint_entries(rows: int, ports: Sequence[int]) -> list[Entry]:
-    """Build the entries of such a list."""
-    return [
-        {
-            "name": f"s-{n}",
-            "address": f"{HOST}:{ports[n % len(ports)]}",
-            "zone": "here",
-            "type": "k",
-            "group": 0,
-            "status": "in_service",
-            "weight": 1.0,
-            "since_ms": 0,
-        }
-        for n in range(rows)
-    ]
-
-
-def proxy_settings(fleet_size: int, ordinal: int) -> dict[str, Any]:
-    """Build the settings of one proxy of a fleet, in the form of the configuration file."""
-    return {
-        "Instances": fleet_size,
-        "Ordinal": ordinal,
-        "Services": [{"Name": "read", "Aim": 5.0, "HardLimit": 5.0, "Repeat": "retryable", "LateWorth": 1.0}],
-        "Orgs": [{"Name": "acme", "Share": 1.0}],
-        "Bounds": {"Cancel": True, "MaxAttempts": 5, "ConnIdle": 60.0, "DialTimeout": 0.25},
-        "Rules": {"DrainGrace": 0.5, "ColdFrom": 0.5, "Cold": 0.0, "FallMultiple": 3.0, "TipAfter": 3.0},
-        "Tiers": ["one"],
-        "Zones": ["here"],
-        "HostTypes": ["k"],
-    }
-
-
 @dataclass(slots=True, frozen=True)
 class ProxyConfig:
     """One proxy's configuration.
--- a/emulator/real_proxies.py
+++ b/emulator/real_proxies.py
@@ -5,20 +5,19 @@
 
 from __future__ import annotations
 
-import json
-import os
 import subprocess
-import sys
 from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from emulator.proxy_configuration import proxy_configuration
+from emulator.fleet_settings import proxy_settings
+from emulator.processes import inherited_environment, python_command
+from emulator.proxy_config import ProxyConfig
 from emulator.result import ROOT
 from emulator.topology import Topology
 
-ENVIRONMENT_PREFIX = "RELAY_"  # of the variables that a proxy reads
+EMPTY_SNAPSHOT = {"index": 0, "snapshot": True, "endpoints": []}
 
 
 @contextmanager
@@ -29,8 +28,7 @@
         try:
             for position, port in enumerate(ports):
                 file = Path(folder) / f"{position}.json"
-                configuration = proxy_configuration(topology, position, port, discovery_port)
-                file.write_text(json.dumps(configuration), encoding="utf-8")
+                _config(topology, position, port, discovery_port).write(file)
                 running.append(_start(file))
             yield [process.pid for process in running]
         finally:
@@ -39,14 +37,23 @@
                 process.wait()
 
 
+def _config(topology: Topology, position: int, port: int, discovery_port: int) -> ProxyConfig:
+    """The configuration of one backend's proxy, which knows no endpoint at its start."""
+    return ProxyConfig(
+        name=topology.entries[position]["name"],
+        port=port,
+        discovery_port=discovery_port,
+        seed=f"{topology.seed + position:016x}",
+        known=EMPTY_SNAPSHOT,
+        settings=proxy_settings(topology, position),
+    )
+
+
 def _start(configuration: Path) -> subprocess.Popen[bytes]:
-    environment = {
-        name: value for name, value in os.environ.items() if not name.startswith(ENVIRONMENT_PREFIX)
-    }
     return subprocess.Popen(
-        [sys.executable, "-m", "proxy"],
+        python_command("-m", "proxy"),
         cwd=ROOT,
-        env=environment | {"RELAY_CONFIG": str(configuration)},
+        env=inherited_environment() | {"RELAY_CONFIG": str(configuration)},
         stdin=subprocess.DEVNULL,
         stdout=subprocess.DEVNULL,
         stderr=subprocess.DEVNULL,
--- a/emulator/result.py
+++ b/emulator/result.py
@@ -1,4 +1,7 @@
-"""A run's result: what was measured, with the seed, machine and versions it was measured with, as JSON."""
+"""A run's result file: what was measured, with the seed, machine and versions it was measured with.
+
+What a run measures, and how its own part of the file is built, is in the run's modules.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +15,13 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-RESULTS = ROOT / "results"  # where results go unless told otherwise
+RESULTS = ROOT / "results"  # where results go by default
+GIT_TIMEOUT = 10  # seconds
 LIBRARIES = ("httptools", "orjson", "click", "hdrhistogram", "numpy", "psutil")
 
 
 def machine() -> dict[str, Any]:
-    """Processors (count, model), Python and kernel of this machine."""
+    """Describe this machine: its processors (count, model), Python and kernel."""
     return {
         "cpus": os.cpu_count(),
         "model": _processor(),
@@ -37,7 +41,7 @@
 
 
 def versions() -> dict[str, str]:
-    """The commit of this tree ("+" behind it: with changes beside it) and the libraries' versions."""
+    """Return the commit of this tree, as `commit` has it, and the versions of the libraries."""
     found = {"commit": commit()}
     for name in LIBRARIES:
         try:
@@ -47,15 +51,17 @@
     return found
 
 
-def _git(root: Path, *words: str) -> str:
-    done = subprocess.run(["git", *words], cwd=root, capture_output=True, text=True, timeout=10, check=True)
-    return done.stdout.strip()
+def _git(root: Path, *arguments: str) -> str:
+    completed = subprocess.run(
+        ["git", *arguments], cwd=root, capture_output=True, text=True, timeout=GIT_TIMEOUT, check=True
+    )
+    return completed.stdout.strip()
 
 
 def commit(root: Path = ROOT) -> str:
-    """The commit of a tree, "+" behind it where there are changes beside it; "unknown" without a history.
+    """Return the commit of a tree, followed by "+" where tracked files have uncommitted changes.
 
-    A folder within a tree has none of its own.
+    It is "unknown" where there is no history; a folder within a tree has none of its own.
     """
     try:
         if _git(root, "rev-parse", "--show-prefix"):
@@ -67,10 +73,17 @@
 
 
 def write_result(name: str, seed: int, body: dict[str, Any], out: Path) -> Path:
-    """Write `out`/`name`.json and return its path; OSError where that can't be written.
+    """Write `out`/`name`.json and return its path.
+
+    Args:
+        name: The run's name, as `RunOptions.result_name` has it.
+        seed: The run's seed.
+        body: What the run measured: plain values, lists and dicts. Its key `figures`, if any, maps the names
+            of budgets (`emulator.budgets`) to the figures measured.
+        out: The folder, which is created where it is missing.
 
-    `body` holds what the run measured: plain values, lists and dicts. Its key `figures`, if any, maps the
-    names of budgets (emulator/budgets.py) to the figures measured.
+    Raises:
+        OSError: The file can't be written.
     """
     out.mkdir(parents=True, exist_ok=True)
     path = out / f"{name}.json"
--- a/emulator/runs/added_latency.py
+++ b/emulator/runs/added_latency.py
@@ -23,13 +23,14 @@
 from emulator.loopback import free_ports
 from emulator.placement import Placement, place
 from emulator.processes import STARTUP_TIMEOUT, ManagedProcess
-from emulator.proxy_config import ProxyConfig, endpoint_snapshot, proxy_settings
+from emulator.proxy_config import ProxyConfig
 from emulator.proxy_program import ProxyProgram
 from emulator.result import ROOT, write_result
 from emulator.role_processes import MAX_BACKEND_PORTS, BackendProcess, LoadGeneratorProcess
 from emulator.runs.common import RunOptions, RunResult
 from emulator.runs.latency_report import ALL_PROXIES, TrialReport, TrialUsage, UsagePair, budget_figures
 from emulator.runs.latency_trials import WARMUP, Trial, quick_schedule, schedule
+from emulator.stub_fleet import endpoint_snapshot, stub_proxy_settings
 from emulator.watch_stub import serve_snapshot
 
 NAME = "added"
@@ -54,7 +55,7 @@
             discovery_port=discovery_port,
             seed=f"{seed * 1000 + ordinal:016x}",
             known=snapshot,
-            settings=proxy_settings(len(ports), ordinal),
+            settings=stub_proxy_settings(len(ports), ordinal),
         )
         config.write(path)
         processes.append(await program.start(stack, cores, path))
--- a/emulator/runs/reloadable_proxy.py
+++ b/emulator/runs/reloadable_proxy.py
@@ -14,9 +14,10 @@
 from emulator.health_check import configuration_version, fetch_health, wait_until_healthy
 from emulator.loopback import free_ports
 from emulator.processes import ManagedProcess
-from emulator.proxy_config import ProxyConfig, endpoint_snapshot
+from emulator.proxy_config import ProxyConfig
 from emulator.proxy_program import ProxyProgram
 from emulator.runs.settings_changes import settings_after
+from emulator.stub_fleet import endpoint_snapshot
 from emulator.watch_stub import serve_snapshot
 
 HEALTH_TIMEOUT = 1.0  # seconds that one health check may take
--- a/emulator/runs/settings_changes.py
+++ b/emulator/runs/settings_changes.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from emulator.proxy_config import proxy_settings
+from emulator.stub_fleet import stub_proxy_settings
 
 #: What changes, one after the other; results name each kind so: latency objective, tenant quota, fleet size,
 #: and a request class more or less.
@@ -20,7 +20,7 @@
     """Build a proxy's settings after so many changes, each of the next kind; no two in a row are equal."""
     kinds = len(KINDS)
     objective, quota, size, request_class = ((changes + kinds - 1 - index) // kinds for index in range(kinds))
-    settings = proxy_settings(fleet_size, ordinal)
+    settings = stub_proxy_settings(fleet_size, ordinal)
     read = settings["Services"][0]
     read["Aim"] = 4.0 + 0.01 * (objective % OBJECTIVE_STEPS)
     read["HardLimit"] = 5.0 + 0.01 * (objective % OBJECTIVE_STEPS)
--- a/emulator/runs/slopes_balancer.py
+++ b/emulator/runs/slopes_balancer.py
@@ -16,7 +16,7 @@
 from balancer.endpoints import UpdateKind
 from balancer.settings_reader import read_settings
 from emulator import topology
-from emulator.proxy_configuration import proxy_settings
+from emulator.fleet_settings import proxy_settings
 from emulator.registry_state import RegistryState
 from emulator.runs.common import RunOptions
 from emulator.runs.endpoint_changes import EndpointChanges
--- a/emulator/simulated_host.py
+++ b/emulator/simulated_host.py
@@ -15,7 +15,7 @@
 
 from emulator import meter, topology
 from emulator.change_ages import AgeReport, Publications, age_histogram, record_age
-from emulator.proxy_configuration import proxy_settings
+from emulator.fleet_settings import proxy_settings
 from emulator.simulated_proxy import SimulatedProxy, endpoint_reader
 
 FEEDING_INTERVAL = 0.02  # seconds between two feedings of calls
--- a/emulator/simulated_proxy.py
+++ b/emulator/simulated_proxy.py
@@ -17,7 +17,7 @@
 from balancer.settings_reader import read_settings
 from emulator import topology
 from emulator.change_ages import AppliedUpdate, Publications, ages_when_applied
-from emulator.control_endpoint import HOST
+from emulator.loopback import HOST
 from proxy.discovery.watch import DiscoveredEndpoint, DiscoveryClient, EndpointReader, WatchConnection
 
 CALL_LATENCY = 0.004  # seconds that a simulated call takes at its backend
--- a/emulator/topology.py
+++ b/emulator/topology.py
@@ -1,7 +1,7 @@
 """The simulated fleet: backends in services, zones and regions, drawn from a seed.
 
 It owns who exists, where, and which service calls which. What a proxy of the fleet is configured with is in
-`proxy_configuration`.
+`fleet_settings`.
 """
 
 from __future__ import annotations
--- a/tests/test_emulator_proxy_config.py
+++ b/tests/test_emulator_proxy_config.py
@@ -8,9 +8,10 @@
 import pytest
 
 from emulator.health_check import has_label
-from emulator.proxy_config import ProxyConfig, endpoint_snapshot, proxy_settings
+from emulator.proxy_config import ProxyConfig
 from emulator.runs.latency_trials import ALL_ROWS
 from emulator.runs.settings_changes import settings_after
+from emulator.stub_fleet import endpoint_snapshot, stub_proxy_settings
 from proxy.config import Config, load
 
 
@@ -25,7 +26,7 @@
 
 def test_a_proxy_can_read_its_configuration(path: Path) -> None:
     snapshot = endpoint_snapshot(ALL_ROWS, [8001, 8002])
-    ProxyConfig("n0", 1, 2, "7", snapshot, proxy_settings(24, 3)).write(path)
+    ProxyConfig("n0", 1, 2, "7", snapshot, stub_proxy_settings(24, 3)).write(path)
     config = read_back(path)
     assert config.settings.fleet_size == 24
     assert config.settings.ordinal == 3
--- a/tests/test_emulator_topology.py
+++ b/tests/test_emulator_topology.py
@@ -8,7 +8,7 @@
 
 from balancer.settings_reader import read_settings
 from emulator import topology
-from emulator.proxy_configuration import proxy_settings
+from emulator.fleet_settings import proxy_settings
 
 SEED = 3
 
