--- a/proxy/upstream/connection.py
+++ b/proxy/upstream/connection.py
@@ -8,7 +8,6 @@
 
 import asyncio
 import select
-from enum import Enum, auto
 from typing import TYPE_CHECKING
 
 from proxy.upstream.attempt import UpstreamAttempt
@@ -19,33 +18,27 @@
     from proxy.upstream.connection_pool import ConnectionPool
 
 
-class RequestState(Enum):
-    """How far the current attempt's request is written. Whether the connection is closed, its transport says.
-
-    A response may begin while the request is still being sent: backends may answer before they have read it.
-    """
-
-    NONE = auto()  # the connection is new or idle
-    SENDING = auto()  # a part of the request is unsent, so the backend can not have processed it
-    SENT = auto()  # the last byte is out: the backend may process it, whatever happens here
-
-
 class UpstreamConnection(asyncio.BufferedProtocol):
     """A connection to a backend.
 
+    It carries an attempt from `send` until a complete response has come, and may then be used again; where
+    the attempt ends without one, the connection is closed. Whether it is closed, its transport knows.
+
     Attributes:
         backend: The backend that it was dialled to.
         incarnation: The incarnation of that backend that it was dialled to.
-        idle_since: The loop's time of the last release to the pool.
+        idle_since: The loop's time at which the pool last put it among the idle ones.
+        request_sent: Whether the last byte of the attempt's request is out: from then on the backend may
+            process it, whatever happens here. A response may begin earlier: some answer a part of a request.
     """
 
     def __init__(self, pool: ConnectionPool, backend: Backend, incarnation: int) -> None:
         self.backend = backend
         self.incarnation = incarnation
         self.idle_since = 0.0
+        self.request_sent = False
         self._pool = pool
         self._attempt: UpstreamAttempt | None = None
-        self._request_state = RequestState.NONE
         self._response_started = False  # whether a byte of the response has come
         self._reused_after: float | None = None  # seconds that it had been idle when it was last reused
         self._parser = ResponseParser(pool.response_memory)
@@ -59,11 +52,6 @@
         self._readable.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
         self._pool.on_connection_made()
 
-    @property
-    def request_sent(self) -> bool:
-        """Whether the last byte of the current attempt's request is out."""
-        return self._request_state is RequestState.SENT
-
     def is_usable(self) -> bool:
         """Whether it can carry another attempt.
 
@@ -83,19 +71,18 @@
         """Carry an attempt: write its complete request."""
         self._attempt = attempt
         attempt.connection = self
-        self._request_state = RequestState.SENDING
+        self.request_sent = False
         self._response_started = False
         self._transport.write(request)
         # What the socket took at once is out, unless the write itself found the connection lost.
-        if not self._transport.get_write_buffer_size() and not self._transport.is_closing():
-            self._request_state = RequestState.SENT
+        self.request_sent = not self._transport.get_write_buffer_size() and not self._transport.is_closing()
 
     def pause_writing(self) -> None:
         """A part of the request is still unsent."""
 
     def resume_writing(self) -> None:
         """The rest of the request is out."""
-        self._request_state = RequestState.SENT
+        self.request_sent = True
 
     def abort(self) -> None:
         """Close at once; unsent bytes are dropped."""
@@ -128,7 +115,6 @@
         # Bytes behind the response might be taken for the next one: with any, the connection is closed.
         if self._parser.keep_alive and self.request_sent and self.is_usable():
             self._attempt = attempt.connection = None
-            self._request_state = RequestState.NONE
             self._parser.reset()
             self._pool.release(self)
         attempt.finish(response.outcome(), response)
--- a/proxy/upstream/connection_pool.py
+++ b/proxy/upstream/connection_pool.py
@@ -239,6 +239,6 @@
         self._connected += 1
 
     def on_connection_lost(self, connection: UpstreamConnection) -> None:
-        """Count a connection out that has ended."""
+        """Forget a connection that has ended."""
         self._connected -= 1
         self._remove_idle(connection)
--- a/proxy/upstream/response_parser.py
+++ b/proxy/upstream/response_parser.py
@@ -30,6 +30,10 @@
     UNUSABLE = auto()  # malformed, too large, or not plain HTTP/1.1: nothing of it may be passed on
 
 
+# The members by names of their own: Python 3.11 looks up a member of an enum slowly, and headers are many.
+HEAD, BODY, COMPLETE, UNUSABLE = ResponseState
+
+
 @dataclass(slots=True)
 class UpstreamResponse:
     """A backend's complete response."""
@@ -63,7 +67,7 @@
 
     def reset(self) -> None:
         """Start over for the response to another request."""
-        self.state = ResponseState.HEAD
+        self.state = HEAD
         self.receiving = False
         self.keep_alive = True
         self._response: UpstreamResponse | None = None
@@ -82,13 +86,13 @@
             self._http_parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.keep_alive = False
-            if self.state is not ResponseState.COMPLETE:
-                self.state = ResponseState.UNUSABLE
-        if self.state is ResponseState.HEAD:
+            if self.state is not COMPLETE:
+                self.state = UNUSABLE
+        if self.state is HEAD:
             # Headers are counted only once they are complete: a single endless one would fill the memory.
             self._bytes_before_body += len(data)
             if self._bytes_before_body > MAX_HEAD_BYTES + MAX_READ_BYTES:
-                self.state = ResponseState.UNUSABLE
+                self.state = UNUSABLE
         return self.state
 
     def take_response(self) -> UpstreamResponse:
@@ -99,7 +103,10 @@
         return response
 
     def close(self) -> None:
-        """The connection has ended: give back the memory, also that of the parser, which refers back here."""
+        """Give back the memory: the connection has ended.
+
+        The parser and this object refer to each other, and would stay until a garbage collection.
+        """
         self._release_memory()
         del self._http_parser
 
@@ -112,12 +119,12 @@
     def on_message_begin(self) -> None:
         """Parser callback: a message begins."""
         self.receiving = True
-        if self.state is ResponseState.COMPLETE:  # a second response: the first one stands
+        if self.state is COMPLETE:  # a second response: the first one stands
             self.keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Parser callback: one header or trailer."""
-        if self.state is not ResponseState.HEAD:  # trailers must not count as headers
+        if self.state is not HEAD:  # trailers must not count as headers
             return
         self._header_bytes += len(name) + len(value) + 4
         lower = name.lower()
@@ -127,28 +134,28 @@
             self._connection_options += b"," + value.lower()
         elif lower == b"content-length":
             if int(value) > MAX_BODY_BYTES:
-                self.state = ResponseState.UNUSABLE
+                self.state = UNUSABLE
         elif lower == b"transfer-encoding":
             if value.lower() != b"chunked":
-                self.state = ResponseState.UNUSABLE
+                self.state = UNUSABLE
         # A load report is for the proxy alone, and clients may be unable to read what is no plain text.
         elif lower not in HOP_BY_HOP_HEADERS and lower != b"x-server-load" and value.isascii():
             self._header_lines.append(b"%b: %b\r\n" % (name, value))
         if self._header_bytes > MAX_HEAD_BYTES:
-            self.state = ResponseState.UNUSABLE
+            self.state = UNUSABLE
 
     def on_headers_complete(self) -> None:
         """Parser callback: the head is complete."""
-        if self.state is not ResponseState.HEAD:
+        if self.state is not HEAD:
             return
         status = self._http_parser.get_status_code()
         if 100 <= status < 200:
             self._interim_responses += 1
             # Nobody asked for a change of protocol, and interim responses without end would hold the attempt.
             if status == 101 or self._interim_responses > MAX_INTERIM_RESPONSES:
-                self.state = ResponseState.UNUSABLE
+                self.state = UNUSABLE
             return
-        self.state = ResponseState.BODY
+        self.state = BODY
         if self._connection_options:
             named = {token.strip() for token in self._connection_options.split(b",")}
             self._header_lines = [
@@ -157,7 +164,7 @@
 
     def on_body(self, body: bytes) -> None:
         """Parser callback: a piece of the body."""
-        if self.state is not ResponseState.BODY:
+        if self.state is not BODY:
             return
         self._body_bytes += len(body)
         # One response without end, or many large ones at once, would fill the memory.
@@ -165,16 +172,16 @@
             self._buffered_bytes += len(body)
             self._body_parts.append(body)
         else:
-            self.state = ResponseState.UNUSABLE
+            self.state = UNUSABLE
 
     def on_message_complete(self) -> None:
         """Parser callback: the message is complete."""
-        if self.state is ResponseState.HEAD:  # an interim response: the head of the final one starts anew
+        if self.state is HEAD:  # an interim response: the head of the final one starts anew
             self.receiving = False
             self._header_lines.clear()
             self._connection_options = b""
-        elif self.state is ResponseState.BODY:
-            self.state = ResponseState.COMPLETE
+        elif self.state is BODY:
+            self.state = COMPLETE
             self.keep_alive = self._http_parser.should_keep_alive()
             self._response = UpstreamResponse(
                 self._http_parser.get_status_code(),
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -41,7 +41,7 @@
 from proxy.upstream.backend import Backend as Known
 from proxy.upstream.connection import UpstreamConnection
 from proxy.upstream.connection_pool import ConnectionPool
-from proxy.upstream.response_parser import UpstreamResponse
+from proxy.upstream.response_parser import ResponseParser, UpstreamResponse
 
 
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back() -> None:
@@ -333,8 +333,8 @@
 class Attempts:
     """Attempts of one pool, and how each ended."""
 
-    def __init__(self, one: Backend, most: int = 9, conn_idle: float = 60.0) -> None:
-        self.upstream = ConnectionPool(most, conn_idle, WIDE, 64 << 20)
+    def __init__(self, one: Backend, max_connections: int = 9, conn_idle: float = 60.0) -> None:
+        self.upstream = ConnectionPool(max_connections, conn_idle, WIDE, 64 << 20)
         host, _, port = one.address.rpartition(":")
         self.known = Known((host, int(port)))
         self.upstream.update_backend(self.known, self.known.address, 0.0, True)
@@ -388,7 +388,7 @@
 def test_the_limit_on_connections() -> None:
     async def play() -> None:
         async with backend(lambda request: OK if b"id1" in request else None) as one:
-            attempts = Attempts(one, most=1)
+            attempts = Attempts(one, max_connections=1)
             attempts.start(book(1))
             assert await soon(attempts.ended.get()) is Outcome.SUCCESS
             other = Known(attempts.known.address)
@@ -432,7 +432,7 @@
 ) -> None:
     async def play() -> None:
         async with backend(lambda _: None) as one:
-            attempts = Attempts(one, most=20)
+            attempts = Attempts(one, max_connections=20)
             attempts.upstream.set_idle_quota(10, proxies)
             for number in range(0, 10, at_once):
                 for _ in range(number, number + at_once):  # each to a backend of its own
@@ -687,10 +687,13 @@
                     ActiveRequest,
                     UpstreamAttempt,
                     UpstreamConnection,
+                    ResponseParser,
                 )
                 for number in range(20):
                     client = await up.client()
                     assert status(await client.ask(read(number, Connection="close"))) == 200
+                    for connection in tuple(up.proxy._upstream._idle):
+                        up.proxy._upstream._close_idle(connection)
                     bad = await up.client()
                     assert status(await bad.ask(b"nonsense\r\n\r\n")) == 400
                     bad.writer.close()
