--- a/emulator/runs/slopes_balancer.py
+++ b/emulator/runs/slopes_balancer.py
@@ -51,13 +51,13 @@
         self._now, self._calls = time.time(), 0
 
     def _send_snapshot(self) -> None:
-        rows = [endpoint.row for endpoint in self._endpoints]
+        rows = [discovered.endpoint for discovered in self._endpoints]
         self._balancer.on_endpoints_updated(self._now, UpdateKind.SNAPSHOT, rows)
 
     def apply_change(self) -> None:
         """Apply a delta with one entry."""
         self._now += UPDATE_INTERVAL
-        row = self._reader.endpoint(self._changes.change_any()).row
+        row = self._reader.endpoint(self._changes.change_any()).endpoint
         self._balancer.on_endpoints_updated(self._now, UpdateKind.DELTA, [row])
 
     def apply_snapshot(self) -> None:
--- a/emulator/simulated_proxy.py
+++ b/emulator/simulated_proxy.py
@@ -18,7 +18,9 @@
 from emulator import topology
 from emulator.change_ages import AppliedUpdate, Publications, ages_when_applied
 from emulator.loopback import HOST
-from proxy.discovery.watch import DiscoveredEndpoint, DiscoveryClient, EndpointReader, WatchConnection
+from proxy.discovery.endpoint_reader import DiscoveredEndpoint, EndpointReader
+from proxy.discovery.watch import DiscoveryClient
+from proxy.discovery.watch_connection import WatchConnection
 
 CALL_LATENCY = 0.004  # seconds that a simulated call takes at its backend
 CLASSES = 2  # classes of requests in the settings of the fleet
@@ -59,13 +61,13 @@
         self.applied: list[AppliedUpdate] = []
         self.cost_by_second: dict[int, float] = {}
 
-    def message(self, watch: WatchConnection, message: Mapping[str, Any] | None) -> None:
+    def on_message(self, watch: WatchConnection, message: Mapping[str, Any] | None) -> None:
         """Handle one message of a watch; None: its end."""
         if message is None:
-            super().message(watch, message)
+            super().on_message(watch, message)
             return
         started, previous_index = time.thread_time(), self._index
-        super().message(watch, message)
+        super().on_message(watch, message)
         now = time.monotonic()
         self.applied.append(AppliedUpdate(now, previous_index, self._index))
         second = int(now)
@@ -109,7 +111,9 @@
 
     def _on_update(self, kind: UpdateKind, endpoints: list[DiscoveredEndpoint]) -> None:
         if endpoints or kind is not UpdateKind.DELTA:
-            self.balancer.on_endpoints_updated(self._now(), kind, [endpoint.row for endpoint in endpoints])
+            self.balancer.on_endpoints_updated(
+                self._now(), kind, [discovered.endpoint for discovered in endpoints]
+            )
             self.snapshots += kind is UpdateKind.SNAPSHOT
         self.has_list.set()
 
--- /dev/null
+++ b/proxy/active_request.py
@@ -0,0 +1,103 @@
+"""One request that the proxy has taken up, from its arrival to its final answer.
+
+Owns what is known of that request: who waits for it, how long, and its attempts so far. Does not decide what
+happens to it, and sends nothing.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+from balancer.events import Outcome
+from balancer.settings import Idempotency, RequestClass, narrow_class
+from proxy.downstream.connection import DownstreamConnection
+from proxy.downstream.request_parser import ClientRequest
+from proxy.upstream import UpstreamAttempt
+
+MIN_TIMEOUT = 0.001  # seconds: the smallest time that a backend is told it has
+
+
+class ActiveRequest:
+    """A request for which a final answer is due, or which still has attempts in flight.
+
+    Attributes:
+        request_id: Its name in the decisions, one that no other request of this process has.
+        request: What the client sent.
+        request_class: Its class when it was admitted, narrowed by later settings.
+        connection: The client's connection; None once no answer is due any more.
+        deadline: The event loop's time by which the answer has to be written.
+        attempts: All its attempts, in the order in which they were started.
+        last_outcome: How its latest attempt ended.
+        deadline_timer: Runs out at the deadline.
+    """
+
+    __slots__ = (
+        "attempts",
+        "connection",
+        "deadline",
+        "deadline_timer",
+        "last_outcome",
+        "request",
+        "request_class",
+        "request_id",
+    )
+
+    def __init__(
+        self,
+        request_id: str,
+        request: ClientRequest,
+        request_class: RequestClass,
+        connection: DownstreamConnection,
+        deadline: float,
+    ) -> None:
+        self.request_id = request_id
+        self.request = request
+        self.request_class = request_class
+        self.connection: DownstreamConnection | None = connection
+        self.deadline = deadline
+        self.attempts: list[UpstreamAttempt] = []
+        self.last_outcome = Outcome.NOT_SENT
+        self.deadline_timer: asyncio.TimerHandle | None = None
+
+    @property
+    def client_request_id(self) -> bytes:
+        """The id that the client gave it."""
+        return self.request.headers[b"x-request-id"]
+
+    @property
+    def may_repeat(self) -> bool:
+        """Whether the request may run at a backend twice."""
+        return self.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
+
+    def narrow_class(self, request_class: RequestClass) -> None:
+        """Allow only what both its class so far and the one of new settings allow."""
+        self.request_class = narrow_class(self.request_class, request_class)
+        if not self.may_repeat:
+            for attempt in self.attempts:
+                attempt.forbid_retry()
+
+    def is_awaited(self) -> bool:
+        """Whether the client is still there to get an answer."""
+        return self.connection is not None and not self.connection.has_disconnected()
+
+    def is_over(self) -> bool:
+        """Whether no answer is due and no attempt is in flight."""
+        return self.connection is None and all(attempt.finished for attempt in self.attempts)
+
+    def serialize(self, timeout: float) -> bytes:
+        """The request as it is sent to a backend.
+
+        Args:
+            timeout: The seconds for which the backend's answer is waited for.
+        """
+        request = self.request
+        has_length = request.body or request.method != b"GET"
+        length = b"Content-Length: %d\r\n" % len(request.body) if has_length else b""
+        return b"%b %b HTTP/1.1\r\n%bX-Timeout: %.3f\r\n%b\r\n%b" % (
+            request.method,
+            request.target,
+            request.forwarded_headers,
+            max(timeout, MIN_TIMEOUT),
+            length,
+            request.body,
+        )
--- /dev/null
+++ b/proxy/dispatcher.py
@@ -0,0 +1,289 @@
+"""Takes a client's request to its answer: tells the decisions what happened, and carries out their actions.
+
+Owns the active requests and the timers of the decisions. Decides nothing: `balancer` does. Does not own any
+connection, neither of clients (`proxy.downstream`) nor to backends (`proxy.upstream`).
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Iterable
+from math import inf
+
+from balancer.decide import Balancer
+from balancer.endpoints import Endpoint, UpdateKind
+from balancer.events import (
+    Action,
+    CancelAttempt,
+    Fail,
+    Outcome,
+    PollEndpoints,
+    Reject,
+    SetTimer,
+    StartAttempt,
+)
+from balancer.settings import RequestClass
+from proxy.active_request import ActiveRequest
+from proxy.clock import EpochClock
+from proxy.downstream.classification import ClassifiedRequest
+from proxy.downstream.connection import DownstreamConnection
+from proxy.downstream.errors import HttpError
+from proxy.downstream.request_parser import ClientRequest
+from proxy.endpoint_table import EndpointTable
+from proxy.log import TracebackLog
+from proxy.upstream import ConnectionPool, UpstreamAttempt, UpstreamResponse
+
+ANSWER_MARGIN = 0.005  # seconds before the client's time is up: the answer still has to reach it
+RETRIABLE_CLIENT_ERRORS = (408, 429)  # statuses of 4xx that are not the request's fault
+
+
+class Dispatcher:
+    """Carries out what the decisions say about each request.
+
+    Attributes:
+        active_requests: The requests that an answer is due for, or that have attempts in flight, by their id
+            in the decisions.
+        client_request_ids: The clients' ids of the requests that an answer is due for.
+        answer_by: The event loop's time by which requests that are taken up from now on need their answer.
+    """
+
+    def __init__(
+        self,
+        balancer: Balancer,
+        clock: EpochClock,
+        endpoint_table: EndpointTable,
+        pool: ConnectionPool,
+        poll_endpoints: Callable[[], None],
+    ) -> None:
+        """Prepare for requests.
+
+        Args:
+            balancer: The decisions.
+            clock: The decisions' time.
+            endpoint_table: The backends that attempts go to.
+            pool: Sends the attempts.
+            poll_endpoints: Asks discovery for the endpoint list.
+        """
+        self._loop = asyncio.get_running_loop()
+        self._balancer = balancer
+        self._clock = clock
+        self._endpoint_table = endpoint_table
+        self._pool = pool
+        self._poll_endpoints = poll_endpoints
+        self._traceback_log = TracebackLog()
+        self._last_request_number = 0
+        self.active_requests: dict[str, ActiveRequest] = {}
+        self.client_request_ids: set[bytes] = set()
+        self.answer_by = inf
+
+    # ---- what happens --------------------------------------------------------------------------
+
+    def start(self) -> None:
+        """The proxy has started."""
+        self.perform(self._decide(self._balancer.start))
+
+    def on_endpoints_updated(self, kind: UpdateKind, endpoints: list[Endpoint]) -> None:
+        """The endpoint list has changed; the endpoint table knows already."""
+        self.perform(self._decide(self._balancer.on_endpoints_updated, kind, endpoints))
+
+    def on_request(
+        self, request: ClientRequest, classified: ClassifiedRequest, connection: DownstreamConnection
+    ) -> None:
+        """Take up a client's request; raises HttpError where one with its id is active."""
+        client_request_id = request.headers[b"x-request-id"]
+        if client_request_id in self.client_request_ids:
+            # Backends would take a second request with the same id for the first one.
+            raise HttpError(409, "a request with this id is open")
+        self.client_request_ids.add(client_request_id)
+        deadline = min(request.received_at + classified.timeout, self.answer_by) - ANSWER_MARGIN
+        self._last_request_number += 1
+        request_id = str(self._last_request_number)
+        active = ActiveRequest(request_id, request, classified.request_class, connection, deadline)
+        self.active_requests[request_id] = active
+        connection.on_disconnect = lambda: self._on_client_disconnected(active)
+        active.deadline_timer = self._loop.call_at(deadline, self._on_deadline, active)
+        self.perform(
+            self._decide(
+                self._balancer.on_request,
+                request_id,
+                classified.class_index,
+                classified.tenant_index,
+                self._clock.from_loop_time(deadline),
+                classified.cost,
+                classified.is_retry,
+                about=active,
+            )
+        )
+
+    def _on_client_disconnected(self, active: ActiveRequest) -> None:
+        """The client has left: no answer is due any more."""
+        self._settle(active)
+        self.perform(self._decide(self._balancer.on_client_disconnected, active.request_id, about=active))
+        self._end_unsent_attempts(active)
+
+    def _on_deadline(self, active: ActiveRequest) -> None:
+        """The client's time is up: an answer is due now, whatever the decisions say."""
+        for attempt in tuple(active.attempts):
+            attempt.expire()
+        if active.connection is not None:
+            self._abandon(active)
+
+    def _on_attempt_finished(
+        self,
+        active: ActiveRequest,
+        number: int,
+        attempt: UpstreamAttempt,
+        outcome: Outcome,
+        response: UpstreamResponse | None,
+    ) -> None:
+        """An attempt has ended: answer where that is the answer, then let the decisions go on."""
+        now = self._loop.time()
+        active.last_outcome = outcome
+        if response is not None and self._is_fault_of_request(response):
+            # Backends need protection from clients: the request would fail at any other one as well.
+            self._answer(active, response.status, b"", b"rejected\n")
+            self.perform(self._decide(self._balancer.on_client_disconnected, active.request_id, about=active))
+            outcome = Outcome.NOT_SENT
+        elif outcome is Outcome.SUCCESS and response is not None:
+            if now <= active.deadline:
+                self._answer(active, 200, response.head, response.body)
+            else:  # The timer was late. The client's time is up all the same.
+                outcome = Outcome.TIMEOUT
+        self._forget_if_over(active)
+        self.perform(
+            self._decide(
+                self._balancer.on_attempt_finished,
+                active.request_id,
+                number,
+                outcome,
+                now - attempt.started_at,
+                active.connection is None,
+                about=active,
+            )
+        )
+        self._end_unsent_attempts(active)
+
+    @staticmethod
+    def _is_fault_of_request(response: UpstreamResponse) -> bool:
+        return 400 <= response.status < 500 and response.status not in RETRIABLE_CLIENT_ERRORS
+
+    def _on_timer(self, token: int) -> None:
+        """A timer of the decisions is due."""
+        self.perform(self._decide(self._balancer.on_timer, token))
+
+    def _decide(
+        self, event: Callable[..., list[Action]], *args: object, about: ActiveRequest | None = None
+    ) -> list[Action]:
+        """Tell the decisions of an event; a defect there fails the request that it is about, and no other."""
+        try:
+            return event(self._clock.now(), *args)
+        except Exception:  # noqa: BLE001 - a defect of the decisions must not end the other requests
+            self._traceback_log.write(self._loop.time())
+            if about is not None:
+                self._abandon(about)
+            return []
+
+    # ---- the decisions' actions ----------------------------------------------------------------
+
+    def perform(self, actions: list[Action]) -> None:
+        """Carry out actions, in their order."""
+        for action in actions:
+            if isinstance(action, SetTimer):
+                self._loop.call_at(self._clock.to_loop_time(action.at), self._on_timer, action.token)
+            elif isinstance(action, PollEndpoints):
+                self._poll_endpoints()
+            else:
+                self._perform_for_request(action)
+
+    def _perform_for_request(self, action: StartAttempt | Reject | Fail | CancelAttempt) -> None:
+        active = self.active_requests.get(action.request)
+        if active is None:
+            return
+        if isinstance(action, StartAttempt):
+            self._start_attempt(active, action)
+        elif isinstance(action, CancelAttempt):
+            active.attempts[action.attempt].finish(Outcome.CANCELLED)
+        elif isinstance(action, Reject):
+            head = b"Retry-After: %.3f\r\n" % action.retry_after if action.retry_after > 0.0 else b""
+            self._answer(active, 503, head, b"refused\n")
+        else:
+            status = 504 if active.last_outcome is Outcome.TIMEOUT else 502
+            self._answer(active, status, b"", b"failed\n")
+
+    def _start_attempt(self, active: ActiveRequest, action: StartAttempt) -> None:
+        now = self._loop.time()
+        until = min(active.deadline, now + action.timeout) if action.timeout > 0.0 else active.deadline
+        number = len(active.attempts)
+
+        def report(attempt: UpstreamAttempt, outcome: Outcome, response: UpstreamResponse | None) -> None:
+            self._on_attempt_finished(active, number, attempt, outcome, response)
+
+        attempt = UpstreamAttempt(
+            self._endpoint_table.backends[action.endpoint],
+            now,
+            until,
+            active.serialize,
+            report,
+            active.may_repeat,
+            active.is_awaited,
+        )
+        active.attempts.append(attempt)
+        if attempt.is_wanted():
+            self._pool.start(attempt)
+        else:
+            self._on_client_disconnected(active)
+
+    # ---- answers -------------------------------------------------------------------------------
+
+    def _answer(self, active: ActiveRequest, status: int, head: bytes, body: bytes) -> None:
+        """Give the final answer, if one is still due."""
+        connection = active.connection
+        self._settle(active)
+        if connection is not None:
+            connection.send_response(status, head, body)
+
+    def _abandon(self, active: ActiveRequest) -> None:
+        """Fail a request that the decisions have not answered, and tell them."""
+        status = 504 if self._loop.time() >= active.deadline else 500
+        self._answer(active, status, b"", b"")
+        self.perform(self._decide(self._balancer.on_client_disconnected, active.request_id))
+        for attempt in tuple(active.attempts):
+            attempt.finish(Outcome.CANCELLED)
+
+    def _settle(self, active: ActiveRequest) -> None:
+        """From now on no answer is due."""
+        if active.connection is not None:
+            self.client_request_ids.discard(active.client_request_id)
+        active.connection = None
+        if active.deadline_timer is not None:
+            active.deadline_timer.cancel()
+        self._forget_if_over(active)
+
+    def _forget_if_over(self, active: ActiveRequest) -> None:
+        if active.is_over():
+            self.active_requests.pop(active.request_id, None)
+            # A request and its attempts refer to each other, and would wait for the garbage collector.
+            active.attempts.clear()
+
+    def _end_unsent_attempts(self, active: ActiveRequest) -> None:
+        """Send nothing more for a settled request; what is sent already is the decisions' to cancel."""
+        if active.connection is None:
+            for attempt in tuple(active.attempts):
+                if attempt.connection is None:
+                    attempt.finish(Outcome.NOT_SENT)
+
+    # ---- new settings --------------------------------------------------------------------------
+
+    def narrow_classes(self, request_classes: Iterable[RequestClass]) -> None:
+        """Allow the active requests only what both their own class and the one of new settings allow."""
+        by_name = {request_class.name: request_class for request_class in request_classes}
+        for active in self.active_requests.values():
+            active.narrow_class(by_name.get(active.request_class.name, active.request_class))
+
+    def end_misplaced_attempts(self) -> None:
+        """End attempts that are not sent yet, where new settings place them elsewhere."""
+        for request_id, number in self._balancer.misplaced_attempts():
+            active = self.active_requests.get(request_id)
+            attempts = active.attempts if active is not None else []
+            if attempts and attempts[number].connection is None:
+                attempts[number].finish(Outcome.NOT_SENT)
--- a/proxy/downstream/connection.py
+++ b/proxy/downstream/connection.py
@@ -15,6 +15,7 @@
 from typing import TYPE_CHECKING
 
 from proxy.downstream import eviction
+from proxy.downstream.classification import classify
 from proxy.downstream.connection_state import ConnectionState
 from proxy.downstream.errors import HttpError
 from proxy.downstream.request_parser import ClientRequest, RequestParser
@@ -233,7 +234,7 @@
             if not self._connections.make_room(self, request_complete=True):
                 raise HttpError(503, "too many connections")
             self._idle_timeout = eviction.IDLE_TIMEOUT
-            self._listener.on_request(request, self)
+            self._listener.on_request(request, classify(request, self._listener.config), self)
         else:
             raise HttpError(404, "no such path")
 
--- a/proxy/downstream/listener.py
+++ b/proxy/downstream/listener.py
@@ -13,6 +13,7 @@
 from math import inf
 
 from proxy.config import Config
+from proxy.downstream.classification import ClassifiedRequest
 from proxy.downstream.connection import DownstreamConnection
 from proxy.downstream.eviction import ConnectionRegistry
 from proxy.downstream.request_parser import ClientRequest
@@ -35,10 +36,7 @@
         connections: All open connections and their deadlines.
         ready: Whether the endpoint list is loaded.
         serving: Whether the listener accepts connections and is to go on.
-        draining: Whether the process has been told to end.
         closing_since: The loop's time from which responses close their connection; infinite before.
-        final_deadline: The loop's time by which each request that is taken now needs its response; infinite
-            until the process ends.
         last_accepted_at: The loop's time at which the latest connection was accepted.
         read_buffer: Where every connection reads into: it holds bytes only during one callback.
         buffered_bytes: What incomplete bodies, and requests that wait behind another, hold in memory.
@@ -49,7 +47,7 @@
         self,
         config: Config,
         max_connections: int,
-        on_request: Callable[[ClientRequest, DownstreamConnection], None],
+        on_request: Callable[[ClientRequest, ClassifiedRequest, DownstreamConnection], None],
     ) -> None:
         self.config = config
         self.version = config.version(1)
@@ -57,9 +55,7 @@
         self.connections = ConnectionRegistry(max_connections)
         self.ready = False
         self.serving = False
-        self.draining = False
         self.closing_since = inf
-        self.final_deadline = inf
         self.last_accepted_at = 0.0
         self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self.buffered_bytes = 0
--- /dev/null
+++ b/proxy/endpoint_table.py
@@ -0,0 +1,55 @@
+"""The backends of the endpoint list, by their id.
+
+Owns which backends there are. Does not choose among them, does not read the list (`proxy.discovery` does),
+and does not own the connections to them (`proxy.upstream` does).
+"""
+
+from __future__ import annotations
+
+from balancer.endpoints import EndpointId, EndpointStatus, UpdateKind
+from proxy.discovery.endpoint_reader import DiscoveredEndpoint
+from proxy.upstream import Backend, ConnectionPool
+
+
+class EndpointTable:
+    """Keeps one `Backend` for each endpoint of the list.
+
+    Attributes:
+        backends: The backends by the id of their endpoint.
+    """
+
+    def __init__(self, pool: ConnectionPool) -> None:
+        self._pool = pool
+        self.backends: dict[EndpointId, Backend] = {}
+
+    def update(self, kind: UpdateKind, endpoints: list[DiscoveredEndpoint]) -> None:
+        """Take over an update of the list.
+
+        A backend with another address or start time is another incarnation: connections to the one before are
+        not used any more, which `ConnectionPool.update_backend` sees to.
+        """
+        if kind is not UpdateKind.DELTA:
+            listed = {discovered.endpoint.id for discovered in endpoints}
+            for endpoint_id in self.backends.keys() - listed:
+                self._remove(endpoint_id)
+        for discovered in endpoints:
+            endpoint = discovered.endpoint
+            if endpoint.status is EndpointStatus.GONE:
+                self._remove(endpoint.id)
+                continue
+            backend = self.backends.setdefault(endpoint.id, Backend(discovered.address))
+            in_service = endpoint.status is EndpointStatus.UP
+            self._pool.update_backend(backend, discovered.address, endpoint.started, in_service)
+
+    def share_connections(self, fleet_size: int) -> None:
+        """Limit the idle connections to this proxy's share, of a fleet of so many proxies."""
+        self._pool.set_idle_quota(len(self.backends), fleet_size)
+
+    def _remove(self, endpoint_id: EndpointId) -> None:
+        """Forget a backend that is gone for good, or memory would fill with them.
+
+        Attempts that are in flight to it keep the object that they have.
+        """
+        backend = self.backends.pop(endpoint_id, None)
+        if backend is not None:
+            self._pool.update_backend(backend, backend.address, backend.started_at, False)
--- /dev/null
+++ b/proxy/reload.py
@@ -0,0 +1,111 @@
+"""Takes over a new configuration while the proxy runs.
+
+Owns how many configurations have been put in force. Does not read the file (`proxy.config` does); the
+configuration in force is the listener's.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from dataclasses import replace
+
+from balancer.decide import Balancer
+from proxy.clock import EpochClock
+from proxy.config import Config, ConfigError, load
+from proxy.discovery.endpoint_reader import EndpointReader
+from proxy.discovery.watch import DiscoveryClient
+from proxy.dispatcher import Dispatcher
+from proxy.downstream.listener import Listener
+from proxy.endpoint_table import EndpointTable
+from proxy.log import write_line
+from proxy.upstream import ConnectionPool
+
+#: What identifies the process, and so needs a restart to change.
+IDENTITY_FIELDS = ("name", "listen", "seed", "sockets", "memory", "known")
+
+
+class ConfigReloader:
+    """Puts new configurations in force, each complete and in one instant, or not at all."""
+
+    def __init__(
+        self,
+        balancer: Balancer,
+        clock: EpochClock,
+        reader: EndpointReader,
+        listener: Listener,
+        dispatcher: Dispatcher,
+        endpoint_table: EndpointTable,
+        pool: ConnectionPool,
+        discovery: DiscoveryClient,
+        is_shutting_down: Callable[[], bool],
+    ) -> None:
+        self._balancer = balancer
+        self._clock = clock
+        self._reader = reader
+        self._listener = listener
+        self._dispatcher = dispatcher
+        self._endpoint_table = endpoint_table
+        self._pool = pool
+        self._discovery = discovery
+        self._is_shutting_down = is_shutting_down
+        self._config_count = 1  # configurations in force so far, with the one of the start
+
+    def reload(self, environ: Mapping[str, str]) -> None:
+        """Read the configuration file again and log what came of it.
+
+        A file that can not be taken changes nothing, and says so in one line.
+        """
+        # The environment still names the discovery of the start: where it is now is up to the file.
+        environ = {name: value for name, value in environ.items() if name != "RELAY_DISCOVERY"}
+        try:
+            lines = self.apply(load(environ))
+        except ConfigError as fault:
+            lines = [f"refused, version {self._listener.version} stays: {fault}"]
+        for line in lines:
+            write_line(f"proxy: reload: {line}")
+
+    def apply(self, config: Config) -> list[str]:
+        """Take over what a new configuration may change: its settings, and where discovery is.
+
+        Returns:
+            A line of text for each thing to log.
+
+        Raises:
+            ConfigError: The settings need a restart; nothing has changed.
+        """
+        before = self._listener.config
+        identity = {name: getattr(before, name) for name in IDENTITY_FIELDS}
+        lines = [
+            f"{name} is another, which needs a restart: the one of the start stays"
+            for name, value in identity.items()
+            if getattr(config, name) != value
+        ]
+        only_moved = replace(before, discovery=config.discovery)
+        config = replace(config, **identity)
+        if config != only_moved and self._is_shutting_down():
+            # The shutdown goes by the settings that it began with; the endpoint list still counts.
+            lines.append(f"the process is ending: version {self._listener.version} stays")
+            config = only_moved
+        elif config != only_moved:
+            self._apply_settings(config)
+            self._config_count += 1
+            self._listener.version = config.version(self._config_count)
+            lines.append(f"version {self._listener.version} is in force")
+        if config.discovery != before.discovery:
+            lines.append("discovery is at {}:{}".format(*config.discovery))
+        self._listener.config = config
+        self._discovery.move(config.discovery)
+        return lines
+
+    def _apply_settings(self, config: Config) -> None:
+        """Put settings in force; ConfigError, with nothing changed, where they need a restart."""
+        now = self._clock.now()
+        try:
+            actions = self._balancer.reconfigure(now, self._reader.settings_of(config))
+        except ValueError as fault:
+            raise ConfigError(str(fault)) from fault
+        self._dispatcher.perform(actions)
+        self._dispatcher.narrow_classes(config.settings.classes)
+        self._pool.reconfigure(config.conn_idle, config.dial_timeout)
+        self._endpoint_table.share_connections(config.settings.fleet_size)
+        self._dispatcher.end_misplaced_attempts()
--- /dev/null
+++ b/proxy/shutdown.py
@@ -0,0 +1,61 @@
+"""Graceful shutdown: what happens between SIGTERM and the end of the process.
+
+Owns whether the process is ending, and the times that go with it. Does not own the connections: the listener
+does.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+from proxy.dispatcher import Dispatcher
+from proxy.downstream.listener import Listener
+
+MIN_ACCEPT_TIME = 0.45  # seconds after SIGTERM in which new connections are still accepted...
+QUIET_TIME = 0.1  # ...and then until none has come for so long...
+MAX_ACCEPT_TIME = 0.6  # ...but no longer than this
+READ_TIME = 0.02  # seconds in which what has just been accepted can still be read
+KILL_DELAY = 0.7  # seconds after SIGTERM and the longest deadline at which SIGKILL may come...
+MAX_DEADLINE = 3.0  # seconds: ...the deadline counted as this where it is longer
+KILL_MARGIN = 0.1  # seconds before that by which what was taken late is answered
+ACCEPT_POLL_INTERVAL = 0.02  # seconds between two looks at whether connections still come
+CONNECTION_POLL_INTERVAL = 0.01  # seconds between two looks at whether connections are left
+
+
+class GracefulShutdown:
+    """Ends the proxy: takes what is still coming, answers all that was taken, closes the connections."""
+
+    def __init__(self, listener: Listener, dispatcher: Dispatcher) -> None:
+        self._listener = listener
+        self._dispatcher = dispatcher
+        self._has_begun = False
+
+    def has_begun(self) -> bool:
+        """Whether the process has been told to end."""
+        return self._has_begun
+
+    async def run(self, listening_socket: socket.socket) -> None:
+        """Shut down; returns once no client's connection is left."""
+        loop = asyncio.get_running_loop()
+        self._has_begun = True
+        self._listener.serving = False
+        began_at = loop.time()
+        await self._accept_late_connections(began_at)
+        await self._listener.stop_listening(listening_socket)
+        await asyncio.sleep(READ_TIME)
+        # A request may become complete only from here on, and SIGKILL may come before its time is up.
+        longest_deadline = max(row.deadline for row in self._listener.config.settings.classes)
+        killed_at = began_at + min(longest_deadline, MAX_DEADLINE) + KILL_DELAY
+        self._dispatcher.answer_by = killed_at - KILL_MARGIN
+        self._listener.stop_keepalive()
+        while self._listener.connections.open:
+            await asyncio.sleep(CONNECTION_POLL_INTERVAL)
+
+    async def _accept_late_connections(self, began_at: float) -> None:
+        """Go on accepting what is on its way: the clients' side sends connections here for a moment more."""
+        loop = asyncio.get_running_loop()
+        while (elapsed := loop.time() - began_at) < MAX_ACCEPT_TIME:
+            if elapsed >= MIN_ACCEPT_TIME and loop.time() - self._listener.last_accepted_at >= QUIET_TIME:
+                return
+            await asyncio.sleep(ACCEPT_POLL_INTERVAL)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,7 +16,7 @@
 from balancer.settings import Settings
 from balancer.settings_reader import read_settings
 from proxy.config import Config
-from proxy.discovery.watch import EndpointReader
+from proxy.discovery.endpoint_reader import EndpointReader
 from proxy.proxy import Proxy
 
 WIDE = 20.0  # seconds that any wait may take on a loaded machine
@@ -273,7 +273,7 @@
     def tell(self, entries: list[dict[str, Any]]) -> None:
         """Changes of the list, as if discovery had told them."""
         reader = EndpointReader({"here": 0, "there": 1}, {"k": 0})
-        self.proxy._told(UpdateKind.DELTA, reader.endpoints({"endpoints": entries}))
+        self.proxy.on_update(UpdateKind.DELTA, reader.endpoints({"endpoints": entries}))
 
     async def client(self) -> Client:
         """A new connection to it."""
@@ -284,12 +284,12 @@
 async def running(entries: list[dict[str, Any]], **changed: Any) -> AsyncIterator[Running]:
     """A proxy on a free port that knows these backends."""
     proxy = Proxy(config(entries, **changed))
-    sock = await proxy.front.listen()
+    sock = await proxy.listener.listen()
     try:
         yield Running(proxy, sock.getsockname()[1])
     finally:
-        await proxy.front.stop_listening(sock)
-        proxy.front.stop_keepalive()
+        await proxy.listener.stop_listening(sock)
+        proxy.listener.stop_keepalive()
 
 
 def read(number: int = 1, timeout: str = "30", target: str = "/api/k", **headers: str) -> bytes:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -69,14 +69,14 @@
                 client = await up.client()
                 assert status(await client.ask(ask(1))) == 200
                 client.writer.write(ask(2))
-                await clock.until(lambda: len(up.proxy._calls) == 1)
+                await clock.until(lambda: len(up.proxy.dispatcher.active_requests) == 1)
                 await clock.move(0.004)
                 if comes == "answer":
                     one.open[0].write(LATE)
                 elif comes == "close":
                     one.open[0].close()
                 if comes != "nothing":
-                    await clock.until(lambda: up.proxy._upstream._connected == 0)
+                    await clock.until(lambda: up.proxy.pool._connected == 0)
                 assert one.got.qsize() == 1
                 await clock.move(0.01)
                 assert (await client.answer()).endswith(b"done")
@@ -95,15 +95,15 @@
                 client = await up.client()
                 assert status(await client.ask(book(1))) == 200
                 client.writer.write(book(2, timeout="0.01" if crosses == "late" else "30"))
-                await clock.until(lambda: len(up.proxy._calls) == 1)
+                await clock.until(lambda: len(up.proxy.dispatcher.active_requests) == 1)
                 up.tell([entry("b", two.address)])
                 if crosses == "left":
                     client.writer.close()
-                    await clock.until(lambda: not up.proxy._calls)
+                    await clock.until(lambda: not up.proxy.dispatcher.active_requests)
                 elif crosses == "drained":
                     up.tell([entry("a", one.address, "terminating")])
                 await clock.move(0.02)
-                await clock.until(lambda: not up.proxy._calls)
+                await clock.until(lambda: not up.proxy.dispatcher.active_requests)
                 assert one.got.qsize() == 1
                 assert two.got.qsize() == (crosses == "drained")
                 if crosses != "left":
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -38,7 +38,7 @@
 
 async def fill(clock: Clock, up: Running, sent: bytes) -> tuple[list[socket.socket], int]:
     """Open far more connections than there is room for; also gives the most that the proxy held at once."""
-    front, socks, most = up.proxy.front, [], 0
+    front, socks, most = up.proxy.listener, [], 0
     for _ in range(4 * SOCKETS):
         accepted, before = front.last_accepted_at, front.connections.open.copy()
         sock = socket.create_connection((HOST, up.port))
@@ -64,7 +64,7 @@
             async with running([entry("a", one.address)], discovery=port, sockets=SOCKETS) as up:
                 socks, most = await fill(clock, up, KINDS[kind])
                 # As many attempts may be out, and all together have to fit.
-                assert most + up.proxy._upstream._max_connections + OWN <= SOCKETS
+                assert most + up.proxy.pool._max_connections + OWN <= SOCKETS
                 good = Client(*await asyncio.open_connection(HOST, up.port))
                 good.writer.write(book(1))
                 answer = asyncio.ensure_future(good.answer())
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -7,7 +7,6 @@
 import pytest
 from loopback import HOST, OK, Client, Clock, backend, book, config, entry, read, status
 
-from proxy.__main__ import drain
 from proxy.proxy import Proxy
 
 KILL = 3.0 + 0.7  # seconds after SIGTERM at which SIGKILL may come, by the protocol
@@ -29,13 +28,13 @@
 
     async def listen(self) -> None:
         """Serve."""
-        self.listener = await self.proxy.front.listen()
+        self.listener = await self.proxy.listener.listen()
         self.port = self.listener.getsockname()[1]
 
     async def term(self) -> None:
         """SIGTERM has come."""
         self.begun = self.clock.now
-        self.drained = asyncio.create_task(drain(self.proxy.front, self.listener))
+        self.drained = asyncio.create_task(self.proxy.shutdown.run(self.listener))
         await self.clock.settle()
 
     async def past(self, seconds: float) -> None:
@@ -65,7 +64,7 @@
             await ending.listen()
             client = await ending.client()
             client.writer.write(book()[:-2])
-            await ending.clock.until(lambda: bool(ending.proxy.front.connections.reading))
+            await ending.clock.until(lambda: bool(ending.proxy.listener.connections.reading))
             await ending.term()
             await ending.past(1.5)
             client.writer.write(book()[-2:])
@@ -98,9 +97,9 @@
                 request += read(2)
             client.writer.write(request[:-2] if state == "half read" else request)
             if state == "dialling":
-                await ending.clock.until(lambda: bool(ending.proxy._calls))
+                await ending.clock.until(lambda: bool(ending.proxy.dispatcher.active_requests))
             elif state == "half read":
-                await ending.clock.until(lambda: bool(ending.proxy.front.connections.reading))
+                await ending.clock.until(lambda: bool(ending.proxy.listener.connections.reading))
             else:
                 await ending.clock.until(lambda: one.got.qsize() == 1)
             await ending.term()
@@ -127,7 +126,7 @@
             assert status(answer) == 200
             assert b"Connection: close\r\n" in answer
             await ending.end()
-            assert not ending.proxy._calls
+            assert not ending.proxy.dispatcher.active_requests
             assert one.got.qsize() == (2 if state == "queued" else 1)
 
     asyncio.run(play())
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -72,15 +72,17 @@
                     client.writer.write(behind)
                     await until(
                         lambda: (
-                            any(c._queue or c._parser.reading for c in up.proxy.front.connections.open)
+                            any(c._queue or c._parser.reading for c in up.proxy.listener.connections.open)
                             or behind == b"\r\n"
                         )
                     )
                 leave(client, how)
-                await until(lambda: not up.proxy._calls and not up.proxy._balancer.requests)
+                await until(
+                    lambda: not up.proxy.dispatcher.active_requests and not up.proxy.balancer.requests
+                )
                 gate.open.set()
                 assert status(await other.ask(book(9))) == 200
-                pool = up.proxy._upstream
+                pool = up.proxy.pool
                 await until(lambda: pool._dialling == 0)
                 assert b"id9" in one.got.get_nowait()
                 assert one.got.empty()
@@ -102,9 +104,11 @@
                 client.writer.write(read())
                 await until(lambda: gate.waiting == 1)
                 leave(client, how)
-                await until(lambda: not up.proxy._calls and not up.proxy._balancer.requests)
+                await until(
+                    lambda: not up.proxy.dispatcher.active_requests and not up.proxy.balancer.requests
+                )
                 gate.open.set()
-                await until(lambda: up.proxy._upstream._dialling == up.proxy._upstream._connected == 0)
+                await until(lambda: up.proxy.pool._dialling == up.proxy.pool._connected == 0)
                 assert one.got.qsize() + two.got.qsize() == 1
 
     asyncio.run(play())
@@ -127,12 +131,12 @@
                         assert status(await client.answer()) == 200
                     client.writer.write(read(2))
                     await clock.until(lambda: one.got.qsize() + two.got.qsize() == 3)
-                    assert up.proxy._balancer.copies
+                    assert up.proxy.balancer.copies
                     leave(client, how)
-                    await clock.until(lambda: not up.proxy._calls)
+                    await clock.until(lambda: not up.proxy.dispatcher.active_requests)
                     for _ in range(100):
                         await clock.move(0.1)
-                    assert not up.proxy._balancer.copies
+                    assert not up.proxy.balancer.copies
                     assert one.got.qsize() + two.got.qsize() == 3
 
     asyncio.run(play())
@@ -147,10 +151,10 @@
             client.writer.write(read(3))
             client.writer.close()
             await soon(one.ended.get())  # its attempt was given up
-            await until(lambda: not up.proxy.front.connections.open)
+            await until(lambda: not up.proxy.listener.connections.open)
             assert one.got.empty()
-            assert not up.proxy._calls
-            assert up.proxy.front.buffered_bytes == 0
+            assert not up.proxy.dispatcher.active_requests
+            assert up.proxy.listener.buffered_bytes == 0
 
     asyncio.run(play())
 
@@ -164,9 +168,9 @@
                 await soon(one.got.get())
                 for number in (2, 3):
                     client.writer.write(book(number, body=b"x" * (60 << 10)))
-                [caller] = up.proxy.front.connections.open
+                [caller] = up.proxy.listener.connections.open
                 await until(lambda: caller._input_ended)
-                assert up.proxy.front.buffered_bytes <= 100 << 10
+                assert up.proxy.listener.buffered_bytes <= 100 << 10
                 one.open[0].write(OK)
                 assert [status(await client.answer()) for _ in range(2)] == [200, 503]
                 assert await soon(client.reader.read()) == b""
@@ -183,11 +187,13 @@
             client.writer.write(book(1))
             await soon(one.got.get())
             client.writer.write(b"".join(read(number) for number in range(2, 200)) + b"x" * (1 << 20))
-            [caller] = up.proxy.front.connections.open
+            [caller] = up.proxy.listener.connections.open
             await until(lambda: caller._input_ended)
             leave(client, how)
             await soon(one.ended.get())
-            await until(lambda: not up.proxy.front.connections.open and not up.proxy._calls)
+            await until(
+                lambda: not up.proxy.listener.connections.open and not up.proxy.dispatcher.active_requests
+            )
             assert one.got.empty()
 
     asyncio.run(play())
@@ -221,14 +227,14 @@
 
 async def accepted(clock: Clock, up: Running, callers: int) -> None:
     """Wait until so many connections are the proxy's."""
-    await clock.until(lambda: len(up.proxy.front.connections.open) == callers)
+    await clock.until(lambda: len(up.proxy.listener.connections.open) == callers)
 
 
 async def kept(clock: Clock, up: Running, client: Client, stubs: list[Backend]) -> None:
     """Let requests go until the proxy keeps a connection to each of the backends that has rested."""
     number = 500
     while not all(
-        any(c.backend.address[1] == int(stub.address.rpartition(":")[2]) for c in up.proxy._upstream._idle)
+        any(c.backend.address[1] == int(stub.address.rpartition(":")[2]) for c in up.proxy.pool._idle)
         for stub in stubs
     ):
         number += 1
@@ -243,7 +249,7 @@
 
 async def nothing_more(clock: Clock, up: Running, stubs: list[Backend]) -> None:
     """Nothing is sent on, and nothing is kept of the request."""
-    await clock.until(lambda: not up.proxy._calls and not up.proxy._balancer.requests)
+    await clock.until(lambda: not up.proxy.dispatcher.active_requests and not up.proxy.balancer.requests)
     for _ in range(20):
         await clock.move(0.1)
     assert all(stub.got.empty() for stub in stubs)
@@ -329,7 +335,7 @@
                 await kept(clock, up, client, [one, two])
                 raw.sock.sendall(read(1))
                 await clock.until(lambda: one.got.qsize() + two.got.qsize() == 1)
-                assert up.proxy._balancer.copies
+                assert up.proxy.balancer.copies
                 (one if one.got.qsize() else two).got.get_nowait()
                 raw.go(how)
                 clock.now += 10.0  # the copy is due in the loop's turn in which the close is read
@@ -385,22 +391,23 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.setblocking(False)
             await asyncio.get_running_loop().sock_connect(sock, (HOST, up.port))
-            await until(lambda: bool(up.proxy.front.connections.open))
-            [caller] = up.proxy.front.connections.open
+            await until(lambda: bool(up.proxy.listener.connections.open))
+            [caller] = up.proxy.listener.connections.open
             number = 0
+            active = up.proxy.dispatcher.active_requests
             while caller._transport.get_write_buffer_size() < 24 << 10:  # more than the system still takes
                 sock.send(read(number := number + 1))
-                await until(lambda sent=number: one.got.qsize() == sent and not up.proxy._calls)  # type: ignore[misc]
+                await until(lambda sent=number: one.got.qsize() == sent and not active)  # type: ignore[misc]
             assert not caller._write_paused
-            for connection in tuple(up.proxy._upstream._idle):
-                up.proxy._upstream._close_idle(connection)
+            for connection in tuple(up.proxy.pool._idle):
+                up.proxy.pool._close_idle(connection)
             gate = Gate(monkeypatch)
             sock.send(book(9000))
             await until(lambda: gate.waiting == 1)
             sock.shutdown(socket.SHUT_WR)
-            await until(lambda: not up.proxy._calls and not up.proxy._balancer.requests)
+            await until(lambda: not up.proxy.dispatcher.active_requests and not up.proxy.balancer.requests)
             gate.open.set()
-            await until(lambda: up.proxy._upstream._dialling == 0)
+            await until(lambda: up.proxy.pool._dialling == 0)
             assert one.got.qsize() == number
             sock.close()
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -33,9 +33,10 @@
 from balancer.events import Outcome, Reject
 from balancer.settings import Settings
 from balancer.settings_reader import read_settings
+from proxy.active_request import ActiveRequest
 from proxy.downstream.connection import DownstreamConnection
 from proxy.downstream.request_parser import RequestParser
-from proxy.proxy import ActiveRequest, Proxy
+from proxy.proxy import Proxy
 from proxy.upstream import connection_pool, keepalive_policy
 from proxy.upstream.attempt import MAX_RESPONSE_STALL, UpstreamAttempt
 from proxy.upstream.backend import Backend as Known
@@ -157,7 +158,7 @@
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             with monkeypatch.context() as patch:
-                patch.setattr(up.proxy._balancer, "on_request", lambda *_: [])
+                patch.setattr(up.proxy.balancer, "on_request", lambda *_: [])
                 client = await up.client()
                 assert status(await client.ask(book(timeout="0.1"))) == 504
             assert status(await client.ask(book(2))) == 200
@@ -176,11 +177,11 @@
             client = await up.client()
             for event in ("on_request", "on_attempt_finished"):
                 with monkeypatch.context() as patch:
-                    patch.setattr(up.proxy._balancer, event, fault)
+                    patch.setattr(up.proxy.balancer, event, fault)
                     # An answer that came before the fault stands.
                     assert status(await client.ask(book())) == (500 if event == "on_request" else 200)
             assert status(await client.ask(book(2))) == 200
-            assert not up.proxy._calls
+            assert not up.proxy.dispatcher.active_requests
 
     asyncio.run(play())
     assert capsys.readouterr().err.count("RuntimeError: odd") == 1  # the log is no flood
@@ -190,16 +191,16 @@
     async def play() -> None:
         deadlines: list[float] = []
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
-            ask = up.proxy._balancer.on_request
+            ask = up.proxy.balancer.on_request
 
             def request(*args: Any) -> Any:
                 deadlines.append(args[4])
                 return ask(*args)
 
-            monkeypatch.setattr(up.proxy._balancer, "on_request", request)
+            monkeypatch.setattr(up.proxy.balancer, "on_request", request)
             client = await up.client()
             client.writer.write(book()[:30])
-            await until(lambda: bool(up.proxy.front.connections.reading))
+            await until(lambda: bool(up.proxy.listener.connections.reading))
             seen = time.time()
             await asyncio.sleep(0.05)
             assert status(await client.ask(book()[30:])) == 200
@@ -211,7 +212,7 @@
 def test_the_modules_clock_is_the_lists_clock() -> None:
     async def play() -> None:
         async with running([]) as up:
-            assert abs(up.proxy._now() - time.time()) < 5.0
+            assert abs(up.proxy.clock.now() - time.time()) < 5.0
 
     asyncio.run(play())
 
@@ -238,13 +239,13 @@
                 up.tell([entry("a", one.address, "terminating")])
             elif change == "left":
                 client.writer.close()
-                await until(lambda: not up.proxy._calls)
+                await until(lambda: not up.proxy.dispatcher.active_requests)
             else:
                 assert status(await client.answer()) >= 500
             gate.set()
             if change == "drained":
                 assert status(await client.answer()) == 503
-            pool = up.proxy._upstream
+            pool = up.proxy.pool
             await until(lambda: pool._dialling == pool._connected == 0)
             assert one.got.empty()
 
@@ -259,7 +260,7 @@
             await soon(one.got.get())
             client.writer.close()
             await soon(one.ended.get())
-            await until(lambda: not up.proxy._calls and not up.proxy._balancer.requests)
+            await until(lambda: not up.proxy.dispatcher.active_requests and not up.proxy.balancer.requests)
 
     asyncio.run(play())
 
@@ -293,7 +294,7 @@
                 assert status(await client.ask(probe)) == 503
                 assert await soon(registry.asked.get()) == "/v1/servers?follow=1&since=7"
                 registry.say(8, [entry("a", one.address)])
-                await until(lambda: up.proxy.front.ready)
+                await until(lambda: up.proxy.listener.ready)
                 assert status(await client.ask(probe)) == 200
                 assert status(await client.ask(book())) == 200
 
@@ -305,12 +306,12 @@
         async with watches() as registry, running([], discovery=registry.port) as up:
             await soon(registry.asked.get())
             registry.say(12, [entry("a", f"{HOST}:1"), entry("b", f"{HOST}:2")], snapshot=True)
-            await until(lambda: len(up.proxy._backends) == 2)
+            await until(lambda: len(up.proxy.endpoint_table.backends) == 2)
             assert registry.writer is not None
             registry.writer.close()
             assert await soon(registry.asked.get()) == "/v1/servers?follow=1&since=12"
             registry.say(13, [entry("b", f"{HOST}:2")], snapshot=True)
-            await until(lambda: sum(b.in_service for b in up.proxy._backends.values()) == 1)
+            await until(lambda: sum(b.in_service for b in up.proxy.endpoint_table.backends.values()) == 1)
             registry.say(14, [entry("a", "nowhere")])  # malformed: the list stays, the watch is renewed
             assert await soon(registry.asked.get()) == "/v1/servers?follow=1&since=13"
 
@@ -322,7 +323,7 @@
         async with running([]) as up:
             client = await up.client()
             assert b"Retry-After" not in await client.ask(book())
-            monkeypatch.setattr(up.proxy._balancer, "on_request", lambda _now, rid, *_: [Reject(rid, 0.25)])
+            monkeypatch.setattr(up.proxy.balancer, "on_request", lambda _now, rid, *_: [Reject(rid, 0.25)])
             answer = await client.ask(book(2))
             assert status(answer) == 503
             assert b"Retry-After: 0.250\r\n" in answer
@@ -455,9 +456,9 @@
     async def play() -> None:
         settings = replace(read_settings(WIRE), fleet_size=4)
         async with running([entry("a", f"{HOST}:1"), entry("b", f"{HOST}:2")], settings=settings) as up:
-            assert up.proxy._upstream._idle_quota == connection_pool.FLEET_IDLE_PER_BACKEND * 2 / 4
+            assert up.proxy.pool._idle_quota == connection_pool.FLEET_IDLE_PER_BACKEND * 2 / 4
             up.tell([entry("b", f"{HOST}:2", "terminated")])
-            assert up.proxy._upstream._idle_quota == connection_pool.FLEET_IDLE_PER_BACKEND / 4
+            assert up.proxy.pool._idle_quota == connection_pool.FLEET_IDLE_PER_BACKEND / 4
 
     asyncio.run(play())
 
@@ -654,9 +655,9 @@
                 for number in range(30):
                     assert status(await client.ask(read(number))) == 400
                 assert one.got.qsize() == 30  # neither sent again nor refused by the breaker
-                assert not up.proxy._calls
-                assert not up.proxy._balancer.requests
-                assert not up.proxy._open
+                assert not up.proxy.dispatcher.active_requests
+                assert not up.proxy.balancer.requests
+                assert not up.proxy.dispatcher.client_request_ids
 
     asyncio.run(play())
 
@@ -669,8 +670,8 @@
                 up.tell([entry(f"b{number}", one.address, since_ms=1000)])
                 assert status(await client.ask(read(number))) == 200
                 up.tell([entry(f"b{number}", one.address, "terminated", since_ms=1000)])
-            assert len(up.proxy._backends) == len(up.proxy._balancer.servers) == 1
-            await until(lambda: up.proxy._upstream._connected <= 1)
+            assert len(up.proxy.endpoint_table.backends) == len(up.proxy.balancer.servers) == 1
+            await until(lambda: up.proxy.pool._connected <= 1)
 
     asyncio.run(play())
 
@@ -692,12 +693,12 @@
                 for number in range(20):
                     client = await up.client()
                     assert status(await client.ask(read(number, Connection="close"))) == 200
-                    for connection in tuple(up.proxy._upstream._idle):
-                        up.proxy._upstream._close_idle(connection)
+                    for connection in tuple(up.proxy.pool._idle):
+                        up.proxy.pool._close_idle(connection)
                     bad = await up.client()
                     assert status(await bad.ask(b"nonsense\r\n\r\n")) == 400
                     bad.writer.close()
-                await until(lambda: not up.proxy.front.connections.open)
+                await until(lambda: not up.proxy.listener.connections.open)
                 await asyncio.sleep(0)
                 left = [thing for thing in gc.get_objects() if isinstance(thing, kinds)]
                 assert len(left) <= 8, left
@@ -710,7 +711,7 @@
 def test_a_proxy_with_no_list_at_all_starts() -> None:
     async def play() -> None:
         proxy = Proxy(config([]))
-        assert not proxy.front.healthy()
+        assert not proxy.listener.healthy()
 
     asyncio.run(play())
 
@@ -773,7 +774,7 @@
                 got = await client.ask(book(number))
                 assert status(got) == 200
                 assert got.endswith(b"\r\n\r\n" + body)
-            assert up.proxy._upstream.response_memory.reserved == 0
+            assert up.proxy.pool.response_memory.reserved == 0
 
     asyncio.run(play())
 
@@ -785,7 +786,7 @@
             async with running([entry("a", one.address)], memory=2 << 20) as up:  # 256 KiB for answers
                 client = await up.client()
                 assert status(await client.ask(book())) == 502
-                await until(lambda: up.proxy._upstream.response_memory.reserved == 0)
+                await until(lambda: up.proxy.pool.response_memory.reserved == 0)
 
     asyncio.run(play())
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -38,7 +38,6 @@
 
 from balancer import decide
 from balancer.endpoints import UpdateKind
-from proxy.__main__ import reload
 from proxy.config import load
 from proxy.proxy import Proxy
 from proxy.upstream import connection_pool
@@ -79,7 +78,7 @@
     def reload(self, top: dict[str, Any] | None = None, **settings: Any) -> None:
         """Change the file, and do what SIGHUP does."""
         self.file.write(top, **settings)
-        reload(self.proxy)
+        self.proxy.reloader.reload(os.environ)
 
     async def health(self) -> tuple[int, list[bytes]]:
         """The status and the lines of the body that `/healthz` answers."""
@@ -92,12 +91,12 @@
     """A proxy on a free port, from its file."""
     file = File(path, known, discovery)
     proxy = Proxy(load(os.environ))
-    sock = await proxy.front.listen()
+    sock = await proxy.listener.listen()
     try:
         yield Site(proxy, sock.getsockname()[1], file)
     finally:
-        await proxy.front.stop_listening(sock)
-        proxy.front.stop_keepalive()
+        await proxy.listener.stop_listening(sock)
+        proxy.listener.stop_keepalive()
 
 
 def of(kind: str, number: int, method: str = "GET") -> bytes:
@@ -189,7 +188,7 @@
             async with site(path, [entry("a", one.address)]) as up:
                 client = await up.client()
                 client.writer.write(read(1))
-                calls = up.proxy._calls
+                calls = up.proxy.dispatcher.active_requests
                 await clock.until(
                     lambda: any(
                         attempt.connection is not None and attempt.connection._parser.receiving
@@ -229,7 +228,7 @@
             one.script = lambda _: OK
             assert status(await other.ask(read(2, X_Tenant_Id="new"))) == 200
             assert status(await other.ask(read(3))) == 200
-            balancer = up.proxy._balancer
+            balancer = up.proxy.balancer
             assert [int(due) for due in balancer.due] == [45, 0]
             up.reload(Orgs=[{"Name": "new", "AllowancePerS": 9.0}])
             assert status(await other.ask(read(4))) == 400
@@ -258,16 +257,16 @@
                     ([READ | {"BoundTo": [1]}], [], ["unlisted", "k"], one),
                 ):
                     up.reload(Services=services, Zones=zones, HostTypes=types, Zone=0)
-                    assert list(up.proxy.front.config.types) == types  # it was taken
+                    assert list(up.proxy.listener.config.types) == types  # it was taken
                     for again in range(8):
                         number += 1
                         if again == 4:  # a list told from now on is read as the one before
-                            up.proxy._told(
-                                UpdateKind.DELTA, up.proxy._reader.endpoints({"endpoints": listed})
+                            up.proxy.on_update(
+                                UpdateKind.DELTA, up.proxy.reader.endpoints({"endpoints": listed})
                             )
                         assert status(await client.ask(read(number))) == 200
                         assert b"id%d\r\n" % number in await soon(got.got.get())
-                        assert len(up.proxy._balancer.pool_of[0].ready) == 1
+                        assert len(up.proxy.balancer.pool_of[0].ready) == 1
                 assert one.got.empty()
                 assert two.got.empty()
 
@@ -284,8 +283,8 @@
                 gate = Gate(monkeypatch)
                 client.writer.write(book(1))
                 await until(lambda: gate.waiting == 1)
-                reader = up.proxy._reader
-                up.proxy._told(
+                reader = up.proxy.reader
+                up.proxy.on_update(
                     UpdateKind.DELTA,
                     reader.endpoints({"endpoints": [entry("b", two.address) | {"zone": "there"}]}),
                 )
@@ -335,7 +334,7 @@
     async def play() -> None:
         async with site(path, [entry("a", f"{HOST}:1"), entry("b", f"{HOST}:2")]) as up:
             up.reload(Instances=4)
-            assert up.proxy._upstream._idle_quota == connection_pool.FLEET_IDLE_PER_BACKEND * 2 / 4
+            assert up.proxy.pool._idle_quota == connection_pool.FLEET_IDLE_PER_BACKEND * 2 / 4
 
     asyncio.run(play())
 
@@ -359,10 +358,10 @@
 
             for name in ("_arrange", "on_endpoints_updated"):
                 monkeypatch.setattr(decide.Balancer, name, counted(name))
-            before = [server.row.id for server in up.proxy._balancer.pools[0].subset]
+            before = [server.row.id for server in up.proxy.balancer.pools[0].subset]
             up.reload(**swap)
             assert done == ["_arrange"]
-            after = [server.row.id for server in up.proxy._balancer.pools[0].subset]
+            after = [server.row.id for server in up.proxy.balancer.pools[0].subset]
             assert (after != before) == ("Ordinal" in swap)
 
     asyncio.run(play())
@@ -374,7 +373,7 @@
 def test_the_version_in_force_is_visible(path: Path, capfd: pytest.CaptureFixture[str]) -> None:
     async def play() -> None:
         async with site(path, []) as up:
-            up.proxy.front.ready = True
+            up.proxy.listener.ready = True
             code, [word, first] = await up.health()
             assert code == 200
             assert word == b"ok"
@@ -390,7 +389,7 @@
             assert lines(capfd) == [f"proxy: reload: version 41-{second[10:].decode()} is in force"]
             up.reload()
             assert (await up.health())[1][1] == b"version 4-" + first[10:]
-            up.proxy.front.ready = False
+            up.proxy.listener.ready = False
             assert (await up.health())[0] == 503
 
     asyncio.run(play())
@@ -401,13 +400,13 @@
         async with backend(lambda _: OK) as one, site(path, [entry("a", one.address)]) as up:
             client = await up.client()
             assert status(await client.ask(read(1))) == 200
-            proxy, balancer = up.proxy, up.proxy._balancer
+            proxy, balancer = up.proxy, up.proxy.balancer
             kept = [
                 balancer.settings,
                 balancer.pools,
                 balancer.took,
                 balancer.due,
-                proxy._upstream._sweep_timer,
+                proxy.pool._sweep_timer,
             ]
             order = dict(reversed(up.file.top.items())) | {"settings": dict(reversed(WIRE.items()))}
             for top in (None, order, {"discovery": f"{HOST}:10"}):
@@ -417,7 +416,7 @@
                 balancer.pools,
                 balancer.took,
                 balancer.due,
-                proxy._upstream._sweep_timer,
+                proxy.pool._sweep_timer,
             ]
             assert all(a is b for a, b in zip(kept, now, strict=True))
             assert lines(capfd) == [f"proxy: reload: discovery is at {HOST}:10"]
@@ -440,8 +439,8 @@
             said = [line.split()[2] for line in lines(capfd)]
             assert said == ["name", "listen", "seed", "sockets", "memory", "known"]
             assert status(await (await up.client()).ask(read(1))) == 200
-            assert up.proxy.front.config.name == "n0"
-            assert up.proxy.front.config.sockets == 1024
+            assert up.proxy.listener.config.name == "n0"
+            assert up.proxy.listener.config.sockets == 1024
             up.reload(top, Instances=2)  # the settings beside them are taken
             assert "in force" in lines(capfd)[-1]
 
@@ -461,22 +460,22 @@
     async def play() -> None:
         async with backend(lambda _: OK) as one, site(path, [entry("a", one.address)]) as up:
             up.reload(Instances=3)
-            version = up.proxy.front.version
+            version = up.proxy.listener.version
             assert len(lines(capfd)) == 1
-            before = up.proxy.front.config
-            settings = up.proxy._balancer.settings
+            before = up.proxy.listener.config
+            settings = up.proxy.balancer.settings
             if data is None:
                 path.unlink()
             else:
                 path.write_bytes(data)
-            reload(up.proxy)
+            up.proxy.reloader.reload(os.environ)
             [line] = lines(capfd)
             assert line.startswith(f"proxy: reload: refused, version {version} stays: ")
             assert "Traceback" not in line
             assert len(line) < 600
             assert line.isprintable()
-            assert up.proxy.front.config is before
-            assert up.proxy._balancer.settings is settings
+            assert up.proxy.listener.config is before
+            assert up.proxy.balancer.settings is settings
             assert status(await (await up.client()).ask(read(1))) == 200
             up.reload()
             assert "in force" in lines(capfd)[0]
@@ -504,14 +503,14 @@
                 reader = threading.Thread(target=lambda: done.wait(WIDE) or os.read(source, 1 << 20))
                 reader.start()
                 begun = loop.time()
-                reload(up.proxy)
+                up.proxy.reloader.reload(os.environ)
                 waited = loop.time() - begun
                 done.set()
                 reader.join()
                 monkeypatch.undo()
             os.close(source)
             assert waited < WIDE / 2.0
-            assert up.proxy.front.version.startswith("2-")
+            assert up.proxy.listener.version.startswith("2-")
 
     asyncio.run(play())
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -31,7 +31,6 @@
     watches,
 )
 
-from proxy.__main__ import drain
 from proxy.proxy import Proxy
 
 ROOT = Path(__file__).parent.parent
@@ -129,7 +128,7 @@
             assert one.got.empty()
             client.writer.close()
             await until(
-                lambda: not up.proxy.front.connections.open and not up.proxy.front.connections.closing
+                lambda: not up.proxy.listener.connections.open and not up.proxy.listener.connections.closing
             )
 
     monkeypatch.setattr("proxy.downstream.eviction.FIRST_REQUEST_TIMEOUT", 0.5)
@@ -142,7 +141,7 @@
             client = await up.client()
             assert status(await client.ask(book())) == 200
             assert await soon(client.reader.read()) == b""
-            assert not up.proxy.front.connections.open
+            assert not up.proxy.listener.connections.open
 
     monkeypatch.setattr("proxy.downstream.eviction.IDLE_TIMEOUT", 0.1)
     asyncio.run(play())
@@ -155,10 +154,10 @@
                 whole = [book(number, body=b"x" * (60 << 10)) for number in range(2)]
                 first, second = await up.client(), await up.client()
                 first.writer.write(whole[0][:-1])
-                await until(lambda: up.proxy.front.buffered_bytes > 60_000)
+                await until(lambda: up.proxy.listener.buffered_bytes > 60_000)
                 assert status(await second.ask(whole[1][:-1])) == 503
                 assert status(await first.ask(whole[0][-1:])) == 200
-                await until(lambda: up.proxy.front.buffered_bytes == 0)
+                await until(lambda: up.proxy.listener.buffered_bytes == 0)
                 assert one.got.qsize() == 1
 
     asyncio.run(play())
@@ -168,7 +167,7 @@
     async def play() -> None:
         async with backend(lambda _: OK) as one:
             async with running([entry("a", one.address)], sockets=48 + 8) as up:  # 4 callers
-                front = up.proxy.front
+                front = up.proxy.listener
                 good, half = await up.client(), await up.client()
                 assert status(await good.ask(book(1))) == 200
                 half.writer.write(book(2)[:-1])
@@ -237,8 +236,8 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.setblocking(False)
             await asyncio.get_running_loop().sock_connect(sock, (HOST, up.port))
-            await until(lambda: bool(up.proxy.front.connections.open))
-            [caller] = up.proxy.front.connections.open
+            await until(lambda: bool(up.proxy.listener.connections.open))
+            [caller] = up.proxy.listener.connections.open
             number = 0
             while not caller._write_paused:
                 sock.send(read(number := number + 1))
@@ -265,7 +264,7 @@
                 assert status(refused) == 503
                 assert b"Connection: close\r\n" in refused
                 busy[0].writer.close()
-                front = up.proxy.front
+                front = up.proxy.listener
                 await until(lambda: len(front.connections.open) - len(front.connections.closing) == 3)
                 assert status(await (await up.client()).ask(book(1))) == 200
 
@@ -406,10 +405,10 @@
 def test_a_drain_takes_what_is_queued_and_what_still_comes() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
-            front = Proxy(config([entry("a", one.address)])).front
-            listener = await front.listen()
+            proxy = Proxy(config([entry("a", one.address)]))
+            listener = await proxy.listener.listen()
             port = listener.getsockname()[1]
-            ending = asyncio.create_task(drain(front, listener))
+            ending = asyncio.create_task(proxy.shutdown.run(listener))
             await asyncio.sleep(0)  # the drain has begun
             client = await connect(port)
             assert status(await client.ask(book(1))) == 200
@@ -425,7 +424,7 @@
 def test_closing_the_listener_loses_nothing_that_is_queued() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
-            front = Proxy(config([entry("a", one.address)])).front
+            front = Proxy(config([entry("a", one.address)])).listener
             listener = await front.listen()
             queued = [socket.create_connection(listener.getsockname()) for _ in range(20)]
             await front.stop_listening(listener)
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -92,7 +92,7 @@
 
 def places(up: Running) -> list[int]:
     """The ports of the backends that a proxy knows."""
-    return [known.address[1] for known in up.proxy._backends.values()]
+    return [known.address[1] for known in up.proxy.endpoint_table.backends.values()]
 
 
 async def told_in_time(fault: str, times: int) -> None:
@@ -132,8 +132,8 @@
         clock = Clock()
         port = server.sockets[0].getsockname()[1]
         async with running([entry("a", f"{HOST}:1")], discovery=port) as up:
-            await clock.until(lambda: not up.proxy._backends)  # it has spoken, and says no more
-            took = await waited(clock, agent, lambda: bool(up.proxy._backends))
+            await clock.until(lambda: not up.proxy.endpoint_table.backends)  # it has spoken, and says no more
+            took = await waited(clock, agent, lambda: bool(up.proxy.endpoint_table.backends))
             assert took < COUNTS, f"told after {took:.2f} s and {agent.calls} calls"
         server.close()
 
@@ -150,7 +150,7 @@
             port = server.sockets[0].getsockname()[1]
             asks = settings("on_request", ask_within)
             async with running([], discovery=port, settings=asks, seed=seed) as up:
-                took = await waited(clock, agent, lambda up=up: bool(up.proxy._backends))  # type: ignore[misc]
+                took = await waited(clock, agent, lambda up=up: bool(up.proxy.endpoint_table.backends))  # type: ignore[misc]
                 assert took < COUNTS, f"told after {took:.2f} s and {agent.calls} calls with seed {seed}"
             server.close()
 
@@ -165,7 +165,7 @@
             for _ in range(60):
                 await clock.move(0.5)  # nobody is there
             server = await asyncio.start_server(agent.serve, HOST, port)
-            took = await waited(clock, agent, lambda: bool(up.proxy._backends))
+            took = await waited(clock, agent, lambda: bool(up.proxy.endpoint_table.backends))
             assert took < 0.25
             server.close()
 
@@ -210,7 +210,7 @@
         clock = Clock()
         port = server.sockets[0].getsockname()[1]
         async with running([], discovery=port) as up:
-            assert await waited(clock, agent, lambda: bool(up.proxy._backends)) < COUNTS
+            assert await waited(clock, agent, lambda: bool(up.proxy.endpoint_table.backends)) < COUNTS
         server.close()
 
     asyncio.run(play())
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -45,7 +45,7 @@
             async with running([], discovery=registry.port) as up:
                 await clock.until(lambda: registry.asked.qsize() == 1)
                 registry.say(8, [entry("a", f"{HOST}:1")])
-                await clock.until(lambda: up.proxy.front.ready)
+                await clock.until(lambda: up.proxy.listener.ready)
                 await clock.move(BEAT)
                 assert registry.ended.empty()  # a line is due only now
                 await clock.move(COUNTS / 2.0 - BEAT)  # the first half of the time is for noticing
@@ -79,11 +79,11 @@
             await soon(registry.asked.get())
             registry.write(b"\n")
             registry.say(8, [entry("a", f"{HOST}:1"), entry("b", f"{HOST}:2")], True, indent)
-            await until(lambda: len(up.proxy._backends) == 2)
+            await until(lambda: len(up.proxy.endpoint_table.backends) == 2)
             registry.write(b"\n")
             registry.say(9, [], False, indent)
             registry.say(10, [entry("a", f"{HOST}:1", "terminated")], False, indent)
-            await until(lambda: len(up.proxy._backends) == 1)
+            await until(lambda: len(up.proxy.endpoint_table.backends) == 1)
             assert registry.ended.empty()
 
     asyncio.run(play())
@@ -97,7 +97,7 @@
             registry.say(8, [entry("a", f"{HOST}:1")])
             registry.write(bad)
             assert await soon(registry.asked.get()) == "/v1/servers?follow=1&since=8"
-            assert len(up.proxy._backends) == 1
+            assert len(up.proxy.endpoint_table.backends) == 1
 
     asyncio.run(play())
 
