--- a/emulator/change_ages.py
+++ b/emulator/change_ages.py
@@ -22,7 +22,7 @@
     names: frozenset[str]
 
     def concerns(self, view: frozenset[str] | None) -> bool:
-        """Whether a proxy that sees these backends (None: all) is sent the version."""
+        """Tell whether a proxy that sees these backends (None: all) is sent the version."""
         return view is None or bool(view & self.names)
 
 
@@ -54,7 +54,7 @@
 
 
 def age_histogram() -> HdrHistogram:
-    """An empty histogram of ages in microseconds, to three digits."""
+    """Create an empty histogram of ages in microseconds, to three digits."""
     return HdrHistogram(1, MAX_AGE_MICROSECONDS, 3)
 
 
@@ -66,7 +66,7 @@
 def ages_when_applied(
     applied: Iterable[AppliedUpdate], publications: Publications, view: frozenset[str] | None
 ) -> dict[int, float]:
-    """The age in seconds of each version that concerns a view, when it was applied first."""
+    """Return the age in seconds of each version that concerns a view, when it was first applied."""
     ages: dict[int, float] = {}
     first_published = min(publications, default=None)
     if first_published is None:
--- a/emulator/child.py
+++ b/emulator/child.py
@@ -85,7 +85,7 @@
         return self.result()
 
     def usage(self) -> Usage:
-        """What the process has spent, read from outside."""
+        """Read from outside what the process has spent."""
         return process_usage(self.pid)
 
     def close(self) -> None:
@@ -106,7 +106,7 @@
 
 
 def call_all(children: Iterable[ChildProcess], method: str, *args: Any, **kwargs: Any) -> list[Any]:
-    """Make the same call in all of them at once; their results in order."""
+    """Make the same call in several children at once, and return their results in order."""
     called = list(children)
     for child in called:
         child.send(method, *args, **kwargs)
--- a/emulator/control_cost.py
+++ b/emulator/control_cost.py
@@ -24,14 +24,20 @@
     processor_net: float | None = None
 
     def as_dict(self) -> dict[str, float]:
-        """The cost as a result holds it."""
+        """Return the cost as a result holds it."""
         figures = {"processor": self.processor, "bytes": self.sent_bytes}
         if self.processor_net is not None:
             figures["processor_net"] = self.processor_net
         return figures
 
     def net_of_idle(self, idle_seconds: float, idle: ProxyCost, seconds_each: float) -> ProxyCost:
-        """The same cost with its net: `idle` took `idle_seconds`, and one event takes `seconds_each`."""
+        """Return the cost with its net figure worked out.
+
+        Args:
+            idle_seconds: How long the idle time lasted.
+            idle: What all of it cost.
+            seconds_each: How long one event takes.
+        """
         return replace(self, processor_net=self.processor - idle.processor / idle_seconds * seconds_each)
 
 
@@ -52,7 +58,7 @@
     simulated: ProxyCost
 
     def net_of_idle(self, idle: EventCost) -> EventCost:
-        """The same cost with what it is beyond as much time with heartbeats alone."""
+        """Return the cost with the net figures worked out, given what idle time costs."""
         seconds_each = self.seconds / self.events
         return replace(
             self,
@@ -61,12 +67,12 @@
         )
 
     def difference_percent(self) -> dict[str, float | None]:
-        """By how many percent each simulated figure is above the real one; None without a real figure."""
+        """Return by how many percent each simulated figure exceeds the real one; None where that is 0."""
         real, simulated = self.real.as_dict(), self.simulated.as_dict()
         return {name: _difference_percent(simulated[name], real[name]) for name in simulated}
 
     def as_dict(self) -> dict[str, Any]:
-        """The cost as a result holds it."""
+        """Return the cost as a result holds it."""
         return {
             "events": self.events,
             "seconds": self.seconds,
@@ -88,7 +94,7 @@
     sent_bytes: int
 
     def cost_since(self, before: GroupReading, events: int, proxies: int) -> ProxyCost:
-        """The cost of one event for one proxy since an earlier reading."""
+        """Return the cost of one event for one proxy since an earlier reading."""
         return ProxyCost(
             (self.processor - before.processor) / events / proxies,
             (self.sent_bytes - before.sent_bytes) / events / proxies,
--- a/emulator/control_endpoint.py
+++ b/emulator/control_endpoint.py
@@ -65,7 +65,7 @@
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        """Listen; no effect where it listens already.
+        """Start listening, unless it listens already.
 
         Raises:
             OSError: The port is taken.
@@ -96,7 +96,7 @@
                 connection.send_update()
 
     def open_watches(self) -> int:
-        """How many connections watch now."""
+        """Count the connections that watch now."""
         return sum(connection.index != NO_WATCH for connection in self.connections)
 
 
@@ -168,7 +168,7 @@
         self._heartbeat_timer = loop.call_later(HEARTBEAT_INTERVAL, self._on_heartbeat_timer)
 
     def _on_heartbeat_timer(self) -> None:
-        """Send an empty line where the watch was idle for long enough, and set the watch's one timer anew."""
+        """Send a heartbeat if the watch has been idle for long enough, and restart the watch's one timer."""
         loop = asyncio.get_running_loop()
         if loop.time() - self._last_line_at >= HEARTBEAT_INTERVAL - TIMER_TOLERANCE:
             if not self._endpoint.is_silent:
@@ -204,7 +204,7 @@
 
 
 def _requested_version(query: dict[str, list[str]]) -> int:
-    """The version that a watch asks to resume from; 0, before all of them, where it names none."""
+    """Return the version that a watch asks to resume from; 0, before all of them, where it names none."""
     try:
         return int(query["since"][0])
     except (KeyError, ValueError):
--- a/emulator/fit.py
+++ b/emulator/fit.py
@@ -34,7 +34,7 @@
     worst: float
 
     def as_dict(self) -> dict[str, Any]:
-        """The fit as a result holds it."""
+        """Return the fit as a result holds it."""
         return asdict(self)
 
 
@@ -70,7 +70,7 @@
 
 
 def fit_all(xs: Sequence[float], ys: Sequence[float]) -> list[Fit]:
-    """Fit every model, the one with the smaller residual first; the line alone where an x is 0."""
+    """Fit every model, and sort by the residual; the line alone where an x is 0."""
     fits = [fit_line(xs, ys)]
     if min(xs) > 0.0:
         fits.append(fit_n_log_n(xs, ys))
--- a/emulator/fleet_settings.py
+++ b/emulator/fleet_settings.py
@@ -12,11 +12,11 @@
 
 
 def proxy_settings(topology: Topology, position: int, fleet_size: int | None = None) -> dict[str, Any]:
-    """The settings of one backend's proxy (DEPLOY, `settings`).
+    """Build the settings of one backend's proxy.
 
     Args:
         topology: The fleet.
-        position: The backend.
+        position: The position of the backend in the topology.
         fleet_size: How many proxies there are; None: one for each backend.
     """
     entry = topology.entries[position % len(topology.entries)]
--- a/emulator/meter.py
+++ b/emulator/meter.py
@@ -30,12 +30,12 @@
 
 
 def own_usage() -> Usage:
-    """Read this process; its processor time to the clock's resolution."""
+    """Read what this process has spent; its processor time to the clock's resolution."""
     return Usage(time.process_time(), psutil.Process().memory_info().rss)
 
 
 def process_usage(pid: int) -> Usage:
-    """Read another process; psutil.Error where it has ended.
+    """Read what another process has spent; psutil.Error where it has ended.
 
     Its processor time is the scheduler's, exact, of the threads it has now; where the kernel does not report
     that, it is in ticks of 10 ms.
@@ -51,7 +51,7 @@
 
 
 def _scheduled_seconds(pid: int) -> float | None:
-    """The time that the scheduler gave to a process's threads; None where the kernel does not report it."""
+    """Sum the time that the scheduler gave to a process's threads; None if the kernel doesn't report it."""
     try:
         texts = [file.read_text() for file in Path(f"/proc/{pid}/task").glob("*/schedstat")]
     except OSError:
@@ -60,7 +60,7 @@
 
 
 def total_usage(pids: Iterable[int]) -> Usage:
-    """Several processes together."""
+    """Sum what several processes have spent."""
     usages = [process_usage(pid) for pid in pids]
     return Usage(sum(usage.processor for usage in usages), sum(usage.memory for usage in usages))
 
@@ -76,15 +76,15 @@
         self._readings.append((at, value))
 
     def mean(self) -> float:
-        """The growth a second over all readings; 0 where they span no time."""
+        """Return the growth a second over all readings; 0 where they span no time."""
         return _mean_growth(self._readings)
 
     def growth(self) -> float:
-        """The growth from the first reading to the last."""
+        """Return the growth from the first reading to the last."""
         return self._readings[-1][1] - self._readings[0][1] if self._readings else 0.0
 
     def worst(self, window: float = WORST_WINDOW) -> float:
-        """The growth a second in the worst `window` seconds.
+        """Return the growth a second in the worst `window` seconds.
 
         A shorter series counts as standing still before and after.
         """
--- a/emulator/real_proxies.py
+++ b/emulator/real_proxies.py
@@ -22,7 +22,7 @@
 
 @contextmanager
 def real_proxies(topology: Topology, ports: list[int], discovery_port: int) -> Iterator[list[int]]:
-    """Run one real proxy for each port; the block gets their process ids, and they end with it."""
+    """Run one real proxy for each port; yields their process ids, and kills them after the block."""
     running: list[subprocess.Popen[bytes]] = []
     with TemporaryDirectory() as folder:
         try:
@@ -38,7 +38,7 @@
 
 
 def _config(topology: Topology, position: int, port: int, discovery_port: int) -> ProxyConfig:
-    """The configuration of one backend's proxy, which knows no endpoint at its start."""
+    """Configure a backend's proxy, which knows no endpoint at its start."""
     return ProxyConfig(
         name=topology.entries[position]["name"],
         port=port,
--- a/emulator/registry.py
+++ b/emulator/registry.py
@@ -47,7 +47,7 @@
         self.endpoints: dict[str, ControlEndpoint] = {}
 
     async def open_endpoint(self, name: str, port: int = 0, view: Iterable[str] | None = None) -> int:
-        """Open an endpoint under a name, or one that was closed once more.
+        """Open a new endpoint, or open again one that was closed.
 
         Args:
             name: Identifies it in the other methods.
@@ -89,17 +89,17 @@
         return started
 
     def close_endpoints(self, names: Iterable[str]) -> None:
-        """Lose the machine behind some endpoints: watches are reset, and new connections refused."""
+        """Simulate the loss of the machine: watches are reset, and new connections refused."""
         for name in names:
             self.endpoints[name].close()
 
     def silence(self, names: Iterable[str]) -> None:
-        """Partition the network: open connections are sent nothing more, new ones are never answered."""
+        """Simulate a network partition: open connections are sent nothing, new ones are never answered."""
         for name in names:
             self.endpoints[name].is_silent = True
 
     def heal(self, names: Iterable[str]) -> None:
-        """End the partition: connections that hung are reset, new ones are served."""
+        """End a simulated partition: connections that hung are reset, new ones are served."""
         for name in names:
             self.endpoints[name].is_silent = False
             self.endpoints[name].reset_connections()
@@ -112,14 +112,14 @@
             self.endpoints[name].reset_connections()
 
     def usage(self) -> RegistryUsage:
-        """What this process has sent and spent."""
+        """Read what this process has sent and spent."""
         endpoints = self.endpoints.values()
         traffic = sum((endpoint.counts for endpoint in endpoints), TrafficCounts())
         open_watches = sum(endpoint.open_watches() for endpoint in endpoints)
         return RegistryUsage(traffic, open_watches, time.process_time())
 
     def endpoint_traffic(self, name: str) -> TrafficCounts:
-        """What was sent at one endpoint; KeyError where there is none of the name."""
+        """Count what was sent at one endpoint; KeyError where none has the name."""
         return replace(self.endpoints[name].counts)
 
     def close(self) -> None:
--- a/emulator/registry_state.py
+++ b/emulator/registry_state.py
@@ -67,24 +67,24 @@
             self._entries[entry["name"]] = entry
 
     def forget_log(self) -> None:
-        """Lose the log, as a restart does: a watch that resumes from up to this version gets a snapshot."""
+        """Discard the log, as a restart does: a watch that resumes from this version or before gets all."""
         self._log.clear()
         self._oldest_index, self._oldest_resumable = self.index, self.index + 1
         self._encoded.clear()
 
     def snapshot(self, view: View) -> EncodedUpdate:
-        """The complete list of the backends in a view."""
+        """Encode the complete list of the backends in a view."""
         entries = [entry for entry in self._entries.values() if view is None or entry["name"] in view]
         return EncodedUpdate(self._encode(True, entries), True, True)
 
     def resume(self, index: int, view: View) -> EncodedUpdate:
-        """What a new watch that resumes from a version is sent first."""
+        """Encode what a new watch that resumes from a version is sent first."""
         if index < self._oldest_resumable:
             return self.snapshot(view)
         return self.since(index, view)
 
     def since(self, index: int, view: View) -> EncodedUpdate:
-        """What changed after a version; a snapshot where the log doesn't reach back to it."""
+        """Encode what changed after a version; a snapshot if the log doesn't reach back that far."""
         if not self._oldest_index <= index <= self.index:
             return self.snapshot(view)
         latest: dict[str, Entry] = {}
@@ -97,7 +97,7 @@
         return EncodedUpdate(self._encode(False, entries), False, bool(entries))
 
     def pending_update(self, index: int, view: View) -> EncodedUpdate | None:
-        """What an open watch at a version has yet to be sent; None where nothing concerns its view.
+        """Return what an open watch at a version has yet to be sent; None if nothing concerns its view.
 
         It is encoded once for all watches with the same view and version.
         """
--- a/emulator/runs/fleet.py
+++ b/emulator/runs/fleet.py
@@ -29,7 +29,7 @@
     events: dict[str, EventMeasurement]
 
     def as_dict(self) -> dict[str, Any]:
-        """The plan as a result holds it."""
+        """Return the plan as a result holds it."""
         return {
             "proxies": self.plan.proxies,
             "narrow": self.plan.narrow_view,
@@ -75,7 +75,7 @@
 
 
 def budget_figures(plans: list[PlanResult]) -> dict[str, float]:
-    """The budgets' figures: the worst of all plans and events, ages of ordinary changes alone."""
+    """Return the budgets' figures: the worst of all plans and events, ages of ordinary changes alone."""
     costs = [event.proxy for plan in plans for event in plan.events.values()]
     return {
         # The busiest process's mean over its proxies, or what lists alone cost the busiest proxy.
--- a/emulator/runs/fleet_events.py
+++ b/emulator/runs/fleet_events.py
@@ -23,7 +23,7 @@
 
 
 def change_at_rate(fleet: SimulatedFleet) -> None:
-    """Single backends change at random moments."""
+    """Change single backends at random moments."""
     _publish_arrivals(fleet, fleet.plan.change_seconds)
 
 
@@ -34,40 +34,40 @@
 
 
 def replace_backends(fleet: SimulatedFleet) -> None:
-    """110 backends go and come back on other machines, at once, each in a version of its own."""
+    """Replace 110 backends by ones on other machines, at once, with a version for each change."""
     for position in fleet.rng.permutation(fleet.plan.backends)[:REPLACED_BACKENDS]:
         fleet.publish([fleet.changes.terminate(int(position))])
         fleet.publish([fleet.changes.replace(int(position))])
 
 
 def lose_zone(fleet: SimulatedFleet) -> None:
-    """A zone's backends go in one delta."""
+    """Terminate a zone's backends in one version."""
     fleet.publish(
         [fleet.changes.terminate(position) for position in fleet.topology.backends_in_zone(LOST_ZONE)]
     )
 
 
 def restore_zone(fleet: SimulatedFleet) -> None:
-    """A zone's backends come back in one delta."""
+    """Restart a zone's backends in one version."""
     fleet.publish(
         [fleet.changes.restart(position) for position in fleet.topology.backends_in_zone(LOST_ZONE)]
     )
 
 
 def lose_zone_by_rows(fleet: SimulatedFleet) -> None:
-    """A zone's backends go at once, each in a version of its own."""
+    """Terminate a zone's backends at once, with a version for each."""
     for position in fleet.topology.backends_in_zone(LOST_ZONE):
         fleet.publish([fleet.changes.terminate(position)])
 
 
 def restore_zone_by_rows(fleet: SimulatedFleet) -> None:
-    """A zone's backends come back at once, each in a version of its own."""
+    """Restart a zone's backends at once, with a version for each."""
     for position in fleet.topology.backends_in_zone(LOST_ZONE):
         fleet.publish([fleet.changes.restart(position)])
 
 
 def lose_machine(fleet: SimulatedFleet) -> None:
-    """A control machine is lost: its watches resume at the other two, after changes that they missed."""
+    """Lose a control machine: its watches resume at the other two, after changes that they missed."""
     lost = fleet.lose_machine(LOST_MACHINE)
     _change_meanwhile(fleet)
     time.sleep(TAKEOVER_TIME)
@@ -75,7 +75,7 @@
 
 
 def lose_log(fleet: SimulatedFleet) -> None:
-    """A control machine restarts without its log: its watches come back at once for the complete list."""
+    """Restart a control machine without its log: its watches return at once for the complete list."""
     fleet.restart_without_log(RESTARTED_MACHINE)
     _change_meanwhile(fleet)
 
@@ -87,7 +87,7 @@
 
 
 def partition_region(fleet: SimulatedFleet) -> None:
-    """One region receives nothing while changes go on, then all of them."""
+    """Cut a region off while changes go on, so that it receives all of them at the end."""
     fleet.partition_region(PARTITIONED_REGION)
     _publish_arrivals(fleet, fleet.plan.partition_seconds)
     fleet.heal_region(PARTITIONED_REGION)
--- a/emulator/runs/fleet_figures.py
+++ b/emulator/runs/fleet_figures.py
@@ -47,7 +47,7 @@
         )
 
     def as_dict(self) -> dict[str, Any]:
-        """The summary as a result holds it: without the figures that an empty one lacks."""
+        """Return the summary as a result holds it, without the figures that an empty one lacks."""
         return {name: value for name, value in asdict(self).items() if value is not None}
 
 
@@ -81,7 +81,7 @@
         return cls(AgeSummary.of(everywhere), AgeSummary.of(at_last), missing)
 
     def as_dict(self) -> dict[str, Any]:
-        """The ages as a result holds them."""
+        """Return the ages as a result holds them."""
         return {
             "all": self.everywhere.as_dict(),
             "last": self.at_last.as_dict(),
@@ -134,7 +134,7 @@
 
     @classmethod
     def between(cls, before: RegistryUsage, after: RegistryUsage, processor_worst: float) -> MachineCost:
-        """The cost between two readings."""
+        """Work out the cost between two readings."""
         return cls(
             processor=after.processor - before.processor,
             sent_bytes=after.traffic.sent_bytes - before.traffic.sent_bytes,
@@ -145,7 +145,7 @@
         )
 
     def as_dict(self) -> dict[str, Any]:
-        """The cost as a result holds it."""
+        """Return the cost as a result holds it."""
         return {
             "processor": self.processor,
             "sent": self.sent_bytes,
@@ -181,7 +181,7 @@
     machines: list[MachineCost]
 
     def as_dict(self) -> dict[str, Any]:
-        """The measurement as a result holds it."""
+        """Return the measurement as a result holds it."""
         return {
             "seconds": self.seconds,
             "taken_in_after": self.applied_after,
--- a/emulator/runs/fleet_layout.py
+++ b/emulator/runs/fleet_layout.py
@@ -68,7 +68,7 @@
 
 
 def _endpoint(topology: Topology, number: int, position: int, narrow_view: bool) -> FleetEndpoint:
-    """What the proxy with a number watches; equal names mean the same endpoint."""
+    """Describe what the proxy with a number watches; equal names mean the same endpoint."""
     machine = number % MACHINES
     takeover_group = number // (2 * MACHINES) % TAKEOVER_GROUPS
     region = REGION_OF[topology.entries[position]["zone"]]
--- a/emulator/runs/hollow.py
+++ b/emulator/runs/hollow.py
@@ -123,7 +123,7 @@
         return 1
 
     def memory(self) -> dict[str, float]:
-        """Resident memory as a result holds it, in MB."""
+        """Read the resident memory in MB, as a result holds it."""
         return {
             "real_mb": total_usage(self._real_pids).memory / PROXIES / MB,
             "hollow_mb": self._start_cost.memory / PROXIES / MB,
@@ -196,7 +196,7 @@
 
 
 def _measure_events(comparison: Comparison, amounts: Amounts) -> dict[str, EventCost]:
-    """The cost of each kind of event, by its name in the result."""
+    """Measure the cost of each kind of event, by its name in the result."""
     change = comparison.measure(lambda: comparison.publish_changes(amounts.change_seconds))
     snapshot = comparison.measure(lambda: comparison.send_snapshots(amounts.snapshots))
     idle = comparison.measure(lambda: comparison.stay_idle(amounts.idle_seconds))
@@ -208,7 +208,7 @@
 
 
 def _mean_processor_percent(events: dict[str, EventCost]) -> float:
-    """The share of a core that control takes of a real proxy, over the target's day."""
+    """Work out what percentage of a core control takes at a real proxy, averaged over the target's day."""
     idle = events["idle"]
     idle_share = idle.real.processor / idle.seconds
     return 100.0 * (idle_share + CHANGES_PER_DAY / SECONDS_PER_DAY * events["change"].real.processor)
--- a/emulator/runs/simulated_fleet.py
+++ b/emulator/runs/simulated_fleet.py
@@ -128,7 +128,7 @@
         return all(call_all(self.hosts, "wait_until_applied", self._latest, timeout))
 
     def age_reports(self) -> list[AgeReport]:
-        """The ages of the publications, from each host."""
+        """Ask each host for the ages of the publications."""
         return call_all(self.hosts, "age_report", self.publications)
 
     # ---- control machines and networks -----------------------------------------------------
@@ -146,7 +146,7 @@
                 machine.call("open_endpoints", addresses)
 
     def endpoints_at(self, machine: int) -> list[FleetEndpoint]:
-        """The ports that a control machine serves now."""
+        """Return the ports that a control machine serves now."""
         return [endpoint for endpoint in self.endpoints if endpoint.machine == machine]
 
     def lose_machine(self, machine: int) -> list[FleetEndpoint]:
@@ -164,7 +164,7 @@
         return lost
 
     def restart_without_log(self, machine: int) -> None:
-        """Restart a control machine that has kept no log: its watches come back for a snapshot."""
+        """Simulate the restart of a control machine without its log: its watches return for a snapshot."""
         names = [endpoint.name for endpoint in self.endpoints_at(machine)]
         self.machines[machine].call("reset_connections", names, True)
 
@@ -184,17 +184,17 @@
     # ---- what it costs ---------------------------------------------------------------------
 
     def machine_usages(self) -> list[RegistryUsage]:
-        """What each control machine has spent."""
+        """Ask each control machine what it has spent."""
         return call_all(self.machines, "usage")
 
     def worst_list_cost(self, started: float, ended: float) -> float:
-        """The most processor time in seconds that a proxy spent on lists in any window between two times."""
+        """Return the most processor seconds that a proxy spent on lists in any window between two times."""
         costs: list[float] = call_all(self.hosts, "worst_list_cost", started, ended)
         return max(costs)
 
 
 def _host_count(plan: Plan) -> int:
-    """How many processes share the proxies: a multiple of the control machines."""
+    """Choose how many processes share the proxies: a multiple of the control machines."""
     if (os.cpu_count() or 1) >= MIN_CPUS_FOR_MAX_HOSTS and plan.proxies >= MIN_PROXIES_FOR_MAX_HOSTS:
         return MAX_HOSTS
     return MACHINES
--- a/emulator/runs/slope.py
+++ b/emulator/runs/slope.py
@@ -30,11 +30,11 @@
     figures: tuple[str, ...]
 
     def fits(self, figure: str) -> list[Fit]:
-        """The fits of a figure, the one with the smaller residual first."""
+        """Fit a figure with every model, the smaller residual first."""
         xs = [point[self.against] for point in self.points]
         return fit_all(xs, [point[figure] for point in self.points])
 
     def as_dict(self) -> dict[str, Any]:
-        """The slope as a result holds it."""
+        """Return the slope as a result holds it."""
         fits = {figure: [fit.as_dict() for fit in self.fits(figure)] for figure in self.figures}
         return {"points": list(self.points), "fits": fits}
--- a/emulator/runs/slopes.py
+++ b/emulator/runs/slopes.py
@@ -50,7 +50,7 @@
 
 
 def budget_figures(slopes: Mapping[str, Slope]) -> dict[str, float]:
-    """The budgets' figures at the target's size: bytes by the fit over changes a second, a change's time."""
+    """Return the budgets' figures at the target's size: bytes from the fit over changes, a change's time."""
     rate = CHANGES_PER_DAY / SECONDS_PER_DAY
     line = next(fit for fit in slopes["changes"].fits("bytes") if fit.kind == LINE)
     at_target = next(point for point in slopes["module"].points if point["rows"] == topology.BACKENDS)
--- a/emulator/runs/slopes_balancer.py
+++ b/emulator/runs/slopes_balancer.py
@@ -73,7 +73,7 @@
 
 
 def backend_counts(options: RunOptions) -> tuple[int, ...]:
-    """The sizes of the list that figures are measured against."""
+    """Return the list sizes that figures are measured at."""
     return QUICK_BACKENDS if options.quick else BACKENDS
 
 
@@ -82,13 +82,13 @@
 
 
 def _reading(line: bytes) -> Callable[[], object]:
-    """A function that reads a complete list from its message."""
+    """Return a function that reads a complete list from its message."""
     reader = endpoint_reader()
     return lambda: reader.endpoints(orjson.loads(line))
 
 
 def by_backends(options: RunOptions) -> Slope:
-    """Seconds of the balancer and of the reader against rows: a change, a complete list, a decision."""
+    """Measure the balancer and the reader against rows: seconds of a change, a complete list, a decision."""
     points = [_backends_point(options, backends) for backends in backend_counts(options)]
     return Slope(points, "rows", ("change", "whole", "read", "decision", "whole_bytes"))
 
@@ -109,7 +109,7 @@
 
 
 def by_fleet_size(options: RunOptions) -> Slope:
-    """Seconds of the balancer against the fleet's size in the settings, at 910 rows."""
+    """Measure the balancer against the fleet's size in the settings, at 910 rows."""
     seconds = _seconds_each(options)
     fleet = topology.build(options.seed)
     points: list[Point] = []
--- a/emulator/runs/slopes_proxy.py
+++ b/emulator/runs/slopes_proxy.py
@@ -41,7 +41,7 @@
     sent_bytes: int
 
     def per_proxy(self, before: WatchReading, proxies: int, divisor: float) -> WatchCost:
-        """What a proxy has spent since an earlier reading, divided by a number of events or seconds."""
+        """Return what a proxy has spent since an earlier reading, for each of `divisor` events or seconds."""
         return WatchCost(
             (self.processor - before.processor) / divisor / proxies,
             (self.sent_bytes - before.sent_bytes) / divisor / proxies,
@@ -96,12 +96,12 @@
         self._host.call("set_call_rate", rate)
 
     def host_usage(self) -> Usage:
-        """What the proxies' process has spent, by its own clock."""
+        """Read what the proxies' process has spent, by its own clock."""
         usage: Usage = self._host.call("usage")
         return usage
 
     def reading(self) -> WatchReading:
-        """What the proxies have spent so far."""
+        """Read what the proxies have spent so far."""
         processor = self.host_usage().processor
         return WatchReading(processor, self._registry.call("endpoint_traffic", ENDPOINT).sent_bytes)
 
@@ -116,7 +116,7 @@
 
 
 def by_backends(options: RunOptions) -> Slope:
-    """For a proxy, against rows: seconds and bytes of a change and of a complete list, and memory."""
+    """Measure a proxy against rows: seconds and bytes of a change and of a complete list, and memory."""
     points = [_backends_point(options, backends) for backends in backend_counts(options)]
     return Slope(points, "rows", ("change", "whole", "change_bytes", "whole_bytes", "memory_mb"))
 
@@ -147,7 +147,7 @@
 
 
 def by_change_rate(options: RunOptions) -> Slope:
-    """For a proxy with 910 rows, against changes a second: processor share, bytes a second, memory."""
+    """Measure a proxy with 910 rows against changes a second: processor share, bytes a second, memory."""
     seconds, proxies = (0.6, 2) if options.quick else (4.0, 4)
     rates = CHANGE_RATES if options.quick else (0.0, *CHANGE_RATES)
     with WatchBench(options.seed, topology.BACKENDS, proxies) as bench:
@@ -177,7 +177,7 @@
 
 
 def by_call_rate(options: RunOptions) -> Slope:
-    """For a proxy with 910 rows, against calls a second fed to the balancer: processor share, memory.
+    """Measure a proxy with 910 rows against calls a second fed to the balancer: processor share, memory.
 
     What is left at no calls is the feeding itself, 50 times a second; sockets and HTTP are not in it.
     """
--- a/emulator/runs/slopes_registry.py
+++ b/emulator/runs/slopes_registry.py
@@ -43,7 +43,7 @@
         time.sleep(OPENING_TIME)
 
     def measure(self, rate: float, seconds: float) -> Point:
-        """What the control machine spends while changes come at a rate."""
+        """Measure what the control machine spends while changes come at a rate."""
         before, started = self._usage(), time.monotonic()
         for _ in evenly_spaced(rate, seconds):
             self._index += 1
@@ -63,7 +63,7 @@
 
 
 def _points(options: RunOptions, loads: Sequence[tuple[int, float]]) -> list[Point]:
-    """One point for each (watches, changes a second); watches ascend."""
+    """Measure one point for each (watches, changes a second); watches must not decrease."""
     seconds = QUICK_SECONDS if options.quick else SECONDS
     fleet = topology.build(options.seed)
     changes = EndpointChanges(fleet.entries, np.random.default_rng(options.seed))
@@ -77,12 +77,12 @@
 
 
 def by_watches(options: RunOptions) -> Slope:
-    """The control machine's processor share, bytes a second and memory against watches."""
+    """Measure a control machine against watches: processor share, bytes a second, memory."""
     points = _points(options, [(watches, RATE_AT_WATCHES) for watches in WATCHES])
     return Slope(points, "watches", ("processor", "bytes", "memory_mb"))
 
 
 def by_change_rate(options: RunOptions) -> Slope:
-    """The control machine's processor share and bytes a second against changes a second."""
+    """Measure a control machine against changes a second: processor share, bytes a second."""
     points = _points(options, [(WATCHES_AT_RATES, rate) for rate in CHANGE_RATES])
     return Slope(points, "changes", ("processor", "bytes"))
--- a/emulator/simulated_host.py
+++ b/emulator/simulated_host.py
@@ -143,16 +143,16 @@
             fed = due
 
     def usage(self) -> meter.Usage:
-        """What this process has spent."""
+        """Read what this process has spent."""
         return meter.own_usage()
 
     def worst_list_cost(self, started: float, ended: float, window: float = meter.WORST_WINDOW) -> float:
-        """The most processor seconds that one proxy spent on lists in any `window` between two times."""
+        """Return the most processor seconds that a proxy spent on lists in any `window` between two times."""
         costs = (proxy.worst_list_cost(started, ended, window) for proxy in self._proxies)
         return max(costs, default=0.0)
 
     def age_report(self, publications: Publications) -> AgeReport:
-        """The ages of versions when the proxies applied them."""
+        """Sum up the ages of versions when the proxies applied them."""
         histogram, oldest, missing = age_histogram(), dict.fromkeys(publications, 0.0), 0
         for proxy in self._proxies:
             ages = proxy.ages(publications)
--- a/emulator/simulated_proxy.py
+++ b/emulator/simulated_proxy.py
@@ -27,7 +27,7 @@
 
 
 def endpoint_reader() -> EndpointReader:
-    """A reader for the entries of a simulated fleet."""
+    """Create a reader for the entries of a simulated fleet."""
     return EndpointReader(
         {name: number for number, name in enumerate(topology.ZONES)},
         {name: number for number, name in enumerate(topology.TYPES)},
@@ -123,16 +123,16 @@
         simulate_call(self.balancer, self._now(), self._calls)
 
     def is_behind(self, latest: Mapping[str, int]) -> bool:
-        """Whether it hasn't applied the latest version, by name, of a backend that it sees."""
+        """Tell whether it hasn't applied the latest version, by name, of a backend that it sees."""
         names = latest.keys() if self.view is None else self.view & latest.keys()
         return self.discovery.index < max((latest[name] for name in names), default=0)
 
     def ages(self, publications: Publications) -> dict[int, float]:
-        """The age in seconds of each version that concerns it, when it applied that."""
+        """Return the age in seconds of each version that concerns it, when it was applied."""
         return ages_when_applied(self.discovery.applied, publications, self.view)
 
     def worst_list_cost(self, started: float, ended: float, window: float) -> float:
-        """The most processor time that it spent on messages in any `window` seconds between two times."""
+        """Return the most processor seconds that it spent on messages in any window between two times."""
         costs = {
             second: cost
             for second, cost in self.discovery.cost_by_second.items()
--- a/emulator/topology.py
+++ b/emulator/topology.py
@@ -39,15 +39,15 @@
     calls: tuple[tuple[int, ...], ...]
 
     def backends_in_zone(self, name: str) -> list[int]:
-        """The positions of the backends in a zone."""
+        """Return the positions of the backends in a zone."""
         return [position for position, entry in enumerate(self.entries) if entry["zone"] == name]
 
     def backends_in_region(self, number: int) -> list[int]:
-        """The positions of the backends in a region."""
+        """Return the positions of the backends in a region."""
         return [position for position, entry in enumerate(self.entries) if REGION_OF[entry["zone"]] == number]
 
     def called_backends(self, service: int) -> list[int]:
-        """The positions of the backends of the services that this one calls."""
+        """Return the positions of the backends of the services that this one calls."""
         called = set(self.calls[service])
         return [position for position, owner in enumerate(self.service_of) if owner in called]
 
@@ -99,7 +99,7 @@
 
 
 def _called_services(rng: np.random.Generator, sizes: list[int], service: int) -> tuple[int, ...]:
-    """The services that one calls: a few others, with no more backends together than a proxy may see."""
+    """Draw the services that one calls, with no more backends together than a proxy may see."""
     others = [int(other) for other in rng.permutation(len(sizes)) if other != service]
     wanted, backends = int(rng.integers(1, MAX_CALLED_SERVICES + 1)), 0
     called: list[int] = []
--- a/emulator/watch_load.py
+++ b/emulator/watch_load.py
@@ -24,7 +24,7 @@
         transport.write(WATCH_REQUEST)
 
     def data_received(self, data: bytes) -> None:
-        """Count."""
+        """Count the bytes."""
         self.received_bytes += len(data)
 
 
@@ -35,12 +35,12 @@
         self._watches: list[DiscardingWatch] = []
 
     async def open(self, port: int, count: int) -> None:
-        """Open so many more; OSError where the control machine refuses."""
+        """Open `count` more; OSError where the control machine refuses."""
         loop = asyncio.get_running_loop()
         for _ in range(count):
             _, watch = await loop.create_connection(DiscardingWatch, HOST, port)
             self._watches.append(watch)
 
     def received_bytes(self) -> int:
-        """Bytes received by all."""
+        """Sum the bytes received by all."""
         return sum(watch.received_bytes for watch in self._watches)
