--- a/proxy/upstream/attempt.py
+++ b/proxy/upstream/attempt.py
@@ -77,13 +77,13 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start_timer(self) -> None:
-        """Wait until the deadline from now on, and no longer."""
+        """Expire at the deadline, and at no other time."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer = asyncio.get_running_loop().call_at(self.deadline, self.expire)
 
     def finish(self, outcome: Outcome, response: UpstreamResponse | None = None) -> None:
-        """Report the outcome, unless one has been reported; a connection that is still in use is closed."""
+        """Report the outcome, unless one has been reported, and close a connection that is still in use."""
         if self.finished:
             return
         self.finished = True
--- a/proxy/upstream/connection_pool.py
+++ b/proxy/upstream/connection_pool.py
@@ -17,7 +17,7 @@
 from proxy.upstream.connection import UpstreamConnection
 from proxy.upstream.keepalive_policy import KeepalivePolicy
 from proxy.upstream.memory_budget import MemoryBudget
-from proxy.upstream.response_parser import MAX_READ_BYTES
+from proxy.upstream.response_parser import READ_BUFFER_BYTES
 
 #: The part of the memory limit for responses that are not complete: many large ones could fill it.
 RESPONSE_MEMORY_FRACTION = 0.125
@@ -44,16 +44,16 @@
         self, max_connections: int, backend_idle_timeout: float, dial_timeout: float, memory_limit: int
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self.read_buffer = memoryview(bytearray(MAX_READ_BYTES))
+        self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self.response_memory = MemoryBudget(int(RESPONSE_MEMORY_FRACTION * memory_limit))
         self.keepalive_policy = KeepalivePolicy(self._loop.time())
         self._max_connections = max_connections
         self._dialling = 0
         self._connected = 0
         self._idle: dict[UpstreamConnection, None] = {}  # the longest idle one first
-        self._idle_quota = inf  # idle connections of this proxy, by what all proxies together may keep
-        self._peak_in_use = 0.0  # the most connections in use at once, halved by PEAK_HALF_LIFE...
-        self._peak_updated_at = self._loop.time()  # ...up to then
+        self._idle_quota = inf  # how many of them there may be, of what all proxies together may keep
+        self._peak_in_use = 0.0  # the most connections in use at once of late, which may all stay idle
+        self._peak_updated_at = self._loop.time()  # when that was last decayed
         self._sweep_timer: asyncio.TimerHandle | None = None
         self.reconfigure(backend_idle_timeout, dial_timeout)
 
@@ -69,7 +69,7 @@
         self._sweep()
 
     def set_idle_quota(self, backends: int, proxies: int) -> None:
-        """So many proxies share the connection tables of so many backends."""
+        """Limit idle connections to this proxy's part of what these proxies may keep to these backends."""
         self._idle_quota = FLEET_IDLE_PER_BACKEND * backends / max(1, proxies)
 
     def update_backend(self, backend: Backend, address: Address, started_at: float, in_service: bool) -> None:
@@ -184,7 +184,7 @@
     # ---- idle connections ----------------------------------------------------------------------
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Keep a connection that carries no attempt for the next one, or close it."""
+        """Keep a connection that carries no attempt for the next attempt, or close it."""
         backend = connection.backend
         if not backend.in_service or not connection.is_usable():
             connection.abort()
--- a/proxy/upstream/keepalive_policy.py
+++ b/proxy/upstream/keepalive_policy.py
@@ -17,9 +17,9 @@
 #: The same where it can not be retried: a failure loses all its work, a new connection costs one handshake.
 MAX_FAILURE_RATIO_NON_RETRYABLE = 0.08
 
-PRIOR_SUCCESSES = (
-    5.0  # reuses taken to have succeeded beside those counted, so that one failure proves little
-)
+#: Reuses taken to have succeeded beside those counted, so that one failure proves little.
+PRIOR_SUCCESSES = 5.0
+
 HALF_LIFE = 10.0  # seconds after which what was counted weighs half: faults end
 PRESUMED_ALIVE = 1.0  # seconds after a response in which non-retryable attempts may reuse without evidence
 MIN_REUSES_FOR_PROOF = 5.0  # reuses after at least some idle time that prove it safe for non-retryable ones
--- a/proxy/upstream/response_parser.py
+++ b/proxy/upstream/response_parser.py
@@ -15,9 +15,13 @@
 from proxy.http_common import HOP_BY_HOP_HEADERS
 from proxy.upstream.memory_budget import MemoryBudget
 
-MAX_BODY_BYTES = 1 << 20  # bytes; not all responses keep to the protocol's 64 KiB, 350 KB were seen
-MAX_HEAD_BYTES = 16 << 10  # bytes of all heads, interim responses included: what HTTP clients commonly read
-MAX_READ_BYTES = 64 << 10  # bytes that are read and fed in one go
+#: Bytes of one response's body: not all keep to the protocol's 64 KiB, 350 KB were seen.
+MAX_RESPONSE_BODY_BYTES = 1 << 20
+
+#: Bytes of a response's head, those of interim responses included: what HTTP clients commonly read.
+MAX_RESPONSE_HEAD_BYTES = 16 << 10
+
+READ_BUFFER_BYTES = 64 << 10  # bytes that are read and fed in one go
 MAX_INTERIM_RESPONSES = 16  # 1xx responses ahead of the final one
 
 
@@ -30,7 +34,8 @@
     UNUSABLE = auto()  # malformed, too large, or not plain HTTP/1.1: nothing of it may be passed on
 
 
-# The members by names of their own: Python 3.11 looks up a member of an enum slowly, and headers are many.
+# The members under names of their own: Python 3.11 looks up an enum's member slowly, and a response has many
+# headers.
 HEAD, BODY, COMPLETE, UNUSABLE = ResponseState
 
 
@@ -81,7 +86,7 @@
         self._interim_responses = 0
 
     def feed(self, data: memoryview) -> ResponseState:
-        """Read what has come, and tell how far the response is read now."""
+        """Read what has come, and return how far the response has been read now."""
         try:
             self._http_parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -91,12 +96,12 @@
         if self.state is HEAD:
             # Headers are counted only once they are complete: a single endless one would fill the memory.
             self._bytes_before_body += len(data)
-            if self._bytes_before_body > MAX_HEAD_BYTES + MAX_READ_BYTES:
+            if self._bytes_before_body > MAX_RESPONSE_HEAD_BYTES + READ_BUFFER_BYTES:
                 self.state = UNUSABLE
         return self.state
 
     def take_response(self) -> UpstreamResponse:
-        """Hand over the complete response."""
+        """Return the complete response, once."""
         response = self._response
         assert response is not None
         self._response = None
@@ -133,7 +138,7 @@
         elif lower == b"connection":
             self._connection_options += b"," + value.lower()
         elif lower == b"content-length":
-            if int(value) > MAX_BODY_BYTES:
+            if int(value) > MAX_RESPONSE_BODY_BYTES:
                 self.state = UNUSABLE
         elif lower == b"transfer-encoding":
             if value.lower() != b"chunked":
@@ -141,7 +146,7 @@
         # A load report is for the proxy alone, and clients may be unable to read what is no plain text.
         elif lower not in HOP_BY_HOP_HEADERS and lower != b"x-server-load" and value.isascii():
             self._header_lines.append(b"%b: %b\r\n" % (name, value))
-        if self._header_bytes > MAX_HEAD_BYTES:
+        if self._header_bytes > MAX_RESPONSE_HEAD_BYTES:
             self.state = UNUSABLE
 
     def on_headers_complete(self) -> None:
@@ -168,7 +173,7 @@
             return
         self._body_bytes += len(body)
         # One response without end, or many large ones at once, would fill the memory.
-        if self._body_bytes <= MAX_BODY_BYTES and self._memory.reserve(len(body)):
+        if self._body_bytes <= MAX_RESPONSE_BODY_BYTES and self._memory.reserve(len(body)):
             self._buffered_bytes += len(body)
             self._body_parts.append(body)
         else:
