--- a/proxy/downstream/connection.py
+++ b/proxy/downstream/connection.py
@@ -16,7 +16,7 @@
 
 from proxy.downstream import eviction
 from proxy.downstream.classification import classify
-from proxy.downstream.connection_state import ConnectionState
+from proxy.downstream.connection_state import CLOSED, CLOSING, IDLE, NEW, READING, SERVING, ConnectionState
 from proxy.downstream.errors import HttpError
 from proxy.downstream.request_parser import ClientRequest, RequestParser
 from proxy.downstream.response_writer import encode_response
@@ -45,7 +45,7 @@
         self._listener = listener
         self._connections = listener.connections
         self._loop = asyncio.get_running_loop()
-        self._state = ConnectionState.NEW
+        self._state: ConnectionState = NEW
         self._queue: deque[ClientRequest | HttpError] = deque()  # an error is always the last
         self._parser = RequestParser(self._queue.append)
         self._idle_timeout = eviction.MIN_IDLE_TIMEOUT  # longer once a request of it was forwarded
@@ -63,7 +63,7 @@
         self._transport = transport
         now = self._listener.last_accepted_at = self._loop.time()
         self._connections.open.add(self)
-        self._enter(ConnectionState.NEW, now + eviction.FIRST_REQUEST_TIMEOUT)
+        self._enter(NEW, now + eviction.FIRST_REQUEST_TIMEOUT)
         # The limit on descriptors holds from here on; where none can go, a request is rejected later.
         self._connections.make_room(self)
 
@@ -78,7 +78,7 @@
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """Let go of all that the connection holds."""
-        self._enter(ConnectionState.CLOSED)
+        self._enter(CLOSED)
         self._queue.clear()
         self._account_for(0)
         self._parser.close()
@@ -104,17 +104,17 @@
         entered = deadlines_by_state[state]
         if entered is not None:
             entered[self] = deadline
-        elif state is ConnectionState.CLOSED:
+        elif state is CLOSED:
             self._connections.open.discard(self)
 
     def close(self) -> None:
         """Close the connection once what is written is out."""
-        self._enter(ConnectionState.CLOSING, self._loop.time() + eviction.CLOSING_TIMEOUT)
+        self._enter(CLOSING, self._loop.time() + eviction.CLOSING_TIMEOUT)
         self._transport.close()
 
     def abort(self) -> None:
         """Close the connection at once."""
-        self._enter(ConnectionState.CLOSED)
+        self._enter(CLOSED)
         self._transport.abort()
 
     def has_disconnected(self) -> bool:
@@ -164,10 +164,10 @@
 
     def _begin_reading(self) -> None:
         """Set the time limit for the request of which a part has come, unless another is being served."""
-        if self._state is ConnectionState.NEW:  # counted from connecting: single bytes win no more time
-            self._enter(ConnectionState.READING, self._connections.new[self])
-        elif self._state is ConnectionState.IDLE:
-            self._enter(ConnectionState.READING, self._parser.started_at + eviction.REQUEST_TIMEOUT)
+        if self._state is NEW:  # counted from connecting: single bytes win no more time
+            self._enter(READING, self._connections.new[self])
+        elif self._state is IDLE:
+            self._enter(READING, self._parser.started_at + eviction.REQUEST_TIMEOUT)
 
     def _discard(self, nbytes: int) -> None:
         """Drop what comes behind a rejection.
@@ -187,7 +187,7 @@
         """
         parser, listener, queue = self._parser, self._listener, self._queue
         buffered = parser.buffered_bytes()
-        must_wait = self._state is ConnectionState.SERVING or self._write_paused
+        must_wait = self._state is SERVING or self._write_paused
         if must_wait:
             buffered += sum(
                 request.buffered_bytes() for request in queue if isinstance(request, ClientRequest)
@@ -213,13 +213,13 @@
 
     def _serve_next(self) -> None:
         """Take up the next request, unless an earlier one is still unanswered or its response unread."""
-        if self._state is ConnectionState.SERVING or self._write_paused:
+        if self._state is SERVING or self._write_paused:
             return
         request = self._queue.popleft()
         if isinstance(request, HttpError):
             self.reject(request)
             return
-        self._enter(ConnectionState.SERVING)
+        self._enter(SERVING)
         self._keep_alive = request.keep_alive
         try:
             self._dispatch(request)
@@ -255,7 +255,7 @@
         self._account_for(0)
         body = error.reason.encode() + b"\n"
         self._transport.write(encode_response(error.status, b"", body, keep_alive=False))
-        self._enter(ConnectionState.CLOSING, self._loop.time() + eviction.CLOSING_TIMEOUT)
+        self._enter(CLOSING, self._loop.time() + eviction.CLOSING_TIMEOUT)
         self._transport.write_eof()
 
     def send_response(self, status: int, headers: bytes, body: bytes) -> None:
@@ -275,9 +275,9 @@
             return
         now = self._loop.time()
         if self._parser.reading:
-            self._enter(ConnectionState.READING, now + eviction.REQUEST_TIMEOUT)
+            self._enter(READING, now + eviction.REQUEST_TIMEOUT)
         else:
-            self._enter(ConnectionState.IDLE, now + self._idle_timeout)
+            self._enter(IDLE, now + self._idle_timeout)
         if self._queue and not self._write_paused:
             self._loop.call_soon(self._resume)
 
--- a/proxy/downstream/connection_state.py
+++ b/proxy/downstream/connection_state.py
@@ -22,3 +22,8 @@
     IDLE = 3  # between two requests
     CLOSING = 4  # the last response is written, the end of the connection is not seen yet
     CLOSED = 5  # aborted or ended
+
+
+# Each state under its own name too: Python 3.11 takes several times as long to look a member up in its class,
+# and each request changes the state two or three times.
+NEW, READING, SERVING, IDLE, CLOSING, CLOSED = ConnectionState
--- a/proxy/downstream/eviction.py
+++ b/proxy/downstream/eviction.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from proxy.downstream.connection import DownstreamConnection
 
-FIRST_REQUEST_TIMEOUT = 2.0  # seconds from connecting to the first complete request: clients may count on 3
+FIRST_REQUEST_TIMEOUT = 2.0  # seconds from connecting to the first complete request: 3 is the protocol's most
 REQUEST_TIMEOUT = 2.0  # seconds from the first byte of a later request to its last one
 IDLE_TIMEOUT = 10.0  # seconds without a request after which a connection that has sent some is closed
 MIN_IDLE_TIMEOUT = 2.0  # seconds, where it has sent none or connections run short: clients may count on them
--- a/proxy/downstream/listener.py
+++ b/proxy/downstream/listener.py
@@ -19,9 +19,7 @@
 from proxy.downstream.request_parser import ClientRequest
 
 READ_BUFFER_BYTES = 64 << 10  # read in one go, into one buffer that all connections share
-BUFFERED_MEMORY_SHARE = (
-    0.25  # of the memory limit, for incomplete bodies and pipelined requests of all clients
-)
+BUFFERED_MEMORY_SHARE = 0.25  # of the memory limit, for incomplete bodies and requests that wait
 LISTEN_BACKLOG = 1024  # connections that may wait to be accepted
 MAX_ACCEPTS_PER_TURN = 8  # with no descriptor left the loop logs one error for each of them, every second
 
@@ -32,7 +30,8 @@
     Attributes:
         config: The configuration in force.
         version: The version of the configuration, as `/healthz` shows it.
-        on_request: Called with each request that is to be forwarded and the connection to answer it on.
+        on_request: Called with each request that is to be forwarded, what the decisions need to know of it,
+            and the connection to answer it on.
         connections: All open connections and their deadlines.
         ready: Whether the endpoint list is loaded.
         serving: Whether the listener accepts connections and is to go on.
