--- a/proxy/__main__.py
+++ b/proxy/__main__.py
@@ -44,7 +44,7 @@
     """Run a proxy and return the process's exit code."""
     try:
         config = load(os.environ)
-        EndpointReader(config.zones, config.types).check(config.known)
+        EndpointReader(config.zone_indices, config.machine_type_indices).check(config.cached_list)
     except ConfigError as fault:
         print(f"proxy: {fault}", file=sys.stderr)
         return EXIT_BAD_CONFIG
--- a/proxy/discovery/endpoint_reader.py
+++ b/proxy/discovery/endpoint_reader.py
@@ -104,10 +104,12 @@
 
     def settings_of(self, config: Config) -> Settings:
         """The settings of a configuration, with the numbers that zones and machine types have here."""
+        classes = tuple(self._translate_class(row, config) for row in config.settings.classes)
+        return replace(config.settings, classes=classes)
 
-        def translated(request_class: RequestClass) -> RequestClass:
-            machine_types = self._machine_types.translate(request_class.allowed_machine_types, config.types)
-            zones = self._zones.translate(request_class.allowed_zones, config.zones)
-            return replace(request_class, allowed_machine_types=machine_types, allowed_zones=zones)
-
-        return replace(config.settings, classes=tuple(map(translated, config.settings.classes)))
+    def _translate_class(self, request_class: RequestClass, config: Config) -> RequestClass:
+        machine_types = self._machine_types.translate(
+            request_class.allowed_machine_types, config.machine_type_indices
+        )
+        zones = self._zones.translate(request_class.allowed_zones, config.zone_indices)
+        return replace(request_class, allowed_machine_types=machine_types, allowed_zones=zones)
--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -8,6 +8,7 @@
 
 import asyncio
 from collections.abc import Callable, Iterable
+from functools import partial
 from math import inf
 
 from balancer.decide import Balancer
@@ -100,7 +101,7 @@
         request_id = str(self._last_request_number)
         active = ActiveRequest(request_id, request, classified.request_class, connection, deadline)
         self.active_requests[request_id] = active
-        connection.on_disconnect = lambda: self._on_client_disconnected(active)
+        connection.on_disconnect = partial(self._on_client_disconnected, active)
         active.deadline_timer = self._loop.call_at(deadline, self._on_deadline, active)
         self.perform(
             self._decide(
@@ -213,17 +214,12 @@
     def _start_attempt(self, active: ActiveRequest, action: StartAttempt) -> None:
         now = self._loop.time()
         until = min(active.deadline, now + action.timeout) if action.timeout > 0.0 else active.deadline
-        number = len(active.attempts)
-
-        def report(attempt: UpstreamAttempt, outcome: Outcome, response: UpstreamResponse | None) -> None:
-            self._on_attempt_finished(active, number, attempt, outcome, response)
-
         attempt = UpstreamAttempt(
             self._endpoint_table.backends[action.endpoint],
             now,
             until,
             active.serialize,
-            report,
+            partial(self._on_attempt_finished, active, len(active.attempts)),
             active.may_repeat,
             active.is_awaited,
         )
--- a/proxy/downstream/classification.py
+++ b/proxy/downstream/classification.py
@@ -56,7 +56,7 @@
     get = request.headers.get
     if not REQUEST_ID.fullmatch(get(b"x-request-id", b"")):
         raise HttpError(400, "no request id, or a malformed one")
-    class_index = config.classes.get(get(b"x-priority-class", b"").decode("latin-1"))
+    class_index = config.class_indices.get(get(b"x-priority-class", b"").decode("latin-1"))
     if class_index is None:
         raise HttpError(400, "unknown class")
     request_class = config.settings.classes[class_index]
@@ -64,8 +64,8 @@
     if request.method != method or (needs_key and not get(b"idempotency-key")):
         raise HttpError(400, "the method does not fit the class")
     tenant_index: int | None = 0
-    if config.tenants:
-        tenant_index = config.tenants.get(get(b"x-tenant-id", b"").decode("latin-1"))
+    if config.tenant_indices:
+        tenant_index = config.tenant_indices.get(get(b"x-tenant-id", b"").decode("latin-1"))
     if tenant_index is None:
         raise HttpError(400, "unknown tenant")
     timeout = get(b"x-timeout", b"")
--- a/proxy/downstream/listener.py
+++ b/proxy/downstream/listener.py
@@ -58,7 +58,7 @@
         self.last_accepted_at = 0.0
         self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self.buffered_bytes = 0
-        self.max_buffered_bytes = int(BUFFERED_MEMORY_SHARE * config.memory)
+        self.max_buffered_bytes = int(BUFFERED_MEMORY_SHARE * config.memory_limit)
         self._socket: socket.socket | None = None
         self._loop = asyncio.get_running_loop()
 
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -21,7 +21,7 @@
 from proxy.shutdown import GracefulShutdown
 from proxy.upstream import ConnectionPool
 
-SPARE_SOCKETS = 48  # descriptors for the listener, discovery, the loop, and clients beyond the limit
+RESERVED_SOCKETS = 48  # descriptors for the listener, discovery, the loop, and clients beyond the limit
 MIN_SOCKETS = 8  # descriptors for connections, however few the configuration allows
 CLIENT_SOCKET_SHARE = 0.5  # the clients' part of the descriptors that are not spare
 CACHED_LIST_DELAY = (
@@ -49,17 +49,19 @@
 
     def __init__(self, config: Config) -> None:
         loop = asyncio.get_running_loop()
-        max_sockets = max(MIN_SOCKETS, config.sockets - SPARE_SOCKETS)
+        max_sockets = max(MIN_SOCKETS, config.max_sockets - RESERVED_SOCKETS)
         max_clients = int(CLIENT_SOCKET_SHARE * max_sockets)
         self.endpoints_loaded = asyncio.Event()
         self.clock = EpochClock(loop)
-        self.reader = EndpointReader(config.zones, config.types)
+        self.reader = EndpointReader(config.zone_indices, config.machine_type_indices)
         self.balancer = Balancer(self.reader.settings_of(config), config.seed)
         self.pool = ConnectionPool(
-            max_sockets - max_clients, config.conn_idle, config.dial_timeout, config.memory
+            max_sockets - max_clients, config.backend_idle_timeout, config.dial_timeout, config.memory_limit
         )
         self.endpoint_table = EndpointTable(self.pool)
-        self.discovery = DiscoveryClient(config.discovery, self.reader, config.known["index"], self.on_update)
+        self.discovery = DiscoveryClient(
+            config.discovery, self.reader, config.cached_list["index"], self.on_update
+        )
         self.dispatcher = Dispatcher(
             self.balancer, self.clock, self.endpoint_table, self.pool, self.discovery.open
         )
@@ -81,12 +83,12 @@
     def _start(self, config: Config) -> None:
         """Begin with the list known at the start, and wait for discovery to send a newer one."""
         loop = asyncio.get_running_loop()
-        self._update_endpoints(UpdateKind.CACHED, self.reader.endpoints(config.known))
+        self._update_endpoints(UpdateKind.CACHED, self.reader.endpoints(config.cached_list))
         self.dispatcher.start()
         if config.settings.discovery is DiscoveryMode.PUSHED:
             self.discovery.open()
         # Where discovery is down at the start, an old list serves better than none.
-        has_cached_list = bool(config.known["endpoints"])
+        has_cached_list = bool(config.cached_list["endpoints"])
         on_delay = self._mark_loaded if has_cached_list else self.endpoints_loaded.set
         loop.call_later(CACHED_LIST_DELAY, on_delay)
         # A tier may start without any list while discovery is down: all its proxies have to be ready in 10 s.
--- a/proxy/reload.py
+++ b/proxy/reload.py
@@ -20,8 +20,15 @@
 from proxy.log import write_line
 from proxy.upstream import ConnectionPool
 
-#: What identifies the process, and so needs a restart to change.
-IDENTITY_FIELDS = ("name", "listen", "seed", "sockets", "memory", "known")
+#: What identifies the process, and so needs a restart to change: the field, and what the log calls it.
+IDENTITY_FIELDS = {
+    "name": "name",
+    "listen": "listen",
+    "seed": "seed",
+    "max_sockets": "sockets",
+    "memory_limit": "memory",
+    "cached_list": "known",
+}
 
 
 class ConfigReloader:
@@ -74,11 +81,11 @@
             ConfigError: The settings need a restart; nothing has changed.
         """
         before = self._listener.config
-        identity = {name: getattr(before, name) for name in IDENTITY_FIELDS}
+        identity = {field: getattr(before, field) for field in IDENTITY_FIELDS}
         lines = [
-            f"{name} is another, which needs a restart: the one of the start stays"
-            for name, value in identity.items()
-            if getattr(config, name) != value
+            f"{IDENTITY_FIELDS[field]} is another, which needs a restart: the one of the start stays"
+            for field, value in identity.items()
+            if getattr(config, field) != value
         ]
         only_moved = replace(before, discovery=config.discovery)
         config = replace(config, **identity)
@@ -106,6 +113,6 @@
             raise ConfigError(str(fault)) from fault
         self._dispatcher.perform(actions)
         self._dispatcher.narrow_classes(config.settings.classes)
-        self._pool.reconfigure(config.conn_idle, config.dial_timeout)
+        self._pool.reconfigure(config.backend_idle_timeout, config.dial_timeout)
         self._endpoint_table.share_connections(config.settings.fleet_size)
         self._dispatcher.end_misplaced_attempts()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -61,7 +61,7 @@
         async with backend(lambda _: OK) as one:
             port, registry = free_port(), Watches()
             clock = Clock()
-            async with running([entry("a", one.address)], discovery=port, sockets=SOCKETS) as up:
+            async with running([entry("a", one.address)], discovery=port, max_sockets=SOCKETS) as up:
                 socks, most = await fill(clock, up, KINDS[kind])
                 # As many attempts may be out, and all together have to fit.
                 assert most + up.proxy.pool._max_connections + OWN <= SOCKETS
--- a/tests/test_emulator_proxy_config.py
+++ b/tests/test_emulator_proxy_config.py
@@ -30,7 +30,7 @@
     config = read_back(path)
     assert config.settings.fleet_size == 24
     assert config.settings.ordinal == 3
-    assert config.classes == {"read": 0}
+    assert config.class_indices == {"read": 0}
     rows = snapshot["endpoints"]
     assert len({row["name"] for row in rows}) == 910
     assert {row["address"] for row in rows} == {"127.0.0.1:8001", "127.0.0.1:8002"}
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -162,7 +162,8 @@
 def test_requests_that_wait_behind_another_may_not_fill_the_memory() -> None:
     async def play() -> None:
         async with backend(lambda _: None) as one:
-            async with running([entry("a", one.address)], memory=400 << 10) as up:  # 100 KiB for what waits
+            limit = 400 << 10  # 100 KiB for what waits
+            async with running([entry("a", one.address)], memory_limit=limit) as up:
                 client = await up.client()
                 client.writer.write(book(1))
                 await soon(one.got.get())
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -783,7 +783,7 @@
     async def play() -> None:
         part = b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + b"x" * 900000
         async with backend(lambda _: part) as one:
-            async with running([entry("a", one.address)], memory=2 << 20) as up:  # 256 KiB for answers
+            async with running([entry("a", one.address)], memory_limit=2 << 20) as up:  # 256 KiB for answers
                 client = await up.client()
                 assert status(await client.ask(book())) == 502
                 await until(lambda: up.proxy.pool.response_memory.reserved == 0)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -257,7 +257,7 @@
                     ([READ | {"BoundTo": [1]}], [], ["unlisted", "k"], one),
                 ):
                     up.reload(Services=services, Zones=zones, HostTypes=types, Zone=0)
-                    assert list(up.proxy.listener.config.types) == types  # it was taken
+                    assert list(up.proxy.listener.config.machine_type_indices) == types  # it was taken
                     for again in range(8):
                         number += 1
                         if again == 4:  # a list told from now on is read as the one before
@@ -440,7 +440,7 @@
             assert said == ["name", "listen", "seed", "sockets", "memory", "known"]
             assert status(await (await up.client()).ask(read(1))) == 200
             assert up.proxy.listener.config.name == "n0"
-            assert up.proxy.listener.config.sockets == 1024
+            assert up.proxy.listener.config.max_sockets == 1024
             up.reload(top, Instances=2)  # the settings beside them are taken
             assert "in force" in lines(capfd)[-1]
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -150,7 +150,8 @@
 def test_half_bodies_may_not_fill_the_memory() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
-            async with running([entry("a", one.address)], memory=400 << 10) as up:  # 100 KiB for half bodies
+            limit = 400 << 10  # 100 KiB for half bodies
+            async with running([entry("a", one.address)], memory_limit=limit) as up:
                 whole = [book(number, body=b"x" * (60 << 10)) for number in range(2)]
                 first, second = await up.client(), await up.client()
                 first.writer.write(whole[0][:-1])
@@ -166,7 +167,7 @@
 def test_silent_callers_make_room_before_good_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
-            async with running([entry("a", one.address)], sockets=48 + 8) as up:  # 4 callers
+            async with running([entry("a", one.address)], max_sockets=48 + 8) as up:  # 4 callers
                 front = up.proxy.listener
                 good, half = await up.client(), await up.client()
                 assert status(await good.ask(book(1))) == 200
@@ -251,7 +252,7 @@
 def test_the_limit_on_callers() -> None:
     async def play() -> None:
         async with backend(lambda request: OK if b"id1" in request else None) as one:
-            async with running([entry("a", one.address)], sockets=48 + 8) as up:  # 4 callers
+            async with running([entry("a", one.address)], max_sockets=48 + 8) as up:  # 4 callers
                 idle = await up.client()
                 assert status(await idle.ask(book(1))) == 200
                 busy = []
