--- a/emulator/budgets.py
+++ b/emulator/budgets.py
@@ -1,4 +1,4 @@
-"""The budgets of the target, which of them are held today, and what a set of figures says of them.
+"""The budgets of the target, which of them are met today, and the verdict on a set of figures.
 
 Figures come from the runs, by the names that the budgets have here.
 """
@@ -133,7 +133,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    """What a set of figures says of the budgets.
+    """Which budgets a set of figures meets.
 
     Attributes:
         checked: Figures that were held against their budgets.
--- a/emulator/cli.py
+++ b/emulator/cli.py
@@ -64,7 +64,7 @@
 
 
 def _report_verdict(figures: dict[str, float]) -> int:
-    """Print what the budgets say of the figures; return the exit code."""
+    """Check the figures against the budgets, print the verdict, and return the exit code."""
     verdict = check_budgets(figures)
     print(verdict.line(), flush=True)
     return EXIT_FAILURE if verdict.violated else 0
@@ -81,6 +81,7 @@
     @click.command(name, help=(run.__doc__ or name).partition("\n")[0])
     @run_options
     def command(seed: int, out: Path, quick: bool, program: Path = ROOT) -> None:
+        """Do the run; exits 1 where a budget that is said to be held is over."""
         result = _run_within_limit(run, RunOptions(seed, out, quick, program))
         report_progress(name, f"result in {result.path}")
         sys.exit(_report_verdict(result.figures))
@@ -102,7 +103,7 @@
 def _run_added(options: RunOptions) -> RunResult:
     """Measure the added latency, without a time limit; exit where a process fails."""
     try:
-        options.out.mkdir(parents=True, exist_ok=True)  # rather now than after the run
+        options.out.mkdir(parents=True, exist_ok=True)  # fail now rather than after the run
     except OSError as error:
         raise click.BadParameter(str(error), param_hint="--out") from error
     try:
@@ -117,7 +118,7 @@
 @cli.command(ADDED, help=(added_latency.run.__doc__ or ADDED).partition("\n")[0])
 @run_options
 def added_command(seed: int, out: Path, quick: bool) -> None:
-    """Measure the added latency; exits 0 whatever the budgets say."""
+    """Measure the added latency; exits 0 even where a budget is violated."""
     _run_added(RunOptions(seed, out, quick))
 
 
--- a/emulator/health_check.py
+++ b/emulator/health_check.py
@@ -45,7 +45,7 @@
 
 
 def has_label(version: str | None, label: str) -> bool:
-    """Tell whether a version is that of the file with this label: the label, then a digest."""
+    """Return whether a version is that of the file with this label: the label, then a digest."""
     return version is not None and version.rpartition("-")[0] == label
 
 
--- a/emulator/load_generator.py
+++ b/emulator/load_generator.py
@@ -28,7 +28,7 @@
 CONTENT_LENGTH = re.compile(rb"\r\ncontent-length:[ \t]*(\d+)", re.IGNORECASE)
 CONNECTION_CLOSE = re.compile(rb"\r\nconnection:[ \t]*close", re.IGNORECASE)
 
-#: How a call ended that got no status: its connection was lost, or nothing had come by the end of the run.
+#: The outcome of a call that got no status: its connection was lost, or the run ended before a response.
 LOST, UNANSWERED = "lost", "unanswered"
 
 
@@ -46,7 +46,7 @@
     ended: Counter[str] = field(default_factory=Counter)
 
     def report(self) -> StreamReport:
-        """Summarise the tally for the process that asked for the load."""
+        """Summarise the tally for the parent process."""
         return StreamReport(dict(self.ended), encode(histogram_of(self.latencies_us)))
 
 
@@ -213,7 +213,7 @@
         tally = self.tallies[call.stream]
         tally.ended[outcome] += 1
         if outcome == SERVED and call.at >= self._plan.warmup:
-            # From the scheduled start: a call that is sent late, since others hold things up, has waited.
+            # From the scheduled start: the wait of a call that is sent late because of others counts.
             tally.latencies_us.append(to_microseconds(self._clock() - self._start - call.at))
 
 
--- a/emulator/load_plan.py
+++ b/emulator/load_plan.py
@@ -78,7 +78,7 @@
     """What became of one stream's calls.
 
     Attributes:
-        ended: How many calls ended each way: a status, or a name of `emulator.load_generator`.
+        ended: Number of calls by outcome: a status, or an outcome of `emulator.load_generator`.
         histogram: Latencies of the counted calls that were served, in HDR's compressed form.
     """
 
--- a/emulator/processes.py
+++ b/emulator/processes.py
@@ -1,6 +1,6 @@
 """Real processes: starting and stopping them, lines over their pipes, and what they have used.
 
-Which processes a run needs, and what they say to each other, is in the modules of the roles.
+Which processes a run needs, and the lines that they exchange, is in `emulator.role_processes`.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
         processor: Processor time in seconds, user and system; in steps of 10 ms on Linux, unlike that of
             `emulator.meter`, which is exact.
         resident: Bytes of memory that are resident now.
-        preemptions: How often it lost its core against its will.
+        preemptions: Involuntary context switches.
     """
 
     processor: float
--- a/emulator/proxy_program.py
+++ b/emulator/proxy_program.py
@@ -1,6 +1,6 @@
 """The program of a proxy: the tree that it comes from, and the command that starts it.
 
-Each tree says in its deploy file how its proxy is run, so that a tree whose packages have other names can be
+The command comes from each tree's own deploy file, so that a tree whose packages have other names can be
 measured too.
 """
 
@@ -19,7 +19,7 @@
 
 
 class ProgramError(RuntimeError):
-    """A tree does not say how its proxy is run, or has not been built."""
+    """A tree's deploy file does not give a command that starts its proxy, or the tree has not been built."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,7 +31,7 @@
 
     @classmethod
     def of_tree(cls, root: Path) -> ProxyProgram:
-        """Find out how the proxy of a tree is run.
+        """Find the command that starts the proxy of a tree.
 
         The proxy of this tree runs in the present interpreter, which needs no build and has the versions of
         the libraries that a result names. That of any other tree runs by its own deploy file's `run`, in a
--- a/emulator/result.py
+++ b/emulator/result.py
@@ -1,6 +1,6 @@
 """A run's result file: what was measured, with the seed, machine and versions it was measured with.
 
-What a run measures, and how its own part of the file is built, is in the run's modules.
+What a run measures, and its own part of the file, is in the run's modules.
 """
 
 from __future__ import annotations
--- a/emulator/runs/latency_report.py
+++ b/emulator/runs/latency_report.py
@@ -41,7 +41,7 @@
 
     @property
     def preemptions(self) -> int:
-        """How often the process lost its core meanwhile."""
+        """Involuntary context switches meanwhile."""
         return self.after.preemptions - self.before.preemptions
 
 
--- a/emulator/runs/settings_reload.py
+++ b/emulator/runs/settings_reload.py
@@ -64,14 +64,14 @@
 
 @dataclass(slots=True, frozen=True)
 class RunSize:
-    """How much is run; times in seconds.
+    """The size of a run; times in seconds.
 
     Attributes:
         proxies: Proxies at which settings change.
         called: Those of them that are called meanwhile.
         series: Time in which changes begin.
         interval: Between two changes.
-        rows: Endpoint lists at which processor time is measured; the last one is that of the whole fleet.
+        rows: Endpoint lists at which processor time is measured; the last one is that of the complete fleet.
         reloads: For one processor time.
         memory_reloads: For the growth of memory.
         reload_interval: Between two SIGHUPs that are measured: each is over when the next one comes.
--- a/emulator/runs/settings_report.py
+++ b/emulator/runs/settings_report.py
@@ -78,7 +78,7 @@
     Attributes:
         calls: All calls.
         lost: Those that were not served.
-        otherwise: The latter, by how they ended.
+        otherwise: The latter, by outcome.
     """
 
     calls: int
@@ -87,7 +87,7 @@
 
     @classmethod
     def of(cls, ended: Iterable[Mapping[str, int]]) -> CallOutcomes:
-        """Sum the counts of several streams, each by how its calls ended."""
+        """Sum the counts of several streams, by outcome."""
         total: Counter[str] = Counter()
         for counts in ended:
             total.update(counts)
--- a/emulator/watch_stub.py
+++ b/emulator/watch_stub.py
@@ -27,7 +27,7 @@
         self._transport = transport
 
     def data_received(self, _data: bytes) -> None:
-        """Respond to the request, which arrives in one piece; what it asks for makes no difference."""
+        """Respond to the request, which arrives in one piece; its parameters make no difference."""
         if self._keepalive is None:
             self._transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self._send(self._snapshot_line)
