--- a/proxy/__main__.py
+++ b/proxy/__main__.py
@@ -29,8 +29,8 @@
     proxy = Proxy(config)
     loop.add_signal_handler(signal.SIGHUP, proxy.reloader.reload, os.environ)
     proxy.listener.bind()
-    # Backends may have begun to drain before this process started: the agent knows, and the list known at the
-    # start may not. So connections wait in the accept queue until the agent's list has come.
+    # Backends may have begun to drain before this process started: discovery knows, and the list that the
+    # configuration names may not. So connections wait in the accept queue until discovery's list has come.
     await proxy.endpoints_loaded.wait()
     listening_socket = await proxy.listener.listen()
     # What is there now stays: the garbage collector need not look at it again.
--- a/proxy/active_request.py
+++ b/proxy/active_request.py
@@ -21,7 +21,8 @@
     """A request for which a final answer is due, or which still has attempts in flight.
 
     Attributes:
-        request_id: Its name in the decisions, one that no other request of this process has.
+        request_id: Its id in the decisions, one that no other request of this process has.
+        client_request_id: The id that the client gave it.
         request: What the client sent.
         request_class: Its class when it was admitted, narrowed by later settings.
         connection: The client's connection; None once no answer is due any more.
@@ -33,6 +34,7 @@
 
     __slots__ = (
         "attempts",
+        "client_request_id",
         "connection",
         "deadline",
         "deadline_timer",
@@ -51,6 +53,7 @@
         deadline: float,
     ) -> None:
         self.request_id = request_id
+        self.client_request_id = request.headers[b"x-request-id"]
         self.request = request
         self.request_class = request_class
         self.connection: DownstreamConnection | None = connection
@@ -60,32 +63,27 @@
         self.deadline_timer: asyncio.TimerHandle | None = None
 
     @property
-    def client_request_id(self) -> bytes:
-        """The id that the client gave it."""
-        return self.request.headers[b"x-request-id"]
-
-    @property
-    def may_repeat(self) -> bool:
+    def is_retryable(self) -> bool:
         """Whether the request may run at a backend twice."""
         return self.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
 
     def narrow_class(self, request_class: RequestClass) -> None:
         """Allow only what both its class so far and the one of new settings allow."""
         self.request_class = narrow_class(self.request_class, request_class)
-        if not self.may_repeat:
+        if not self.is_retryable:
             for attempt in self.attempts:
                 attempt.forbid_retry()
 
     def is_awaited(self) -> bool:
-        """Whether the client is still there to get an answer."""
+        """Return whether the client is still there to get an answer."""
         return self.connection is not None and not self.connection.has_disconnected()
 
     def is_over(self) -> bool:
-        """Whether no answer is due and no attempt is in flight."""
+        """Return whether no answer is due and no attempt is in flight."""
         return self.connection is None and all(attempt.finished for attempt in self.attempts)
 
     def serialize(self, timeout: float) -> bytes:
-        """The request as it is sent to a backend.
+        """Return the request as it is sent to a backend.
 
         Args:
             timeout: The seconds for which the backend's answer is waited for.
--- a/proxy/clock.py
+++ b/proxy/clock.py
@@ -23,13 +23,13 @@
         self._offset = time.time() - loop.time()
 
     def now(self) -> float:
-        """The time now, in seconds since the epoch."""
+        """Return the time now, in seconds since the epoch."""
         return self._loop.time() + self._offset
 
     def from_loop_time(self, loop_time: float) -> float:
-        """A time of the event loop, in seconds since the epoch."""
+        """Return a time of the event loop in seconds since the epoch."""
         return loop_time + self._offset
 
     def to_loop_time(self, epoch_time: float) -> float:
-        """A time in seconds since the epoch, as the event loop counts it."""
+        """Return a time in seconds since the epoch as the event loop counts it."""
         return epoch_time - self._offset
--- a/proxy/discovery/endpoint_reader.py
+++ b/proxy/discovery/endpoint_reader.py
@@ -34,7 +34,7 @@
 
 
 def endpoint_id(name: str) -> EndpointId:
-    """The id of an endpoint by its name, the same at every proxy and after every restart."""
+    """Return the id of an endpoint by its name, the same at every proxy and after every restart."""
     return int.from_bytes(name.encode(), "big")
 
 
@@ -49,7 +49,11 @@
         self._numbers = dict(names)
 
     def number_of(self, name: str) -> int:
-        """The number of a name, a new one for a new name; `UNKNOWN_NAME` beyond `MAX_NAMES` of them."""
+        """Return the number of a name, a new one for a name that is new.
+
+        More than `MAX_NAMES` names are not told apart, or they would fill the memory: `UNKNOWN_NAME` stands
+        for all others.
+        """
         number = self._numbers.get(name)
         if number is not None:
             return number
@@ -58,7 +62,7 @@
         return self._numbers.setdefault(name, max(self._numbers.values(), default=-1) + 1)
 
     def translate(self, places: Places, names: Mapping[str, int]) -> Places:
-        """The numbers that places of a configuration have in this process.
+        """Return the numbers that places of a configuration have in this process.
 
         Args:
             places: Places in the configuration's list of names; None stands for any.
@@ -95,7 +99,11 @@
         return [self.endpoint(entry) for entry in message["endpoints"]]
 
     def check(self, message: Mapping[str, Any]) -> None:
-        """Raise ConfigError where the list that the configuration names can not be read."""
+        """Check the list that a configuration names.
+
+        Raises:
+            ConfigError: It can not be read.
+        """
         try:
             int(message["index"])
             self.endpoints(message)
@@ -103,7 +111,7 @@
             raise ConfigError(f"the known list can't be read: {fault!r}") from fault
 
     def settings_of(self, config: Config) -> Settings:
-        """The settings of a configuration, with the numbers that zones and machine types have here."""
+        """Return a configuration's settings with the numbers that zones and machine types have here."""
         classes = tuple(self._translate_class(row, config) for row in config.settings.classes)
         return replace(config.settings, classes=classes)
 
--- a/proxy/discovery/watch.py
+++ b/proxy/discovery/watch.py
@@ -16,11 +16,11 @@
 from proxy.discovery.watch_connection import Message, WatchConnection
 
 CONNECT_TIMEOUT = 0.25  # seconds: the agent is on this machine
-REOPEN_DELAY = 0.02  # seconds before a watch that had responded is opened anew...
-RETRY_DELAY = (
-    0.1  # ...and before one that had not: it costs nothing, and what an agent has on return counts at once
-)
-MIN_JITTER = 0.5  # a delay is drawn between this part of the ones above, and as much above one
+REOPEN_DELAY = 0.02  # seconds before a watch that had responded is opened anew
+#: Seconds before one that had not. A short delay costs next to nothing, and once the agent is back, what it
+#: has counts as delivered: a growing backoff would hold it up.
+RETRY_DELAY = 0.1
+MIN_JITTER = 0.5  # the least factor of a delay; the largest is 1 more
 
 
 class UpdateHandler(Protocol):
--- a/proxy/discovery/watch_connection.py
+++ b/proxy/discovery/watch_connection.py
@@ -14,8 +14,10 @@
 import httptools
 import orjson
 
-SILENCE_TIMEOUT = 2.5  # seconds without a complete line after which a watch is dead: one comes every 2 s, and
-# within 6 s there has to be time for another watch that says nothing, two delays and a connect that times out
+#: Seconds without a complete line after which a watch is dead. A line is due every 2 s; and within the 6 s in
+#: which a change has to be known there must be time for another silent watch, two delays and a connect that
+#: times out.
+SILENCE_TIMEOUT = 2.5
 MAX_MESSAGE_BYTES = 4 << 20  # of a message that is not complete
 HTTP_OK = 200
 
@@ -37,7 +39,7 @@
         self._object = b""  # the lines of a message that is not complete
 
     def has_partial_line(self) -> bool:
-        """Whether a line has begun and has not ended."""
+        """Return whether a line has begun and has not ended."""
         return bool(self._line)
 
     def feed(self, pieces: list[bytes]) -> Iterator[Message | None]:
@@ -105,7 +107,7 @@
         transport.write(self._request)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of the answer."""
+        """Take bytes of the response."""
         try:
             self._parser.feed_data(data)
             self._deliver()
@@ -119,7 +121,7 @@
             self._transport.abort()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Let whoever keeps the watch know that the connection has ended."""
         self._silence_timer.cancel()
         del self._parser  # It refers to this object: without this, both would wait for the garbage collector.
         if not self.ended.done():
@@ -149,17 +151,17 @@
     # ---- the parser's callbacks ----------------------------------------------------------------
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
-        if self._parser.get_status_code() > HTTP_OK:  # below it, the final answer is still to come
+        """Parser callback: the head is complete."""
+        if self._parser.get_status_code() > HTTP_OK:  # below it, the final response is still to come
             self.close()
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body has come."""
+        """Parser callback: a piece of the body has come."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """The answer is complete."""
-        # The end of the answer stands for the end of its last line, which may be missing.
+        """Parser callback: the response is complete."""
+        # The end of the response stands for the end of its last line, which may be missing.
         if self._body or self._messages.has_partial_line():
             self._body.append(b"\n")
         self.close()
--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -35,7 +35,8 @@
 from proxy.upstream import ConnectionPool, UpstreamAttempt, UpstreamResponse
 
 ANSWER_MARGIN = 0.005  # seconds before the client's time is up: the answer still has to reach it
-RETRIABLE_CLIENT_ERRORS = (408, 429)  # statuses of 4xx that are not the request's fault
+#: Statuses of responses that say that the request is at fault: 4xx, but not a timeout or a limit on the rate.
+REQUEST_FAULT_STATUSES = frozenset(range(400, 500)) - {408, 429}
 
 
 class Dispatcher:
@@ -80,17 +81,21 @@
     # ---- what happens --------------------------------------------------------------------------
 
     def start(self) -> None:
-        """The proxy has started."""
+        """Tell the decisions that the proxy has started."""
         self.perform(self._decide(self._balancer.start))
 
     def on_endpoints_updated(self, kind: UpdateKind, endpoints: list[Endpoint]) -> None:
-        """The endpoint list has changed; the endpoint table knows already."""
+        """Tell the decisions of an update of the endpoint list, which the endpoint table has already."""
         self.perform(self._decide(self._balancer.on_endpoints_updated, kind, endpoints))
 
     def on_request(
         self, request: ClientRequest, classified: ClassifiedRequest, connection: DownstreamConnection
     ) -> None:
-        """Take up a client's request; raises HttpError where one with its id is active."""
+        """Take up a client's request.
+
+        Raises:
+            HttpError: A request with its id is due for an answer already.
+        """
         client_request_id = request.headers[b"x-request-id"]
         if client_request_id in self.client_request_ids:
             # Backends would take a second request with the same id for the first one.
@@ -117,13 +122,13 @@
         )
 
     def _on_client_disconnected(self, active: ActiveRequest) -> None:
-        """The client has left: no answer is due any more."""
+        """End a request whose client has disconnected: no answer is due any more."""
         self._settle(active)
         self.perform(self._decide(self._balancer.on_client_disconnected, active.request_id, about=active))
         self._end_unsent_attempts(active)
 
     def _on_deadline(self, active: ActiveRequest) -> None:
-        """The client's time is up: an answer is due now, whatever the decisions say."""
+        """Answer now, whatever the decisions say: the client's time is up."""
         for attempt in tuple(active.attempts):
             attempt.expire()
         if active.connection is not None:
@@ -137,11 +142,11 @@
         outcome: Outcome,
         response: UpstreamResponse | None,
     ) -> None:
-        """An attempt has ended: answer where that is the answer, then let the decisions go on."""
+        """Answer if the end of an attempt brings the answer, and tell the decisions of it."""
         now = self._loop.time()
         active.last_outcome = outcome
-        if response is not None and self._is_fault_of_request(response):
-            # Backends need protection from clients: the request would fail at any other one as well.
+        if response is not None and response.status in REQUEST_FAULT_STATUSES:
+            # It would fail at any other backend as well: a retry would only add load.
             self._answer(active, response.status, b"", b"rejected\n")
             self.perform(self._decide(self._balancer.on_client_disconnected, active.request_id, about=active))
             outcome = Outcome.NOT_SENT
@@ -164,12 +169,8 @@
         )
         self._end_unsent_attempts(active)
 
-    @staticmethod
-    def _is_fault_of_request(response: UpstreamResponse) -> bool:
-        return 400 <= response.status < 500 and response.status not in RETRIABLE_CLIENT_ERRORS
-
     def _on_timer(self, token: int) -> None:
-        """A timer of the decisions is due."""
+        """Tell the decisions that a timer of theirs is due."""
         self.perform(self._decide(self._balancer.on_timer, token))
 
     def _decide(
@@ -220,7 +221,7 @@
             until,
             active.serialize,
             partial(self._on_attempt_finished, active, len(active.attempts)),
-            active.may_repeat,
+            active.is_retryable,
             active.is_awaited,
         )
         active.attempts.append(attempt)
@@ -247,7 +248,7 @@
             attempt.finish(Outcome.CANCELLED)
 
     def _settle(self, active: ActiveRequest) -> None:
-        """From now on no answer is due."""
+        """Note that no answer is due from now on."""
         if active.connection is not None:
             self.client_request_ids.discard(active.client_request_id)
         active.connection = None
--- a/proxy/endpoint_table.py
+++ b/proxy/endpoint_table.py
@@ -23,7 +23,7 @@
         self.backends: dict[EndpointId, Backend] = {}
 
     def update(self, kind: UpdateKind, endpoints: list[DiscoveredEndpoint]) -> None:
-        """Take over an update of the list.
+        """Take over an update of the endpoint list.
 
         A backend with another address or start time is another incarnation: connections to the one before are
         not used any more, which `ConnectionPool.update_backend` sees to.
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -23,11 +23,9 @@
 
 RESERVED_SOCKETS = 48  # descriptors for the listener, discovery, the loop, and clients beyond the limit
 MIN_SOCKETS = 8  # descriptors for connections, however few the configuration allows
-CLIENT_SOCKET_SHARE = 0.5  # the clients' part of the descriptors that are not spare
-CACHED_LIST_DELAY = (
-    0.3  # seconds without a word from discovery after which the list known at the start serves
-)
-EMPTY_LIST_DELAY = 6.0  # seconds after which a proxy without any list is ready too: by then updates count
+CLIENT_SOCKET_SHARE = 0.5  # the clients' part of the descriptors that are not reserved
+CACHED_LIST_DELAY = 0.3  # seconds to wait for discovery's list before the configuration's one serves
+EMPTY_LIST_DELAY = 6.0  # seconds to wait for any list: an update counts as delivered by then
 
 
 class Proxy:
@@ -81,7 +79,7 @@
         self._start(config)
 
     def _start(self, config: Config) -> None:
-        """Begin with the list known at the start, and wait for discovery to send a newer one."""
+        """Begin with the list that the configuration names, and wait for discovery to send a newer one."""
         loop = asyncio.get_running_loop()
         self._update_endpoints(UpdateKind.CACHED, self.reader.endpoints(config.cached_list))
         self.dispatcher.start()
@@ -91,7 +89,7 @@
         has_cached_list = bool(config.cached_list["endpoints"])
         on_delay = self._mark_loaded if has_cached_list else self.endpoints_loaded.set
         loop.call_later(CACHED_LIST_DELAY, on_delay)
-        # A tier may start without any list while discovery is down: all its proxies have to be ready in 10 s.
+        # A tier may start without any list while discovery is down: its proxies have to be ready in 10 s.
         loop.call_later(EMPTY_LIST_DELAY, self._mark_loaded)
 
     def on_update(self, kind: UpdateKind, endpoints: list[DiscoveredEndpoint]) -> None:
--- a/proxy/reload.py
+++ b/proxy/reload.py
@@ -71,7 +71,7 @@
         for line in lines:
             write_line(f"proxy: reload: {line}")
 
-    def apply(self, config: Config) -> list[str]:
+    def apply(self, proposed: Config) -> list[str]:
         """Take over what a new configuration may change: its settings, and where discovery is.
 
         Returns:
@@ -80,15 +80,15 @@
         Raises:
             ConfigError: The settings need a restart; nothing has changed.
         """
-        before = self._listener.config
-        identity = {field: getattr(before, field) for field in IDENTITY_FIELDS}
+        in_force = self._listener.config
+        identity = {field: getattr(in_force, field) for field in IDENTITY_FIELDS}
         lines = [
             f"{IDENTITY_FIELDS[field]} is another, which needs a restart: the one of the start stays"
             for field, value in identity.items()
-            if getattr(config, field) != value
+            if getattr(proposed, field) != value
         ]
-        only_moved = replace(before, discovery=config.discovery)
-        config = replace(config, **identity)
+        only_moved = replace(in_force, discovery=proposed.discovery)
+        config = replace(proposed, **identity)
         if config != only_moved and self._is_shutting_down():
             # The shutdown goes by the settings that it began with; the endpoint list still counts.
             lines.append(f"the process is ending: version {self._listener.version} stays")
@@ -98,7 +98,7 @@
             self._config_count += 1
             self._listener.version = config.version(self._config_count)
             lines.append(f"version {self._listener.version} is in force")
-        if config.discovery != before.discovery:
+        if config.discovery != in_force.discovery:
             lines.append("discovery is at {}:{}".format(*config.discovery))
         self._listener.config = config
         self._discovery.move(config.discovery)
--- a/proxy/shutdown.py
+++ b/proxy/shutdown.py
@@ -15,7 +15,7 @@
 MIN_ACCEPT_TIME = 0.45  # seconds after SIGTERM in which new connections are still accepted...
 QUIET_TIME = 0.1  # ...and then until none has come for so long...
 MAX_ACCEPT_TIME = 0.6  # ...but no longer than this
-READ_TIME = 0.02  # seconds in which what has just been accepted can still be read
+READ_TIME = 0.02  # seconds to read what has come on connections that were accepted last
 KILL_DELAY = 0.7  # seconds after SIGTERM and the longest deadline at which SIGKILL may come...
 MAX_DEADLINE = 3.0  # seconds: ...the deadline counted as this where it is longer
 KILL_MARGIN = 0.1  # seconds before that by which what was taken late is answered
@@ -32,11 +32,11 @@
         self._has_begun = False
 
     def has_begun(self) -> bool:
-        """Whether the process has been told to end."""
+        """Return whether the process has been told to end."""
         return self._has_begun
 
     async def run(self, listening_socket: socket.socket) -> None:
-        """Shut down; returns once no client's connection is left."""
+        """Shut down, and return once no client's connection is left."""
         loop = asyncio.get_running_loop()
         self._has_begun = True
         self._listener.serving = False
@@ -44,7 +44,7 @@
         await self._accept_late_connections(began_at)
         await self._listener.stop_listening(listening_socket)
         await asyncio.sleep(READ_TIME)
-        # A request may become complete only from here on, and SIGKILL may come before its time is up.
+        # A request may become complete only from here on. SIGKILL may come before its own time is up.
         longest_deadline = max(row.deadline for row in self._listener.config.settings.classes)
         killed_at = began_at + min(longest_deadline, MAX_DEADLINE) + KILL_DELAY
         self._dispatcher.answer_by = killed_at - KILL_MARGIN
