--- a/proxy/active_request.py
+++ b/proxy/active_request.py
@@ -14,7 +14,7 @@
 from proxy.downstream.request_parser import ClientRequest
 from proxy.upstream import UpstreamAttempt
 
-MIN_TIMEOUT = 0.001  # seconds: the smallest time that a backend is told it has
+MIN_TIMEOUT = 0.001  # seconds: the smallest timeout that a backend gets
 
 
 class ActiveRequest:
--- a/proxy/config.py
+++ b/proxy/config.py
@@ -89,7 +89,7 @@
     digest: str = ""
 
     def version(self, count: int) -> str:
-        """Return what operators tell this configuration by: its label or a count, and the digest.
+        """Return the version that operators see: the label, or else a count, and the digest.
 
         Args:
             count: Which one it is of the configurations that this process has taken over.
@@ -168,7 +168,7 @@
 
 
 def _index_names(field: str, names: list[str]) -> dict[str, int]:
-    """Return the position of each name; state is kept by name, so no two may be the same."""
+    """Return the position of each name; the decisions keep state by name, so no two may be the same."""
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise InvalidValueError(field, "not a list of names")
     indices = {name: index for index, name in enumerate(names)}
--- a/proxy/discovery/watch_connection.py
+++ b/proxy/discovery/watch_connection.py
@@ -142,8 +142,8 @@
     def _restart_silence_timer(self) -> None:
         """Wait anew for a complete line.
 
-        The timer ends a watch that hangs on a machine that has vanished: nothing else would tell. Bytes alone
-        do not restart it: a line that trickles and never ends would hold back all changes.
+        The timer ends a watch that hangs on a machine that has vanished: nothing else would show it. Bytes
+        alone do not restart it: a line that trickles and never ends would hold back all changes.
         """
         self._silence_timer.cancel()
         self._silence_timer = self._loop.call_later(SILENCE_TIMEOUT, self.close)
--- a/proxy/endpoint_table.py
+++ b/proxy/endpoint_table.py
@@ -41,8 +41,12 @@
             in_service = endpoint.status is EndpointStatus.UP
             self._pool.update_backend(backend, discovered.address, endpoint.started, in_service)
 
-    def share_connections(self, fleet_size: int) -> None:
-        """Limit the idle connections to this proxy's share, of a fleet of so many proxies."""
+    def update_idle_quota(self, fleet_size: int) -> None:
+        """Limit the idle connections to this proxy's quota.
+
+        Args:
+            fleet_size: How many proxies connect to the same backends.
+        """
         self._pool.set_idle_quota(len(self.backends), fleet_size)
 
     def _remove(self, endpoint_id: EndpointId) -> None:
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -100,7 +100,7 @@
 
     def _update_endpoints(self, kind: UpdateKind, endpoints: list[DiscoveredEndpoint]) -> None:
         self.endpoint_table.update(kind, endpoints)
-        self.endpoint_table.share_connections(self.balancer.settings.fleet_size)
+        self.endpoint_table.update_idle_quota(self.balancer.settings.fleet_size)
         self.dispatcher.on_endpoints_updated(kind, [discovered.endpoint for discovered in endpoints])
 
     def _mark_loaded(self) -> None:
--- a/proxy/reload.py
+++ b/proxy/reload.py
@@ -114,5 +114,5 @@
         self._dispatcher.perform(actions)
         self._dispatcher.narrow_classes(config.settings.classes)
         self._pool.reconfigure(config.backend_idle_timeout, config.dial_timeout)
-        self._endpoint_table.share_connections(config.settings.fleet_size)
+        self._endpoint_table.update_idle_quota(config.settings.fleet_size)
         self._dispatcher.end_misplaced_attempts()
