--- a/balancer/__init__.py
+++ b/balancer/__init__.py
@@ -4,7 +4,8 @@
 types that it speaks.
 """
 
-from balancer.decide import Balancer, CircuitBreaker
+from balancer.balancer import Balancer
+from balancer.circuit_breaker import CircuitBreaker
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
 from balancer.errors import InvalidValueError, RowandealError
 from balancer.events import (
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -45,6 +45,14 @@
     POLLED = "polled"
 
 
+@dataclass(slots=True, frozen=True)
+class Placement:
+    """The machine types and zones that the endpoints of a class are restricted to (None: no restriction)."""
+
+    machine_types: tuple[int, ...] | None
+    zones: tuple[int, ...] | None
+
+
 @dataclass(slots=True, frozen=True)
 class RequestClass:
     """One class of request.
@@ -66,6 +74,11 @@
     allowed_machine_types: tuple[int, ...] | None = None
     allowed_zones: tuple[int, ...] | None = None
 
+    @property
+    def placement(self) -> Placement:
+        """The endpoints that the class may go to; classes of one placement share them."""
+        return Placement(self.allowed_machine_types, self.allowed_zones)
+
     def check(self, path: str) -> None:
         """Raise InvalidValueError naming the first field, below `path`, that makes no sense."""
         check_text(f"{path}.name", self.name)
--- a/balancer/simulator/session.py
+++ b/balancer/simulator/session.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import Any
 
-from balancer.decide import Balancer
+from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, UpdateKind
 from balancer.events import Action
 from balancer.settings import Settings
--- a/emulator/runs/slopes_balancer.py
+++ b/emulator/runs/slopes_balancer.py
@@ -12,7 +12,7 @@
 import numpy as np
 import orjson
 
-from balancer.decide import Balancer
+from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
 from balancer.settings_reader import read_settings
 from emulator import topology
--- a/emulator/simulated_proxy.py
+++ b/emulator/simulated_proxy.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from balancer.decide import Balancer
+from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
 from balancer.events import Outcome, StartAttempt
 from balancer.settings_reader import read_settings
--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -11,7 +11,7 @@
 from functools import partial
 from math import inf
 
-from balancer.decide import Balancer
+from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, UpdateKind
 from balancer.events import (
     Action,
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-from balancer.decide import Balancer
+from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
 from balancer.settings import DiscoveryMode
 from proxy.clock import EpochClock
--- a/proxy/reload.py
+++ b/proxy/reload.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import replace
 
-from balancer.decide import Balancer
+from balancer.balancer import Balancer
 from proxy.clock import EpochClock
 from proxy.config import Config, ConfigError, load
 from proxy.discovery.endpoint_reader import EndpointReader
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field, replace
 
-from balancer.decide import Balancer
+from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
 from balancer.events import (
     NEVER_RAN,
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from balancer.decide import Balancer
+from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
 from balancer.events import Fail, Outcome, Reject, StartAttempt
 from balancer.settings import Limits, RequestClass, Rules, Settings, Tenant
@@ -83,7 +83,7 @@
         ("deadline", {"deadline": "soon"}),
         ("cost", {"cost": -1.0}),
         ("cost", {"cost": math.inf}),
-        ("rid", {"rid": "open"}),
+        ("request_id", {"request_id": "open"}),
     ],
 )
 def test_a_request_that_makes_no_sense_changes_nothing(name: str, values: dict[str, Any]) -> None:
@@ -91,9 +91,9 @@
     for one in (b, twin):
         one.on_request(2.0, "open")
     with pytest.raises(ValueError, match=name):
-        b.on_request(3.0, **{"rid": "new", **values})
+        b.on_request(3.0, **{"request_id": "new", **values})
     assert list(b.requests) == ["open"]
-    assert b.pools[0].owed == twin.pools[0].owed
+    assert b.assignment.pools[0].pending == twin.assignment.pools[0].pending
     # the same random numbers follow: nothing was drawn either
     assert b.on_request(4.0, "next") == twin.on_request(4.0, "next")
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -17,11 +17,11 @@
 
 import pytest
 
-from balancer import decide
-from balancer.decide import Balancer
+from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
 from balancer.events import Action, CancelAttempt, Outcome, Reject, SetTimer, StartAttempt
 from balancer.settings import DeduplicationScope, Idempotency, Limits, RequestClass, Rules, Settings
+from balancer.slow_start import SlowStart
 
 EARLY = Rules(warmup_initial_capacity=0.32, warmup_duration=9.0, overload_multiple=3.0, overload_interval=2.0)
 LATE = Rules(warmup_initial_capacity=0.16, warmup_duration=23.0, overload_multiple=2.5, overload_interval=1.0)
@@ -229,7 +229,7 @@
         timeout = action.timeout or 4.0
         came: tuple[Node | None, Outcome, float] = (None, Outcome.UNREACHABLE, 0.002)
         if node.row.status is EndpointStatus.UP:
-            known = process.balancer.servers[action.endpoint].row
+            known = process.balancer.endpoints.states[action.endpoint].endpoint
             node.calls.append(self.now)
             if known.started == node.row.started:
                 node.told.append(self.now)
@@ -337,7 +337,7 @@
 
 @pytest.mark.parametrize("told", ["at once", "one after another", "some restart"])
 def test_a_fleet_that_ignores_cold_starts_is_caught(monkeypatch: pytest.MonkeyPatch, told: str) -> None:
-    monkeypatch.setattr(decide.Balancer, "_spares_cold", lambda _self, _now, _server, _pool: False)
+    monkeypatch.setattr(SlowStart, "defers", lambda _self, _now, _state, _pool, _pools: False)
     with pytest.raises(AssertionError, match="allowed"):
         assert_holds(Case(200, told, "six in ten", LATE, 1, skewed=6.0, neighbours=True))
 
--- a/tests/test_emulator_simulated_host.py
+++ b/tests/test_emulator_simulated_host.py
@@ -53,7 +53,7 @@
             await soon(host.start_proxies([ProxyPlacement(0, port)]))
             host.set_call_rate(1000.0)
             balancer = host._proxies[0].balancer
-            await until(lambda: balancer.paced >= 10)
+            await until(lambda: balancer.statistics.sample_count >= 10)
             host.set_call_rate(0.0)
             assert not balancer.requests
 
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -10,7 +10,7 @@
 import pytest
 from harness import Checker
 
-from balancer.decide import Balancer
+from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
 from balancer.events import CancelAttempt, Fail, Outcome, Reject, SetTimer, StartAttempt
 from balancer.settings import Idempotency, Limits, RequestClass, Rules, Settings, Tenant
@@ -96,10 +96,12 @@
     for me in range(balancers):
         b = Balancer(Settings(classes=(SAFE,), fleet_size=balancers, ordinal=me), me)
         b.on_endpoints_updated(100.0, UpdateKind.CACHED, [Endpoint(i) for i in shares])
-        begin, width = b.pools[0].begin, b.pools[0].width
-        for server, end in zip(b.pools[0].subset, b.pools[0].ends, strict=True):
+        begin, width = b.assignment.pools[0].ring_start, b.assignment.pools[0].ring_span
+        for server, end in zip(
+            b.assignment.pools[0].subset, b.assignment.pools[0].cumulative_weights, strict=True
+        ):
             low = max(begin, end - 1.0)
-            shares[server.row.id] += max(0.0, min(begin + width, end) - low) / width
+            shares[server.endpoint.id] += max(0.0, min(begin + width, end) - low) / width
     return list(shares.values())
 
 
@@ -116,9 +118,9 @@
 def test_subsets_widen_with_the_calls_in_flight() -> None:
     settings = Settings(classes=(SAFE,), fleet_size=40)
     checker = Checker(settings, 1, [Endpoint(i) for i in range(40)])
-    assert len(checker.balancer.pools[0].subset) == 1
+    assert len(checker.balancer.assignment.pools[0].subset) == 1
     steady(checker, 8.0, 100.0)
-    assert 3 < len(checker.balancer.pools[0].subset) < 40
+    assert 3 < len(checker.balancer.assignment.pools[0].subset) < 40
 
 
 def steady(checker: Checker, seconds: float, rate: float, kind: int = 0) -> None:
@@ -305,7 +307,7 @@
 def test_whole_requests_are_throttled_where_each_server_is_seldom_seen(
     protection: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("balancer.decide.POOL_PROTECTION", protection)
+    monkeypatch.setattr("balancer.admission_control.POOL_PROTECTION", protection)
     b = balancer(Settings(classes=(SAFE,), fleet_size=40), [Endpoint(i) for i in range(40)])
     sent = 0
     for n in range(20):  # four a second, each on another server, none answered
@@ -315,7 +317,7 @@
             sent += 1
             b.on_attempt_finished(now + 0.2, f"r{n}", 0, Outcome.TIMEOUT, 0.2)
             b.on_client_disconnected(now + 0.2, f"r{n}")
-        for server in b.servers.values():
+        for server in b.endpoints.states.values():
             server.breaker = None  # as if it had not been seen before
     assert (sent < 14) is (protection == 1.0)
 
@@ -341,7 +343,7 @@
 
 def test_an_unfair_baseline_does_not_refuse_for_good() -> None:
     b = balancer(Settings(classes=(SAFE,)))
-    b.pace, b.paced = 90.0, 100
+    b.statistics.latency_per_cost, b.statistics.sample_count = 90.0, 100
     answers = [b.on_request(110.0 + n, f"s{n}", 0, 0, 114.0 + n, 0.1)[0] for n in range(60)]
     assert isinstance(answers[0], Reject)
     assert any(isinstance(a, StartAttempt) for a in answers)
@@ -352,21 +354,21 @@
         warmup_initial_capacity=0.3, warmup_duration=9.0, overload_multiple=3.0, overload_interval=2.0
     )
     b = balancer(Settings(classes=(SAFE,), rules=rules), [Endpoint(1, started=99.0), Endpoint(2)])
-    server = b.servers[1]
+    server = b.endpoints.states[1]
     for _ in range(200):
-        b._spares_cold(100.0, server, b.pools[0])
-    assert server.cold_seen > 0.0
+        b.slow_start.defers(100.0, server, b.assignment.pools[0], b.assignment.pools)
+    assert server.refilled_at > 0.0
     b.on_endpoints_updated(500.0, UpdateKind.DELTA, [Endpoint(1, started=499.0)])
-    assert (server.cold_seen, server.cold_credit) == (0.0, 0.0)
-    while server.cold_seen <= 0.0:
-        b._spares_cold(500.0, server, b.pools[0])
-    assert server.cold_credit < 1.0, "credit from before the restart"
+    assert (server.refilled_at, server.warmup_tokens) == (0.0, 0.0)
+    while server.refilled_at <= 0.0:
+        b.slow_start.defers(500.0, server, b.assignment.pools[0], b.assignment.pools)
+    assert server.warmup_tokens < 1.0, "credit from before the restart"
 
 
 def test_absence_from_a_list_keeps_start_and_size() -> None:
     b = balancer(Settings(classes=(SAFE,)), [Endpoint(1, size=2.0, started=99.0), Endpoint(2)])
     b.on_endpoints_updated(101.0, UpdateKind.SNAPSHOT, [Endpoint(2)])
-    assert b.servers[1].row == Endpoint(1, EndpointStatus.GONE, size=2.0, started=99.0)
+    assert b.endpoints.states[1].endpoint == Endpoint(1, EndpointStatus.GONE, size=2.0, started=99.0)
 
 
 def test_an_unsafe_request_that_may_have_run_fails_at_its_aim() -> None:
@@ -378,18 +380,18 @@
 def test_the_rest_of_the_list_stands_in_for_a_dead_subset() -> None:
     rows = [Endpoint(i) for i in range(1, 21)]
     b = balancer(Settings(classes=(SAFE,), fleet_size=20, limits=Limits(max_attempts=3)), rows)
-    [own] = b.pools[0].subset
+    [own] = b.assignment.pools[0].subset
     for n in range(40):  # the only server of the subset cannot be reached
         now = 100.0 + n / 10
         sends = b.on_request(now, f"r{n}", 0, 0, now + 4.0)
-        if isinstance(sends[0], StartAttempt) and sends[0].endpoint == own.row.id:
+        if isinstance(sends[0], StartAttempt) and sends[0].endpoint == own.endpoint.id:
             [again] = b.on_attempt_finished(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
-            assert not isinstance(again, StartAttempt) or again.endpoint != own.row.id
+            assert not isinstance(again, StartAttempt) or again.endpoint != own.endpoint.id
             if isinstance(again, StartAttempt):
                 b.on_attempt_finished(now + 0.02, f"r{n}", 1, Outcome.SUCCESS, 0.01, True)
         elif isinstance(sends[0], StartAttempt):
             b.on_attempt_finished(now + 0.02, f"r{n}", 0, Outcome.SUCCESS, 0.01, True)
-    used = {s.row.id for s in b.servers.values() if s.breaker is not None}
+    used = {s.endpoint.id for s in b.endpoints.states.values() if s.breaker is not None}
     assert len(used) > 8
 
 
@@ -398,7 +400,7 @@
     for me in range(100):
         settings = Settings(classes=(SAFE,), fleet_size=100, ordinal=me)
         b = balancer(settings, [Endpoint(i) for i in range(1, 101)])
-        own = {s.row.id for s in b.pools[0].subset}
+        own = {s.endpoint.id for s in b.assignment.pools[0].subset}
         assert len(own) == 1
         sent = set()
         for n in range(60):  # never more than the subset can hold is answered in the meantime
@@ -438,14 +440,14 @@
 def test_cold_servers_outside_the_subset_get_nothing_when_it_refuses() -> None:
     rows = [Endpoint(i) for i in range(1, 21)]
     b = balancer(Settings(classes=(SAFE,), fleet_size=20), rows)
-    [own] = b.pools[0].subset
-    cold = [Endpoint(i, started=100.0) for i in range(1, 21) if i != own.row.id]
+    [own] = b.assignment.pools[0].subset
+    cold = [Endpoint(i, started=100.0) for i in range(1, 21) if i != own.endpoint.id]
     b.on_endpoints_updated(100.1, UpdateKind.DELTA, cold)
-    assert b.pools[0].subset == [own]
+    assert b.assignment.pools[0].subset == [own]
     for n in range(60):
         now = 100.2 + n / 20
         for action in b.on_request(now, f"r{n}", 0, 0, now + 4.0):
-            assert not isinstance(action, StartAttempt) or action.endpoint == own.row.id
+            assert not isinstance(action, StartAttempt) or action.endpoint == own.endpoint.id
             if isinstance(action, StartAttempt):
                 b.on_attempt_finished(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
 
@@ -487,21 +489,21 @@
             for k in range(refused):
                 b.on_request(now, f"p{n}_{k}", 0, 0, now)
         b.on_endpoints_updated(now, UpdateKind.DELTA, [Endpoint(1, started=now)])
-        server = b.servers[1]
-        while server.cold_seen <= 0.0:
-            b._spares_cold(now, server, b.pools[0])
-        server.cold_credit = 0.0
+        server = b.endpoints.states[1]
+        while server.refilled_at <= 0.0:
+            b.slow_start.defers(now, server, b.assignment.pools[0], b.assignment.pools)
+        server.warmup_tokens = 0.0
         for _ in range(300):
-            b._spares_cold(now + 0.05, server, b.pools[0])
-        return server.cold_credit
+            b.slow_start.defers(now + 0.05, server, b.assignment.pools[0], b.assignment.pools)
+        return server.warmup_tokens
 
     # one of eight is cold, and that part still goes by what is offered: 7/8 + 4/8
     assert 0.0 < credit(3) <= 1.4 * credit(0)
 
 
 def test_a_silent_servers_average_fades_to_the_tiers() -> None:
-    server = balancer(Settings(classes=(SAFE,))).servers[1]
-    server.learn(100.0, 1.0)
+    server = balancer(Settings(classes=(SAFE,))).endpoints.states[1]
+    server._record_latency(100.0, 1.0)
     assert server.score(100.0, 0.1) == pytest.approx(1.0)
     assert server.score(105.0, 0.1) == pytest.approx(0.55)
     assert server.score(1000.0, 0.1) < 0.11
@@ -510,24 +512,24 @@
 def test_the_age_of_the_oldest_call_out_is_a_sample() -> None:
     b = balancer(Settings(classes=(SAFE,)), [Endpoint(1)])
     b.on_request(100.0, "r", 0, 0, 104.0)
-    assert b.servers[1].score(100.9, 0.1) == pytest.approx(0.9 * 2.0)
+    assert b.endpoints.states[1].score(100.9, 0.1) == pytest.approx(0.9 * 2.0)
 
 
 def test_a_failure_costs_a_time_out_in_the_pick() -> None:
     b = balancer(Settings(classes=(SAFE,)), [Endpoint(1)])
     b.on_request(100.0, "r", 0, 0, 104.0)
     b.on_attempt_finished(100.001, "r", 0, Outcome.ERROR, 0.001)
-    assert b.servers[1].latency == pytest.approx(1.0)
+    assert b.endpoints.states[1].mean_latency == pytest.approx(1.0)
 
 
 def test_one_slow_first_answer_makes_no_baseline() -> None:
     b = balancer(Settings(classes=(SAFE,)), [Endpoint(1)])
-    b.pooled = 0.1
+    b.statistics.tier_latency = 0.1
     b.on_request(100.0, "r", 0, 0, 104.0)
     b.on_attempt_finished(100.9, "r", 0, Outcome.SUCCESS, 0.9, True)
-    breaker = b.servers[1].breaker
+    breaker = b.endpoints.states[1].breaker
     assert breaker is not None
-    assert breaker.baseline < 0.11
+    assert breaker.latency_baseline < 0.11
 
 
 @pytest.mark.parametrize(("balancers", "taken"), [(2, 4), (3, 3)])
@@ -571,9 +573,9 @@
         CancelAttempt("r", 0)
     ]
     b.on_attempt_finished(timer.at + 0.05, "r", 0, Outcome.CANCELLED, timer.at - 199.95)
-    assert b.servers[send.endpoint].latency > 0.07  # it took at least that long
+    assert b.endpoints.states[send.endpoint].mean_latency > 0.07  # it took at least that long
     assert not b.requests
-    assert timer.token not in b.copies
+    assert timer.token not in b.hedging.hedges
 
 
 def test_an_attempt_that_ended_in_time_gets_no_copy() -> None:
@@ -610,7 +612,7 @@
         copies += len(b.on_timer(timer.at, timer.token))
         b.on_attempt_finished(timer.at + 0.01, f"r{n}", 0, Outcome.SUCCESS, timer.at + 0.01 - now, True)
     assert 0 < copies <= 3
-    assert not b.budget._extra
+    assert not b.retry_budgets.retries._retries
 
 
 @pytest.mark.parametrize(
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -131,12 +131,12 @@
                         assert status(await client.answer()) == 200
                     client.writer.write(read(2))
                     await clock.until(lambda: one.got.qsize() + two.got.qsize() == 3)
-                    assert up.proxy.balancer.copies
+                    assert up.proxy.balancer.hedging.hedges
                     leave(client, how)
                     await clock.until(lambda: not up.proxy.dispatcher.active_requests)
                     for _ in range(100):
                         await clock.move(0.1)
-                    assert not up.proxy.balancer.copies
+                    assert not up.proxy.balancer.hedging.hedges
                     assert one.got.qsize() + two.got.qsize() == 3
 
     asyncio.run(play())
@@ -336,7 +336,7 @@
                 await kept(clock, up, client, [one, two])
                 raw.sock.sendall(read(1))
                 await clock.until(lambda: one.got.qsize() + two.got.qsize() == 1)
-                assert up.proxy.balancer.copies
+                assert up.proxy.balancer.hedging.hedges
                 (one if one.got.qsize() else two).got.get_nowait()
                 raw.go(how)
                 clock.now += 10.0  # the copy is due in the loop's turn in which the close is read
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The decision module stays small enough to read: the limits its users set."""
+"""The modules that decide stay small enough to read: the limits that the users set."""
 
 import re
 import tomllib
@@ -8,6 +8,32 @@
 
 ROOT = Path(__file__).parent.parent
 POLICY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+#: The modules that decide, in the order of the deploy file: the way of a request, then what it needs.
+DECIDING = [
+    "balancer/balancer.py",
+    "balancer/admission_control.py",
+    "balancer/tenant_quota.py",
+    "balancer/client_timeouts.py",
+    "balancer/latency_statistics.py",
+    "balancer/attempts.py",
+    "balancer/endpoint_selection.py",
+    "balancer/subsetting.py",
+    "balancer/slow_start.py",
+    "balancer/circuit_breaker.py",
+    "balancer/retry_budget.py",
+    "balancer/hedging.py",
+    "balancer/endpoint_state.py",
+    "balancer/endpoint_pool.py",
+    "balancer/pool_assignment.py",
+    "balancer/endpoint_list.py",
+    "balancer/discovery_polling.py",
+    "balancer/rate_estimators.py",
+]
+#: The other modules of the package: typed values, their checks, and the reader of the settings.
+NOT_DECIDING = [
+    f"balancer/{name}.py"
+    for name in ("__init__", "endpoints", "errors", "events", "settings", "settings_reader", "validation")
+]
 
 
 def faults(text: str) -> list[str]:
@@ -21,7 +47,9 @@
 
 
 def test_policy_files_keep_the_limits() -> None:
-    assert POLICY == ["balancer/decide.py"]
+    assert POLICY == DECIDING
+    modules = {f"balancer/{path.name}" for path in (ROOT / "balancer").glob("*.py")}
+    assert modules == {*DECIDING, *NOT_DECIDING}, "a module that neither list names"
     assert faults("\n".join((ROOT / name).read_text() for name in POLICY)) == []
 
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -670,7 +670,7 @@
                 up.tell([entry(f"b{number}", one.address, since_ms=1000)])
                 assert status(await client.ask(read(number))) == 200
                 up.tell([entry(f"b{number}", one.address, "terminated", since_ms=1000)])
-            assert len(up.proxy.endpoint_table.backends) == len(up.proxy.balancer.servers) == 1
+            assert len(up.proxy.endpoint_table.backends) == len(up.proxy.balancer.endpoints.states) == 1
             await until(lambda: up.proxy.pool._connected <= 1)
 
     asyncio.run(play())
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -11,8 +11,7 @@
 from hypothesis import strategies as st
 from test_rules import BUDGETED, KINDS, OUTCOMES, RULES, fail_unseen, play, step
 
-from balancer import decide
-from balancer.decide import Balancer
+from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
 from balancer.events import Action, CancelAttempt, Fail, Outcome, SetTimer, StartAttempt
 from balancer.settings import (
@@ -185,7 +184,12 @@
     """What is known of each class, by its name."""
     b = c.balancer
     return {
-        row.name: (b.took[n], b.answers[n], b.usual[n], len(b.lengths[n]))
+        row.name: (
+            b.statistics.class_latency[n],
+            b.statistics.class_samples[n],
+            b.client_timeouts.usual[n],
+            len(b.client_timeouts.counts[n]),
+        )
         for n, row in enumerate(b.settings.classes)
     }
 
@@ -204,9 +208,9 @@
         answer_all(one, 0, 0.1)
         rid = one.request(1, 4.0)
     equal = replace(BASE, classes=tuple(replace(row) for row in BASE.classes))
-    pools = c.balancer.pools
+    pools = c.balancer.assignment.pools
     assert c.balancer.reconfigure(c.now, equal) == []
-    assert c.balancer.pools is pools
+    assert c.balancer.assignment.pools is pools
     assert learned(c) == learned(twin)
     assert outcome(c, rid, Outcome.ERROR) == outcome(twin, rid, Outcome.ERROR)
     for _ in range(20):  # the same random numbers follow
@@ -232,21 +236,28 @@
     c = checker()
     rid = c.request(2, 4.0)
     c.reconfigure(replace(BASE, classes=(SAFE, ONCE)))
-    before, mean = learned(c), c.balancer.mean
+    before, mean = learned(c), c.balancer.statistics.answer_latency
     c.advance(0.5)
     c.end(rid, 0, Outcome.SUCCESS)
     assert learned(c) == before
-    assert c.balancer.mean == mean
+    assert c.balancer.statistics.answer_latency == mean
 
 
 def test_another_customers_settings_begin_with_no_baseline() -> None:
     c = checker()
     answer_all(c, 0, 0.1, 40)
-    assert c.balancer.paced
-    assert c.balancer.calm > 0.0
+    assert c.balancer.statistics.sample_count
+    assert c.balancer.statistics.answer_baseline > 0.0
     c.reconfigure(replace(BASE, classes=(OTHER,)))
     b = c.balancer
-    assert (b.pooled, b.spread, b.mean, b.calm, b.pace, b.paced) == (0.0, 0.0, 0.0, 0.0, 0.0, 0)
+    assert (
+        b.statistics.tier_latency,
+        b.statistics.tier_deviation,
+        b.statistics.answer_latency,
+        b.statistics.answer_baseline,
+        b.statistics.latency_per_cost,
+        b.statistics.sample_count,
+    ) == (0.0, 0.0, 0.0, 0.0, 0.0, 0)
 
 
 def test_servers_stay_what_they_are() -> None:
@@ -255,13 +266,13 @@
     for _ in range(60):
         c.request(0, 4.0)
         c.advance(0.05)
-    known = c.balancer.servers[9]
-    breakers = {server: entry.breaker for server, entry in c.balancer.servers.items()}
-    credit = known.cold_credit
-    assert known.cold_seen > 0.0
+    known = c.balancer.endpoints.states[9]
+    breakers = {server: entry.breaker for server, entry in c.balancer.endpoints.states.items()}
+    credit = known.warmup_tokens
+    assert known.refilled_at > 0.0
     c.reconfigure(replace(BASE, rules=RULES, classes=(OTHER,), fleet_size=2))
-    assert {server: entry.breaker for server, entry in c.balancer.servers.items()} == breakers
-    assert known.cold_credit == credit
+    assert {server: entry.breaker for server, entry in c.balancer.endpoints.states.items()} == breakers
+    assert known.warmup_tokens == credit
     for _ in range(60):  # the harness sees to it that none goes to the one that drains
         c.request(0, 4.0)
 
@@ -275,10 +286,13 @@
     anew = checker(resized, rows).balancer
 
     def subset_of(b: Balancer) -> list[int]:
-        return [server.row.id for server in b.pools[0].subset]
+        return [server.endpoint.id for server in b.assignment.pools[0].subset]
 
     assert subset_of(c.balancer) == subset_of(anew)
-    assert (c.balancer.crowd, c.balancer.alone) == (anew.crowd, anew.alone)
+    assert (c.balancer.admission.shedding_strength, c.balancer.admission.admitted_alone) == (
+        anew.admission.shedding_strength,
+        anew.admission.admitted_alone,
+    )
 
 
 # ---- pools --------------------------------------------------------------------------------------
@@ -290,19 +304,19 @@
     bound = Settings(classes=(SAFE, BOUND), zone_count=2)
     c = checker(bound)
     rid = c.request(1, 4.0)
-    free, zoned = c.balancer.pool_of
+    free, zoned = c.balancer.assignment.by_class
     c.reconfigure(replace(bound, classes=(SAFE, OTHER, BOUND)))
-    assert c.balancer.pool_of == [free, free, zoned]
+    assert c.balancer.assignment.by_class == [free, free, zoned]
     c.reconfigure(replace(bound, classes=(replace(BOUND, name="another"), SAFE)))
-    another = c.balancer.pool_of[0]
+    another = c.balancer.assignment.by_class[0]
     assert another is not zoned
-    assert another.owed == 0
-    assert zoned.owed == 1
+    assert another.pending == 0
+    assert zoned.pending == 1
     c.end(rid, 0, Outcome.SUCCESS)
-    assert zoned.owed == 0
-    assert another.owed == 0
+    assert zoned.pending == 0
+    assert another.pending == 0
     c.reconfigure(bound)
-    assert zoned not in c.balancer.pools  # nothing holds it any more
+    assert zoned not in c.balancer.assignment.pools  # nothing holds it any more
 
 
 def test_a_further_attempt_goes_where_both_readings_allow_it() -> None:
@@ -313,8 +327,8 @@
     c.reconfigure(
         Settings(classes=(replace(BOUND, allowed_zones=None, allowed_machine_types=(1,)),), zone_count=2)
     )
-    assert len(c.balancer.pools) == 2  # one for all that were narrowed alike
-    assert sum(pool.owed for pool in c.balancer.pools) == 3
+    assert len(c.balancer.assignment.pools) == 2  # one for all that were narrowed alike
+    assert sum(pool.pending for pool in c.balancer.assignment.pools) == 3
     misplaced_attempts = c.balancer.misplaced_attempts()
     assert misplaced_attempts == [(rid, 0) for rid in rids if sent(c, rid) != [one]]
     c.end(rids[0], 0, Outcome.NOT_SENT)
@@ -335,8 +349,8 @@
         for rid, number in c.open_tries():
             c.end(rid, number, Outcome.SUCCESS)
     assert not c.balancer.requests
-    assert len(c.balancer.pools) <= 2
-    assert len(c.balancer.lengths) == 2
+    assert len(c.balancer.assignment.pools) <= 2
+    assert len(c.balancer.client_timeouts.counts) == 2
 
 
 # ---- budgets --------------------------------------------------------------------------------------
@@ -348,7 +362,7 @@
 def within(b: Balancer, now: float, tenant: int) -> int:
     """How many requests of a tenant are within its share at once; they are spent by it."""
     count = 0
-    while not b._over_share(now, tenant):
+    while b.tenant_quotas.take_token(now, tenant):
         count += 1
     return count
 
@@ -415,8 +429,8 @@
     c.reconfigure(replace(LATER, rules=stated))
     assert spend(c, 5) == 1
     c.reconfigure(replace(LATER, rules=RULES))  # stated no more
-    assert c.balancer.copy_budget is not c.balancer.budget
-    assert not c.balancer.copy_budget.allows(c.now)
+    assert c.balancer.retry_budgets.hedges is not c.balancer.retry_budgets.retries
+    assert not c.balancer.retry_budgets.hedges.allows(c.now)
 
 
 def test_a_budget_that_is_stated_counts_copies_that_went_out_before() -> None:
@@ -425,7 +439,7 @@
     assert isinstance(copy, StartAttempt)
     rules = replace(RULES, retry_budget_floor=1.0, retry_budget_window=9.0)
     b.reconfigure(timer.at, replace(b.settings, rules=rules))
-    assert not b.budget.allows(timer.at)
+    assert not b.retry_budgets.retries.allows(timer.at)
 
 
 def test_a_longer_span_counts_what_is_not_remembered() -> None:
@@ -558,8 +572,10 @@
             play(c, [taken], 0.0)
     c.advance(10.0)
     left = c.balancer.requests.values()
-    assert all(request.bound for request in left)  # streams that have begun know no deadline
-    assert sum(pool.owed for pool in c.balancer.pools) == sum(not request.done for request in left)
+    assert all(request.response_started for request in left)  # streams that have begun know no deadline
+    assert sum(pool.pending for pool in c.balancer.assignment.pools) == sum(
+        not request.answered for request in left
+    )
 
 
 @pytest.mark.parametrize(
@@ -582,7 +598,7 @@
     }[now]
     # What a module does that keeps to the class as admitted, or to the one in force.
     wrong = (lambda admitted, _stated: admitted) if first == 0 else (lambda _admitted, stated: stated)
-    monkeypatch.setattr(decide, "narrow_class", wrong)
+    monkeypatch.setattr("balancer.balancer.narrow_class", wrong)
     rows = [row for row in ROWS if row.zone == 0] if now == "places" else ROWS
     c = checker(replace(BASE, limits=Limits(max_attempts=1 if first else 3), zone_count=2), rows)
     rid = c.request(first, 4.0)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -36,7 +36,7 @@
 from test_config import BAD, bad, lines, path
 from test_server import ROOT, up_and_ready
 
-from balancer import decide
+from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
 from proxy.config import load
 from proxy.proxy import Proxy
@@ -229,7 +229,7 @@
             assert status(await other.ask(read(2, X_Tenant_Id="new"))) == 200
             assert status(await other.ask(read(3))) == 200
             balancer = up.proxy.balancer
-            assert [int(due) for due in balancer.due] == [45, 0]
+            assert [int(due) for due in balancer.tenant_quotas.tokens] == [45, 0]
             up.reload(Orgs=[{"Name": "new", "AllowancePerS": 9.0}])
             assert status(await other.ask(read(4))) == 400
             one.open[0].write(OK)
@@ -266,7 +266,7 @@
                             )
                         assert status(await client.ask(read(number))) == 200
                         assert b"id%d\r\n" % number in await soon(got.got.get())
-                        assert len(up.proxy.balancer.pool_of[0].ready) == 1
+                        assert len(up.proxy.balancer.assignment.by_class[0].ready) == 1
                 assert one.got.empty()
                 assert two.got.empty()
 
@@ -348,7 +348,7 @@
             done: list[str] = []
 
             def counted(name: str) -> Callable[..., Any]:
-                method = getattr(decide.Balancer, name)
+                method = getattr(Balancer, name)
 
                 def call(*args: Any) -> Any:
                     done.append(name)
@@ -356,12 +356,12 @@
 
                 return call
 
-            for name in ("_arrange", "on_endpoints_updated"):
-                monkeypatch.setattr(decide.Balancer, name, counted(name))
-            before = [server.row.id for server in up.proxy.balancer.pools[0].subset]
+            for name in ("_rebuild_pools", "on_endpoints_updated"):
+                monkeypatch.setattr(Balancer, name, counted(name))
+            before = [server.endpoint.id for server in up.proxy.balancer.assignment.pools[0].subset]
             up.reload(**swap)
-            assert done == ["_arrange"]
-            after = [server.row.id for server in up.proxy.balancer.pools[0].subset]
+            assert done == ["_rebuild_pools"]
+            after = [server.endpoint.id for server in up.proxy.balancer.assignment.pools[0].subset]
             assert (after != before) == ("Ordinal" in swap)
 
     asyncio.run(play())
@@ -403,9 +403,9 @@
             proxy, balancer = up.proxy, up.proxy.balancer
             kept = [
                 balancer.settings,
-                balancer.pools,
-                balancer.took,
-                balancer.due,
+                balancer.assignment.pools,
+                balancer.statistics.class_latency,
+                balancer.tenant_quotas.tokens,
                 proxy.pool._sweep_timer,
             ]
             order = dict(reversed(up.file.top.items())) | {"settings": dict(reversed(WIRE.items()))}
@@ -413,9 +413,9 @@
                 up.reload(top)
             now = [
                 balancer.settings,
-                balancer.pools,
-                balancer.took,
-                balancer.due,
+                balancer.assignment.pools,
+                balancer.statistics.class_latency,
+                balancer.tenant_quotas.tokens,
                 proxy.pool._sweep_timer,
             ]
             assert all(a is b for a, b in zip(kept, now, strict=True))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,9 +11,12 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from balancer import decide
+from balancer.attempts import RequestState
+from balancer.balancer import Balancer
+from balancer.endpoint_pool import EndpointPool
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
 from balancer.events import Outcome, StartAttempt
+from balancer.retry_budget import RetryBudget
 from balancer.settings import (
     DeduplicationScope,
     DiscoveryMode,
@@ -24,6 +27,7 @@
     Settings,
     Tenant,
 )
+from balancer.slow_start import SlowStart
 
 RULES = Rules(
     answer_slack=0.02,
@@ -159,7 +163,7 @@
 
 
 def test_a_module_that_ignores_cold_starts_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(decide.Balancer, "_spares_cold", lambda _self, _now, _server, _pool: False)
+    monkeypatch.setattr(SlowStart, "defers", lambda _self, _now, _state, _pool, _pools: False)
     with pytest.raises(AssertionError, match="pushed"):
         cold_push(0)
 
@@ -172,17 +176,17 @@
             checker.request(0, 3.0)
 
     drained()
-    arrange = decide.Balancer._arrange
+    rebuild_pools = Balancer._rebuild_pools
 
-    def keep(self: decide.Balancer, now: float) -> None:
-        told = {server: server.row for server in self.servers.values()}
-        for server in told:
-            server.row = Endpoint(server.row.id)
-        arrange(self, now)
-        for server, row in told.items():
-            server.row = row
+    def keep(self: Balancer, now: float) -> None:
+        delivered = {state: state.endpoint for state in self.endpoints.states.values()}
+        for state in delivered:
+            state.endpoint = Endpoint(state.endpoint.id)
+        rebuild_pools(self, now)
+        for state, endpoint in delivered.items():
+            state.endpoint = endpoint
 
-    monkeypatch.setattr(decide.Balancer, "_arrange", keep)
+    monkeypatch.setattr(Balancer, "_rebuild_pools", keep)
     with pytest.raises(AssertionError, match="drains or is gone"):
         drained()
 
@@ -210,7 +214,7 @@
         return before
 
     assert bound() > 15
-    monkeypatch.setattr(decide.EndpointPool, "opens", lambda _self, _row: True)
+    monkeypatch.setattr(EndpointPool, "allows", lambda _self, _row: True)
     with pytest.raises(AssertionError, match="not open to its class"):
         bound()
 
@@ -231,7 +235,7 @@
 
 
 def test_a_module_that_ignores_the_budget_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(decide.RetryBudget, "allows", lambda _self, _now: True)
+    monkeypatch.setattr(RetryBudget, "allows", lambda _self, _now: True)
     with pytest.raises(AssertionError, match="beyond the attempt budget"):
         spend(True)
 
@@ -267,10 +271,10 @@
     )
     play(Checker(config, 1, rows), steps)
     with monkeypatch.context() as patch:
-        patch.setattr(decide.Balancer, "_among", lambda self, _now, request: self.pool_of[request.kind].ready)
+        patch.setattr(RequestState, "retry_endpoints", lambda self, _now: self.pool.ready)
         with pytest.raises(AssertionError, match=r"sent twice|another"):
             play(Checker(config, 1, rows), steps)
     with monkeypatch.context() as patch:
-        patch.setattr(decide.Balancer, "_answer", lambda _self, *_rest: None)
+        patch.setattr(Balancer, "_answer", lambda _self, *_rest: [])
         with pytest.raises(AssertionError, match="final answers"):
             play(Checker(config, 1, rows), steps)
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from balancer.decide import Balancer
+from balancer.balancer import Balancer
 from balancer.events import Outcome
 from balancer.settings import DiscoveryMode, Idempotency
 from balancer.settings_reader import read_settings
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -9,7 +9,7 @@
 import pytest
 from loopback import HOST, WIRE, Clock, Running, entry, free_port, running
 
-from balancer.decide import Balancer
+from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
 from balancer.events import Action, PollEndpoints, SetTimer
 from balancer.settings import DiscoveryMode, Rules, Settings
