--- a/proxy/downstream/connection_state.py
+++ b/proxy/downstream/connection_state.py
@@ -13,7 +13,7 @@
     request is already there. A rejection, and a response that ends the connection, make it CLOSING. When it
     is aborted, or has ended, it is CLOSED.
 
-    The values are positions in `ConnectionRegistry.deadlines_by_state`.
+    The values count from 0: they are positions in `ConnectionRegistry.deadlines_by_state`.
     """
 
     NEW = 0  # connected, and nothing has come yet
--- a/proxy/downstream/eviction.py
+++ b/proxy/downstream/eviction.py
@@ -10,6 +10,7 @@
 import itertools
 from typing import TYPE_CHECKING
 
+from proxy.downstream.connection_state import CLOSING, IDLE, NEW, READING, ConnectionState
 from proxy.downstream.errors import HttpError
 
 if TYPE_CHECKING:
@@ -35,7 +36,8 @@
     Attributes:
         open: All connections that hold a descriptor, in whatever state.
         new, reading, idle, closing: The connections in that state. Insertion order is the order of eviction.
-        deadlines_by_state: The same four, at the position that `ConnectionState` gives; None for the others.
+        deadlines_by_state: The same four, at the position that `ConnectionState` gives. None for SERVING,
+            where the request has a deadline of its own, and for CLOSED.
     """
 
     def __init__(self, max_connections: int) -> None:
@@ -45,14 +47,8 @@
         self.reading: Deadlines = {}
         self.idle: Deadlines = {}
         self.closing: Deadlines = {}
-        self.deadlines_by_state: tuple[Deadlines | None, ...] = (
-            self.new,
-            self.reading,
-            None,  # SERVING: the request has a deadline of its own
-            self.idle,
-            self.closing,
-            None,  # CLOSED
-        )
+        by_state = {NEW: self.new, READING: self.reading, IDLE: self.idle, CLOSING: self.closing}
+        self.deadlines_by_state = tuple(by_state.get(state) for state in ConnectionState)
         self._loop = asyncio.get_running_loop()
         self._loop.call_later(SWEEP_INTERVAL, self._sweep)
 
