--- a/emulator/simulated_proxy.py
+++ b/emulator/simulated_proxy.py
@@ -18,6 +18,7 @@
 from emulator import topology
 from emulator.change_ages import AppliedUpdate, Publications, ages_when_applied
 from emulator.loopback import HOST
+from proxy.config import Address
 from proxy.discovery.endpoint_reader import DiscoveredEndpoint, EndpointReader
 from proxy.discovery.watch import DiscoveryClient
 from proxy.discovery.watch_connection import WatchConnection
@@ -53,7 +54,7 @@
 
     def __init__(
         self,
-        address: tuple[str, int],
+        address: Address,
         reader: EndpointReader,
         on_update: Callable[[UpdateKind, list[DiscoveredEndpoint]], None],
     ) -> None:
@@ -103,7 +104,7 @@
         self.view = view
         self.has_list = asyncio.Event()
         self.snapshots = 0
-        self.discovery = MeteredDiscovery((HOST, port), reader, self._on_update)
+        self.discovery = MeteredDiscovery(Address(HOST, port), reader, self._on_update)
         self._calls = 0
 
     def _now(self) -> float:
--- a/proxy/__main__.py
+++ b/proxy/__main__.py
@@ -51,7 +51,7 @@
     try:
         asyncio.run(serve(config))
     except OSError as fault:
-        print(f"proxy: {config.listen[0]}:{config.listen[1]}: {fault}", file=sys.stderr)
+        print(f"proxy: {config.listen}: {fault}", file=sys.stderr)
         return EXIT_CAN_NOT_LISTEN
     return EXIT_OK
 
--- a/proxy/config.py
+++ b/proxy/config.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 from hashlib import sha256
-from typing import Any
+from typing import Any, NamedTuple
 
 import orjson
 
@@ -19,8 +19,6 @@
 from balancer.settings_reader import DEDUPLICATION_SCOPES, DISCOVERY_MODES, IDEMPOTENCIES, read_settings
 from balancer.validation import check_number
 
-Address = tuple[str, int]  # host and port
-
 MAX_FILE_BYTES = 4 << 20  # as much as one list of discovery may take
 MAX_NUMBER = 1e9  # of a limit, or seconds: larger ones say nothing, and their sums may overflow
 MIN_IDLE_TIMEOUT = 0.001  # seconds: idle connections are looked at several times in it
@@ -34,6 +32,17 @@
 DEFAULT_DIAL_TIMEOUT = 0.25  # seconds
 
 
+class Address(NamedTuple):
+    """Where a process listens."""
+
+    host: str
+    port: int
+
+    def __str__(self) -> str:
+        """Return the form in which addresses stand in the configuration."""
+        return f"{self.host}:{self.port}"
+
+
 class ConfigError(RowandealError):
     """The environment or the configuration file makes no sense.
 
@@ -124,7 +133,7 @@
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isascii() and port.isdigit() and int(port) <= MAX_PORT):
         raise ConfigError(f"{text!r} is not an address of the form host:port")
-    return host, int(port)
+    return Address(host, int(port))
 
 
 def _read_file(path: str) -> bytes:
--- a/proxy/discovery/watch.py
+++ b/proxy/discovery/watch.py
@@ -93,7 +93,7 @@
         while True:
             request = b"GET /v1/servers?follow=1&since=%d HTTP/1.1\r\nHost: %b\r\n\r\n" % (
                 index,
-                address[0].encode(),
+                address.host.encode(),
             )
             connection = WatchConnection(self.on_message, request)
             await self._follow(address, connection)
--- a/proxy/reload.py
+++ b/proxy/reload.py
@@ -99,7 +99,7 @@
             self._listener.version = config.version(self._config_count)
             lines.append(f"version {self._listener.version} is in force")
         if config.discovery != in_force.discovery:
-            lines.append("discovery is at {}:{}".format(*config.discovery))
+            lines.append(f"discovery is at {config.discovery}")
         self._listener.config = config
         self._discovery.move(config.discovery)
         return lines
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,7 +15,7 @@
 from balancer.endpoints import UpdateKind
 from balancer.settings import Settings
 from balancer.settings_reader import read_settings
-from proxy.config import Config
+from proxy.config import Address, Config
 from proxy.discovery.endpoint_reader import EndpointReader
 from proxy.proxy import Proxy
 
@@ -206,8 +206,8 @@
     settings: Settings = read_settings(WIRE)
     values: dict[str, Any] = {
         "name": "n0",
-        "listen": (HOST, 0),
-        "discovery": (HOST, discovery),
+        "listen": Address(HOST, 0),
+        "discovery": Address(HOST, discovery),
         "seed": 1,
         "max_sockets": 1024,
         "memory_limit": 64 << 20,
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -34,6 +34,7 @@
 from balancer.settings import Settings
 from balancer.settings_reader import read_settings
 from proxy.active_request import ActiveRequest
+from proxy.config import Address
 from proxy.downstream.connection import DownstreamConnection
 from proxy.downstream.request_parser import RequestParser
 from proxy.proxy import Proxy
@@ -337,7 +338,7 @@
     def __init__(self, one: Backend, max_connections: int = 9, conn_idle: float = 60.0) -> None:
         self.upstream = ConnectionPool(max_connections, conn_idle, WIDE, 64 << 20)
         host, _, port = one.address.rpartition(":")
-        self.known = Known((host, int(port)))
+        self.known = Known(Address(host, int(port)))
         self.upstream.update_backend(self.known, self.known.address, 0.0, True)
         self.ended: asyncio.Queue[Outcome] = asyncio.Queue()
 
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -10,6 +10,7 @@
 
 from balancer.settings_reader import read_settings
 from proxy.__main__ import serve
+from proxy.config import Address
 
 WITHIN = 10.0  # seconds in which nine in ten processes have to be ready
 TIER = 20  # processes
@@ -55,7 +56,7 @@
         ports = [free_port() for _ in range(TIER)]
         tier = [
             asyncio.create_task(
-                serve(config(KNOWN[known], at, seed=seed, listen=(HOST, port), settings=settings))
+                serve(config(KNOWN[known], at, seed=seed, listen=Address(HOST, port), settings=settings))
             )
             for seed, port in enumerate(ports)
         ]
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -25,6 +25,7 @@
 )
 
 from proxy.__main__ import serve
+from proxy.config import Address
 
 BEAT = 2.0  # seconds between two empty lines, by the protocol
 COUNTS = 6.0  # seconds after a watch fell silent at which what it misses counts as told
@@ -109,7 +110,7 @@
             port = free_port()
             clock = Clock()
             known = [entry("a", one.address)]
-            proxy = asyncio.create_task(serve(config(known, registry.port, listen=(HOST, port))))
+            proxy = asyncio.create_task(serve(config(known, registry.port, listen=Address(HOST, port))))
             await clock.until(lambda: registry.asked.qsize() == 1)
             client = await connected(clock, port)
             client.writer.write(book())
