--- a/proxy/config.py
+++ b/proxy/config.py
@@ -1,4 +1,4 @@
-"""Reads the configuration file of one proxy into typed values, and says what is wrong with one that is none.
+"""Reads the configuration file of one proxy into typed values, and says what is wrong with a faulty one.
 
 Owns the file's form outside of `settings`, which `balancer.settings_reader` reads. Does not own which
 configuration is in force: `proxy.reload` takes over a new one.
--- a/proxy/discovery/watch.py
+++ b/proxy/discovery/watch.py
@@ -27,7 +27,7 @@
     """Takes updates of the endpoint list."""
 
     def __call__(self, kind: UpdateKind, endpoints: list[DiscoveredEndpoint], /) -> None:
-        """Take one update; a delta without entries says only that discovery is there."""
+        """Take one update; a delta without entries says only that discovery responds."""
 
 
 class DiscoveryClient:
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -93,7 +93,7 @@
         loop.call_later(EMPTY_LIST_DELAY, self._mark_loaded)
 
     def on_update(self, kind: UpdateKind, endpoints: list[DiscoveredEndpoint]) -> None:
-        """Take an update of the endpoint list; a delta without entries says that discovery is there."""
+        """Take an update of the endpoint list; a delta without entries says only that discovery responds."""
         if endpoints or kind is not UpdateKind.DELTA:
             self._update_endpoints(kind, endpoints)
         self._mark_loaded()
