--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -3,21 +3,27 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import json
 import socket
 import time
-from collections.abc import AsyncIterator, Awaitable, Callable
-from contextlib import asynccontextmanager, suppress
-from typing import Any, TypeVar
+from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine
+from contextlib import AsyncExitStack, asynccontextmanager, suppress
+from string import ascii_lowercase
+from typing import Any, ParamSpec, TypeVar
 
 import pytest
 
+from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
 from balancer.settings import Settings
 from balancer.settings_reader import read_settings
 from proxy.config import Address, Config
 from proxy.discovery.endpoint_reader import EndpointReader
+from proxy.dispatcher import Dispatcher
+from proxy.downstream.listener import Listener
 from proxy.proxy import Proxy
+from proxy.upstream import ConnectionPool
 
 WIDE = 20.0  # seconds that any wait may take on a loaded machine
 HOST = "127.0.0.1"
@@ -27,6 +33,7 @@
 MAY_HAVE_RUN = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
 CLOSE = b""  # a script's word for: close without an answer
 T = TypeVar("T")
+Parameters = ParamSpec("Parameters")
 
 WIRE: dict[str, Any] = {
     "Instances": 1,
@@ -44,6 +51,16 @@
 }
 
 
+def in_event_loop(test: Callable[Parameters, Coroutine[Any, Any, None]]) -> Callable[Parameters, None]:
+    """Run a test that is a coroutine function to its end, in an event loop of its own."""
+
+    @functools.wraps(test)
+    def run_test(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
+        asyncio.run(test(*args, **kwargs))
+
+    return run_test
+
+
 async def soon(what: Awaitable[T]) -> T:
     """Wait for an event, but not for ever."""
     return await asyncio.wait_for(what, WIDE)
@@ -270,6 +287,26 @@
     def __init__(self, proxy: Proxy, port: int) -> None:
         self.proxy, self.port = proxy, port
 
+    @property
+    def balancer(self) -> Balancer:
+        """Its decisions."""
+        return self.proxy.balancer
+
+    @property
+    def dispatcher(self) -> Dispatcher:
+        """Its active requests."""
+        return self.proxy.dispatcher
+
+    @property
+    def listener(self) -> Listener:
+        """Its clients' connections."""
+        return self.proxy.listener
+
+    @property
+    def pool(self) -> ConnectionPool:
+        """Its connections to backends."""
+        return self.proxy.pool
+
     def tell(self, entries: list[dict[str, Any]]) -> None:
         """Changes of the list, as if discovery had told them."""
         reader = EndpointReader({"here": 0, "there": 1}, {"k": 0})
@@ -292,6 +329,17 @@
         proxy.listener.stop_keepalive()
 
 
+@asynccontextmanager
+async def proxy_with_backends(
+    *scripts: Callable[[bytes], bytes | None], **changed: Any
+) -> AsyncIterator[tuple[Running, list[Backend]]]:
+    """A proxy, and a backend for each of the scripts, which it knows as "a", "b" and so on."""
+    async with AsyncExitStack() as stack:
+        backends = [await stack.enter_async_context(backend(script)) for script in scripts]
+        entries = [entry(name, each.address) for name, each in zip(ascii_lowercase, backends, strict=False)]
+        yield await stack.enter_async_context(running(entries, **changed)), backends
+
+
 def read(number: int = 1, timeout: str = "30", target: str = "/api/k", **headers: str) -> bytes:
     """A request of the class that is safe to repeat."""
     return _request("GET", "read", number, timeout, target, b"", headers)
