--- /dev/null
+++ b/tests/rules_checker.py
@@ -0,0 +1,268 @@
+"""Checks the rules of the decisions: plays legal events to a balancer, and asserts on each of its actions.
+
+The rules, in the order of the checks: a request gets one final answer, by its deadline; attempts go to
+endpoints that are up and open to the request's class; there are no more than the limits permit, hedged ones
+and cancellations included; retries stay within a stated retry budget; what may have run is sent again only as
+far as its class allows; and a request is rejected only where its client may repeat it without harm.
+
+`RulesChecker` keeps books of its own, from the events that it plays and the actions that come back, and looks
+at nothing inside the balancer. `test_rules.py` plays random sequences, and shows that broken balancers fail.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field, replace
+
+from balancer.balancer import Balancer
+from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
+from balancer.events import (
+    NEVER_RAN,
+    Action,
+    CancelAttempt,
+    Fail,
+    Outcome,
+    PollEndpoints,
+    Reject,
+    SetTimer,
+    StartAttempt,
+)
+from balancer.settings import DeduplicationScope, Idempotency, Limits, RequestClass, Settings
+
+START = 100.0  # seconds on the checker's clock
+TIMER_RESOLUTION = 1e-6  # seconds by which a timer fires later, at least
+
+
+@dataclass
+class CheckedAttempt:
+    """One attempt, with the endpoint as it was listed when the attempt began."""
+
+    endpoint: Endpoint
+    started_at: float
+    ends_by: float
+    outcome: Outcome | None = None
+
+    @property
+    def may_have_run(self) -> bool:
+        return self.outcome is None or self.outcome not in NEVER_RAN
+
+
+@dataclass
+class CheckedRequest:
+    """One request, with everything that settings have said of its class and limits since it was admitted."""
+
+    class_index: int
+    deadline: float
+    classes: list[RequestClass]
+    limits: list[Limits]
+    attempts: list[CheckedAttempt] = field(default_factory=list)
+    final_answers: int = 0
+    answered: bool = False
+    response_started: bool = False
+
+
+class RulesChecker:
+    """Feeds events to one balancer; every broken rule is an AssertionError.
+
+    Time passes in `advance` alone, which ends attempts at their timeout and fires the timers that are due.
+    """
+
+    def __init__(self, settings: Settings, seed: int, endpoints: list[Endpoint]) -> None:
+        self.settings = settings
+        self.balancer = Balancer(settings, seed)
+        self.now = START
+        self.endpoints: dict[int, Endpoint] = {}
+        self.requests: dict[str, CheckedRequest] = {}
+        self.timers: list[tuple[float, int]] = []
+        self.starts_by_endpoint: dict[int, list[float]] = {}
+        self.polls = 0
+        self.request_times: list[float] = []
+        self.retry_times: list[float] = []
+        self.update_endpoints(UpdateKind.CACHED, endpoints)
+        self.check(self.balancer.start(self.now))
+
+    # ---- events --------------------------------------------------------------------------
+
+    def update_endpoints(self, kind: UpdateKind, endpoints: list[Endpoint]) -> None:
+        """Deliver an endpoint list or a change to it."""
+        if kind in (UpdateKind.CACHED, UpdateKind.SNAPSHOT):
+            self.endpoints = {endpoint.id: endpoint for endpoint in endpoints}
+        elif kind is UpdateKind.DELTA:
+            self.endpoints.update({endpoint.id: endpoint for endpoint in endpoints})
+        self.check(self.balancer.on_endpoints_updated(self.now, kind, endpoints))
+
+    def request(self, class_index: int, time_left: float, tenant: int = 0) -> str:
+        """Bring a new request, and return its id."""
+        self.request_times.append(self.now)
+        request_id = f"r{len(self.request_times)}"
+        deadline = self.now + time_left
+        self.requests[request_id] = CheckedRequest(
+            class_index, deadline, [self.settings.classes[class_index]], [self.settings.limits]
+        )
+        self.check(self.balancer.on_request(self.now, request_id, class_index, tenant, deadline))
+        return request_id
+
+    def reconfigure(self, settings: Settings) -> None:
+        """Swap the settings; requests from before are held to all settings since they were admitted."""
+        self.settings = settings
+        stated = {request_class.name: request_class for request_class in settings.classes}
+        for request in self.requests.values():
+            request.limits.append(settings.limits)
+            if request.classes[0].name in stated:
+                request.classes.append(stated[request.classes[0].name])
+        self.check(self.balancer.reconfigure(self.now, settings))
+
+    def open_attempts(self) -> list[tuple[str, int]]:
+        """Return the id of the request and the number of each attempt that has not ended."""
+        return [
+            (request_id, number)
+            for request_id, request in self.requests.items()
+            for number, attempt in enumerate(request.attempts)
+            if attempt.outcome is None
+        ]
+
+    def finish_attempt(self, request_id: str, number: int, outcome: Outcome) -> list[Action]:
+        """End an attempt and return the actions; a success or the end of a started response is the answer."""
+        request = self.requests[request_id]
+        attempt = request.attempts[number]
+        attempt.outcome = outcome
+        if (outcome is Outcome.SUCCESS or request.response_started) and not request.answered:
+            request.final_answers += 1
+            request.answered = True
+        latency = self.now - attempt.started_at
+        actions = self.balancer.on_attempt_finished(
+            self.now, request_id, number, outcome, latency, request.answered
+        )
+        self.check(actions)
+        return actions
+
+    def disconnect(self, request_id: str) -> None:
+        """Let the client of a request leave; from then on none waits for its answer."""
+        request = self.requests[request_id]
+        if not request.answered:
+            request.answered = True
+            request.final_answers += 1
+        self.check(self.balancer.on_client_disconnected(self.now, request_id))
+
+    def start_response(self, request_id: str, number: int) -> None:
+        """Start the response as a stream: it belongs to one attempt and knows no deadline."""
+        request = self.requests[request_id]
+        self.check(self.balancer.on_response_started(self.now, request_id, number))
+        request.response_started = True
+        request.attempts[number].ends_by = request.deadline = float("inf")
+
+    def advance(self, span: float) -> None:
+        """Let time pass: timeouts first, then timers, in the order in which they are due."""
+        target = self.now + span
+        while due := [event for event in self._due_events() if event[0] <= target]:
+            at, is_timer, request_id, number = min(due)
+            self.now = max(self.now, at)
+            if is_timer:
+                self.timers.remove((at, number))
+                self.check(self.balancer.on_timer(self.now, number))
+            else:
+                self.finish_attempt(request_id, number, Outcome.TIMEOUT)
+        self.now = target
+        for request_id, request in self.requests.items():
+            if self.now > request.deadline + self.settings.rules.answer_slack:
+                assert request.final_answers == 1, (
+                    f"{request_id} has {request.final_answers} final answers after its deadline"
+                )
+
+    def _due_events(self) -> list[tuple[float, int, str, int]]:
+        """Return what is due: timeouts (0) with request and attempt number, timers (1) with their token."""
+        timeouts = [
+            (self.requests[request_id].attempts[number].ends_by, 0, request_id, number)
+            for request_id, number in self.open_attempts()
+        ]
+        return timeouts + [(at, 1, "", token) for at, token in self.timers]
+
+    # ---- checks --------------------------------------------------------------------------
+
+    def check(self, actions: list[Action]) -> None:
+        """Check the actions that a balancer returned, and carry them out."""
+        for action in actions:
+            if isinstance(action, SetTimer):
+                assert action.at >= self.now
+                self.timers.append((max(action.at, self.now + TIMER_RESOLUTION), action.token))
+            elif isinstance(action, PollEndpoints):
+                self.polls += 1
+            elif isinstance(action, StartAttempt):
+                self._check_start(action)
+            elif isinstance(action, CancelAttempt):
+                self._check_cancel(action)
+            else:
+                self._check_final_answer(action)
+
+    def _check_start(self, action: StartAttempt) -> None:
+        request = self.requests[action.request]
+        assert not request.answered, "sent after the final answer"
+        assert not request.response_started, "sent after its response started"
+        endpoint = self.endpoints[action.endpoint]
+        assert endpoint.status is EndpointStatus.UP, "sent to an endpoint that drains or is gone"
+        for limits in request.limits:
+            assert len(request.attempts) < limits.max_attempts
+            if any(attempt.outcome is None for attempt in request.attempts):
+                assert limits.hedging, "a hedged request is not permitted"
+        for request_class in request.classes:
+            self._check_place(request, request_class, endpoint)
+        if request.attempts:
+            self._check_retry_budget()
+        ends_by = request.deadline
+        if action.timeout > 0.0:
+            ends_by = min(ends_by, self.now + action.timeout)
+        request.attempts.append(CheckedAttempt(replace(endpoint), self.now, ends_by))
+        self.starts_by_endpoint.setdefault(action.endpoint, []).append(self.now)
+
+    def _check_retry_budget(self) -> None:
+        self.retry_times.append(self.now)
+        rules = self.settings.rules
+        if not rules.retry_budget_window:
+            return
+        since = self.now - rules.retry_budget_window
+        requests = sum(at > since for at in self.request_times)
+        allowed = rules.retry_budget_floor + rules.retry_budget_ratio * requests
+        assert sum(at >= since for at in self.retry_times) <= allowed, "beyond the retry budget"
+
+    def _check_place(self, request: CheckedRequest, request_class: RequestClass, endpoint: Endpoint) -> None:
+        for allowed, place in (
+            (request_class.allowed_machine_types, endpoint.machine_type),
+            (request_class.allowed_zones, endpoint.zone),
+        ):
+            assert allowed is None or place in allowed, "sent to an endpoint that is not open to its class"
+        possible_runs = [attempt for attempt in request.attempts if attempt.may_have_run]
+        if not possible_runs or request_class.idempotency is Idempotency.IDEMPOTENT:
+            return
+        assert request_class.idempotency is Idempotency.KEYED, "a non-idempotent request was sent twice"
+        age = self.now - min(attempt.started_at for attempt in possible_runs)
+        assert age <= request_class.deduplication_window, "repeated after its window"
+        for attempt in possible_runs:
+            if request_class.deduplication_scope is DeduplicationScope.ZONE:
+                assert attempt.endpoint.zone == endpoint.zone, "repeated in another zone"
+            if request_class.deduplication_scope is DeduplicationScope.CELL:
+                assert attempt.endpoint.cell == endpoint.cell, "repeated in another cell"
+
+    def _check_cancel(self, action: CancelAttempt) -> None:
+        request = self.requests[action.request]
+        assert all(limits.cancel for limits in request.limits), "cancel is not permitted"
+        attempt = request.attempts[action.attempt]
+        assert attempt.outcome is None, "cancelled an attempt that had ended"
+        attempt.ends_by = self.now  # ends at once, as cancelled or as something on its way
+
+    def _check_final_answer(self, action: Reject | Fail) -> None:
+        request = self.requests[action.request]
+        assert not request.answered, "a second final answer"
+        if isinstance(action, Reject):
+            for request_class in request.classes:
+                assert _is_harmless(request, request_class), "rejected although it may have run"
+        request.answered = True
+        request.final_answers += 1
+
+
+def _is_harmless(request: CheckedRequest, request_class: RequestClass) -> bool:
+    """Whether the client may repeat the request without harm."""
+    if request_class.idempotency is Idempotency.IDEMPOTENT:
+        return True
+    keyed = request_class.idempotency is Idempotency.KEYED
+    if keyed and request_class.deduplication_scope is DeduplicationScope.ALL:
+        return True
+    return not any(attempt.may_have_run for attempt in request.attempts)
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -8,7 +8,7 @@
 from random import Random
 
 import pytest
-from harness import Checker
+from rules_checker import RulesChecker
 
 from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
@@ -117,22 +117,22 @@
 
 def test_subsets_widen_with_the_calls_in_flight() -> None:
     settings = Settings(classes=(SAFE,), fleet_size=40)
-    checker = Checker(settings, 1, [Endpoint(i) for i in range(40)])
+    checker = RulesChecker(settings, 1, [Endpoint(i) for i in range(40)])
     assert len(checker.balancer.assignment.pools[0].subset) == 1
     steady(checker, 8.0, 100.0)
     assert 3 < len(checker.balancer.assignment.pools[0].subset) < 40
 
 
-def steady(checker: Checker, seconds: float, rate: float, kind: int = 0) -> None:
+def steady(checker: RulesChecker, seconds: float, rate: float, kind: int = 0) -> None:
     """Calls at an even pace, each answered after about a third of a second."""
     rng = Random(7)
     end = checker.now + seconds
     while checker.now < end:
         checker.request(kind, 4.0)
         checker.advance(1.0 / rate)
-        for rid, number in checker.open_tries():
+        for rid, number in checker.open_attempts():
             if rng.random() < 3.0 / rate:
-                checker.end(rid, number, Outcome.SUCCESS)
+                checker.finish_attempt(rid, number, Outcome.SUCCESS)
 
 
 def test_overload_refuses_the_cheapest_class_first() -> None:
@@ -535,14 +535,14 @@
 @pytest.mark.parametrize(("balancers", "taken"), [(2, 4), (3, 3)])
 def test_a_burst_at_a_proxy_alone_in_its_zone_is_no_overload(balancers: int, taken: int) -> None:
     settings = Settings(classes=(DEAR,), fleet_size=balancers, zone_count=2, limits=Limits(cancel=True))
-    checker = Checker(settings, 5, ROWS)
+    checker = RulesChecker(settings, 5, ROWS)
     for _ in range(8):
         rid = checker.request(0, 4.0)
         checker.advance(0.05)
-        checker.end(rid, 0, Outcome.SUCCESS)
+        checker.finish_attempt(rid, 0, Outcome.SUCCESS)
         checker.advance(0.95)
     rids = [checker.request(0, 4.0) for _ in range(4)]
-    assert sum(bool(checker.owed[rid].tries) for rid in rids) == taken
+    assert sum(bool(checker.requests[rid].attempts) for rid in rids) == taken
 
 
 def served(b: Balancer, latency: float = 0.05, count: int = 40) -> None:
@@ -625,7 +625,7 @@
     ],
 )
 def test_refused_clients_hear_when_to_come_back(tier: int, limits: Limits, least: float, most: float) -> None:
-    checker = Checker(Settings(classes=(SAFE,), tier=tier, tier_count=2, limits=limits), 3, ROWS)
+    checker = RulesChecker(Settings(classes=(SAFE,), tier=tier, tier_count=2, limits=limits), 3, ROWS)
     steady(checker, 4.0, 10.0)
     b = checker.balancer
     b.on_endpoints_updated(checker.now, UpdateKind.SNAPSHOT, [])  # nowhere to go: refused, whatever the room
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -6,14 +6,14 @@
 from typing import Any
 
 import pytest
-from harness import Checker
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
+from rules_checker import RulesChecker
 from test_rules import BUDGETED, KINDS, OUTCOMES, RULES, fail_unseen, play, step
 
 from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
-from balancer.events import Action, CancelAttempt, Fail, Outcome, SetTimer, StartAttempt
+from balancer.events import CancelAttempt, Fail, Outcome, SetTimer, StartAttempt
 from balancer.settings import (
     DeduplicationScope,
     DiscoveryMode,
@@ -32,22 +32,13 @@
 ROWS = [Endpoint(i, zone=i % 2, cell=i % 3) for i in range(1, 7)]
 
 
-def checker(stated: Settings = BASE, rows: list[Endpoint] = ROWS) -> Checker:
-    return Checker(stated, 1, rows)
+def checker(stated: Settings = BASE, rows: list[Endpoint] = ROWS) -> RulesChecker:
+    return RulesChecker(stated, 1, rows)
 
 
-def sent(c: Checker, rid: str) -> list[int]:
+def sent(c: RulesChecker, rid: str) -> list[int]:
     """The servers that a request went to."""
-    return [attempt.row.id for attempt in c.owed[rid].tries]
-
-
-def outcome(c: Checker, rid: str, how: Outcome, number: int = 0) -> list[Action]:
-    """What the module does at the end of an attempt; the harness checks it too."""
-    seen: list[Action] = []
-    apply, c.apply = c.apply, lambda actions: (seen.extend(actions), apply(actions))[1]  # type: ignore
-    c.end(rid, number, how)
-    c.apply = apply  # type: ignore[method-assign]
-    return seen
+    return [attempt.endpoint.id for attempt in c.requests[rid].attempts]
 
 
 # ---- requests in flight ------------------------------------------------------------------
@@ -59,8 +50,8 @@
     once = c.request(1, 4.0)
     safe = c.request(0, 4.0)
     c.reconfigure(replace(BASE, classes=order))
-    assert outcome(c, once, Outcome.TIMEOUT) == [Fail(once)]
-    [again] = outcome(c, safe, Outcome.TIMEOUT)
+    assert c.finish_attempt(once, 0, Outcome.TIMEOUT) == [Fail(once)]
+    [again] = c.finish_attempt(safe, 0, Outcome.TIMEOUT)
     assert isinstance(again, StartAttempt)
 
 
@@ -82,7 +73,7 @@
             ),
         )
     )
-    assert outcome(c, rid, Outcome.TIMEOUT) == [Fail(rid)]
+    assert c.finish_attempt(rid, 0, Outcome.TIMEOUT) == [Fail(rid)]
 
 
 @pytest.mark.parametrize("first", [0, 2])
@@ -94,7 +85,7 @@
     c.reconfigure(replace(BASE, classes=strict))
     if swaps == 2:  # back again: it was forbidden meanwhile
         c.reconfigure(BASE)
-    assert outcome(c, rid, Outcome.TIMEOUT) == [Fail(rid)]
+    assert c.finish_attempt(rid, 0, Outcome.TIMEOUT) == [Fail(rid)]
 
 
 @pytest.mark.parametrize(
@@ -105,16 +96,16 @@
     rid = c.request(2, 4.0)
     c.reconfigure(replace(BASE, classes=(SAFE, ONCE, replace(KEYED, **change))))
     c.advance(0.1)
-    assert not any(isinstance(action, StartAttempt) for action in outcome(c, rid, Outcome.TIMEOUT))
+    assert not any(isinstance(action, StartAttempt) for action in c.finish_attempt(rid, 0, Outcome.TIMEOUT))
 
 
 def test_what_never_ran_is_sent_again_whatever_became_of_its_class() -> None:
     c = checker()
     rid = c.request(1, 4.0)
     c.reconfigure(replace(BASE, classes=(OTHER,)))
-    [again] = outcome(c, rid, Outcome.UNREACHABLE)
+    [again] = c.finish_attempt(rid, 0, Outcome.UNREACHABLE)
     assert isinstance(again, StartAttempt)
-    assert outcome(c, rid, Outcome.SUCCESS, 1) == []
+    assert c.finish_attempt(rid, 1, Outcome.SUCCESS) == []
     assert not c.balancer.requests
 
 
@@ -125,8 +116,10 @@
     [first] = sent(c, rid)
     assert c.balancer.reconfigure(c.now, replace(stated, classes=(OTHER,))) == []
     left = next(row for row in ROWS if row.id != first)
-    c.members(UpdateKind.DELTA, [replace(row, status=EndpointStatus.DRAINING) for row in ROWS if row != left])
-    [again] = outcome(c, rid, Outcome.TIMEOUT)
+    c.update_endpoints(
+        UpdateKind.DELTA, [replace(row, status=EndpointStatus.DRAINING) for row in ROWS if row != left]
+    )
+    [again] = c.finish_attempt(rid, 0, Outcome.TIMEOUT)
     assert isinstance(again, StartAttempt)
     assert again.endpoint == left.id
 
@@ -137,8 +130,8 @@
     rid = c.request(0, 4.0)
     c.reconfigure(replace(BASE, limits=Limits(max_attempts=after)))
     for number in range(6):
-        if (rid, number) in c.open_tries():
-            c.end(rid, number, Outcome.UNREACHABLE)
+        if (rid, number) in c.open_attempts():
+            c.finish_attempt(rid, number, Outcome.UNREACHABLE)
     assert len(sent(c, rid)) == tries
 
 
@@ -180,7 +173,7 @@
 # ---- what was learned -----------------------------------------------------------------------
 
 
-def learned(c: Checker) -> dict[str, tuple[float, int, int, int]]:
+def learned(c: RulesChecker) -> dict[str, tuple[float, int, int, int]]:
     """What is known of each class, by its name."""
     b = c.balancer
     return {
@@ -194,12 +187,12 @@
     }
 
 
-def answer_all(c: Checker, kind: int, after: float, times: int = 8) -> None:
+def answer_all(c: RulesChecker, kind: int, after: float, times: int = 8) -> None:
     for _ in range(times):
         rid = c.request(kind, 4.0)
         c.advance(after)
-        for number in [n for r, n in c.open_tries() if r == rid]:
-            c.end(rid, number, Outcome.SUCCESS)
+        for number in [n for r, n in c.open_attempts() if r == rid]:
+            c.finish_attempt(rid, number, Outcome.SUCCESS)
 
 
 def test_equal_settings_change_nothing() -> None:
@@ -212,7 +205,7 @@
     assert c.balancer.reconfigure(c.now, equal) == []
     assert c.balancer.assignment.pools is pools
     assert learned(c) == learned(twin)
-    assert outcome(c, rid, Outcome.ERROR) == outcome(twin, rid, Outcome.ERROR)
+    assert c.finish_attempt(rid, 0, Outcome.ERROR) == twin.finish_attempt(rid, 0, Outcome.ERROR)
     for _ in range(20):  # the same random numbers follow
         assert sent(c, c.request(0, 4.0)) == sent(twin, twin.request(0, 4.0))
 
@@ -238,7 +231,7 @@
     c.reconfigure(replace(BASE, classes=(SAFE, ONCE)))
     before, mean = learned(c), c.balancer.statistics.answer_latency
     c.advance(0.5)
-    c.end(rid, 0, Outcome.SUCCESS)
+    c.finish_attempt(rid, 0, Outcome.SUCCESS)
     assert learned(c) == before
     assert c.balancer.statistics.answer_latency == mean
 
@@ -262,7 +255,7 @@
 
 def test_servers_stay_what_they_are() -> None:
     c = checker(replace(BASE, rules=RULES), [*ROWS[:5], Endpoint(9, started=99.0)])
-    c.members(UpdateKind.DELTA, [replace(ROWS[0], status=EndpointStatus.DRAINING)])
+    c.update_endpoints(UpdateKind.DELTA, [replace(ROWS[0], status=EndpointStatus.DRAINING)])
     for _ in range(60):
         c.request(0, 4.0)
         c.advance(0.05)
@@ -273,7 +266,7 @@
     c.reconfigure(replace(BASE, rules=RULES, classes=(OTHER,), fleet_size=2))
     assert {server: entry.breaker for server, entry in c.balancer.endpoints.states.items()} == breakers
     assert known.warmup_tokens == credit
-    for _ in range(60):  # the harness sees to it that none goes to the one that drains
+    for _ in range(60):  # the checker sees to it that none goes to the one that drains
         c.request(0, 4.0)
 
 
@@ -312,7 +305,7 @@
     assert another is not zoned
     assert another.pending == 0
     assert zoned.pending == 1
-    c.end(rid, 0, Outcome.SUCCESS)
+    c.finish_attempt(rid, 0, Outcome.SUCCESS)
     assert zoned.pending == 0
     assert another.pending == 0
     c.reconfigure(bound)
@@ -323,7 +316,7 @@
     c = checker(Settings(classes=(BOUND,), zone_count=2))
     rids = [c.request(0, 4.0) for _ in range(3)]
     one = next(row.id for row in ROWS if row.zone == 0 and row.id not in sent(c, rids[0]))
-    c.members(UpdateKind.DELTA, [replace(row, machine_type=1) for row in ROWS if row.id == one])
+    c.update_endpoints(UpdateKind.DELTA, [replace(row, machine_type=1) for row in ROWS if row.id == one])
     c.reconfigure(
         Settings(classes=(replace(BOUND, allowed_zones=None, allowed_machine_types=(1,)),), zone_count=2)
     )
@@ -331,7 +324,7 @@
     assert sum(pool.pending for pool in c.balancer.assignment.pools) == 3
     misplaced_attempts = c.balancer.misplaced_attempts()
     assert misplaced_attempts == [(rid, 0) for rid in rids if sent(c, rid) != [one]]
-    c.end(rids[0], 0, Outcome.NOT_SENT)
+    c.finish_attempt(rids[0], 0, Outcome.NOT_SENT)
     assert sent(c, rids[0])[1:] == [one]
 
 
@@ -346,8 +339,8 @@
                 zone_count=2,
             )
         )
-        for rid, number in c.open_tries():
-            c.end(rid, number, Outcome.SUCCESS)
+        for rid, number in c.open_attempts():
+            c.finish_attempt(rid, number, Outcome.SUCCESS)
     assert not c.balancer.requests
     assert len(c.balancer.assignment.pools) <= 2
     assert len(c.balancer.client_timeouts.counts) == 2
@@ -400,12 +393,12 @@
 LATER = Settings(classes=(SAFE,), tier=1, tier_count=2)  # a tier that takes whatever comes
 
 
-def spend(c: Checker, requests: int) -> int:
+def spend(c: RulesChecker, requests: int) -> int:
     """Requests whose attempts all fail unseen; returns how many further attempts they got."""
-    before = len(c.further)
+    before = len(c.retry_times)
     for _ in range(requests):
         fail_unseen(c, 0, 3)
-    return len(c.further) - before
+    return len(c.retry_times) - before
 
 
 def test_a_swap_does_not_refill_the_retry_budget() -> None:
@@ -485,7 +478,7 @@
         c.balancer.reconfigure(c.now, bad)
     assert c.balancer.settings is BASE
     assert learned(c) == learned(twin)
-    assert outcome(c, rid, Outcome.TIMEOUT) == outcome(twin, rid, Outcome.TIMEOUT)
+    assert c.finish_attempt(rid, 0, Outcome.TIMEOUT) == twin.finish_attempt(rid, 0, Outcome.TIMEOUT)
     assert sent(c, c.request(0, 4.0)) == sent(twin, twin.request(0, 4.0))
 
 
@@ -557,7 +550,7 @@
         limits=Limits(cancel=True, hedging=True, max_attempts=4),
     )
     rows = [Endpoint(1000 + i, EndpointStatus.UP, i % 2, i // 3, machine_type=i % 3) for i in range(servers)]
-    c = Checker(stated, seed, rows)
+    c = RulesChecker(stated, seed, rows)
     for taken in steps:
         if taken[0] == 10:
             c.reconfigure(changed(c.settings, taken[1]))
@@ -565,9 +558,9 @@
             _, a, b = taken
             kinds, tenants = len(c.settings.classes), max(1, len(c.settings.tenants))
             c.request(a % kinds, 0.05 + (b % 300) / 100.0, a % tenants)
-        elif taken[0] <= 6 and c.open_tries():
-            rid, number = c.open_tries()[taken[1] % len(c.open_tries())]
-            c.end(rid, number, OUTCOMES[taken[2] % len(OUTCOMES)])
+        elif taken[0] <= 6 and c.open_attempts():
+            rid, number = c.open_attempts()[taken[1] % len(c.open_attempts())]
+            c.finish_attempt(rid, number, OUTCOMES[taken[2] % len(OUTCOMES)])
         else:
             play(c, [taken], 0.0)
     c.advance(10.0)
@@ -582,7 +575,7 @@
     ("first", "now", "message"),
     [
         (0, "later", "sent twice"),
-        (1, "later", "refused although"),
+        (1, "later", "rejected although"),
         (0, "places", "not open"),
     ],
 )
@@ -604,4 +597,4 @@
     rid = c.request(first, 4.0)
     c.reconfigure(replace(c.settings, classes=later))
     with pytest.raises(AssertionError, match=message):
-        c.end(rid, 0, Outcome.TIMEOUT)
+        c.finish_attempt(rid, 0, Outcome.TIMEOUT)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,9 +7,9 @@
 from random import Random
 
 import pytest
-from harness import Checker
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
+from rules_checker import RulesChecker
 
 from balancer.attempts import RequestState
 from balancer.balancer import Balancer
@@ -59,16 +59,16 @@
 step = st.tuples(st.integers(0, 9), st.integers(0, 10_000), st.integers(0, 10_000))
 
 
-def play(checker: Checker, steps: list[tuple[int, int, int]], settle: float = 10.0) -> None:
+def play(checker: RulesChecker, steps: list[tuple[int, int, int]], settle: float = 10.0) -> None:
     for what, a, b in steps:
         if what <= 3:
             checker.request(a % len(KINDS), 0.05 + (b % 300) / 100.0, a % 2)
         elif what <= 6:
-            tries = checker.open_tries()
+            tries = checker.open_attempts()
             if tries:
-                checker.end(*tries[a % len(tries)], OUTCOMES[b % len(OUTCOMES)])
+                checker.finish_attempt(*tries[a % len(tries)], OUTCOMES[b % len(OUTCOMES)])
         elif what == 7:
-            rows = list(checker.rows.values())
+            rows = list(checker.endpoints.values())
             if not rows:
                 continue
             row = rows[a % len(rows)]
@@ -78,16 +78,21 @@
             changed = replace(row, status=state, started=started)
             if kind is UpdateKind.SNAPSHOT:
                 rest = [r for r in rows if r.id != row.id and r.status is not EndpointStatus.GONE]
-                checker.members(kind, rest if state is EndpointStatus.GONE else [*rest, changed])
+                checker.update_endpoints(kind, rest if state is EndpointStatus.GONE else [*rest, changed])
             else:
-                checker.members(kind, [changed] if kind is UpdateKind.DELTA else [])
-        elif what == 8 and checker.owed:
-            rid = list(checker.owed)[a % len(checker.owed)]
-            numbers = [n for r, n in checker.open_tries() if r == rid]
-            if b % 3 == 0 and numbers and not checker.owed[rid].ended and not checker.owed[rid].begun:
-                checker.begin(rid, numbers[-1])
+                checker.update_endpoints(kind, [changed] if kind is UpdateKind.DELTA else [])
+        elif what == 8 and checker.requests:
+            rid = list(checker.requests)[a % len(checker.requests)]
+            numbers = [n for r, n in checker.open_attempts() if r == rid]
+            if (
+                b % 3 == 0
+                and numbers
+                and not checker.requests[rid].answered
+                and not checker.requests[rid].response_started
+            ):
+                checker.start_response(rid, numbers[-1])
             else:
-                checker.leave(rid)
+                checker.disconnect(rid)
         else:
             checker.advance((a % 1000) / 1000.0)
     checker.advance(settle)
@@ -124,33 +129,33 @@
         limits=Limits(cancel=cancel, hedging=second, max_attempts=attempts),
     )
     rows = [Endpoint(1000 + i, EndpointStatus.UP, i % 2, i // 3, machine_type=i % 3) for i in range(servers)]
-    play(Checker(config, seed, rows), steps)
+    play(RulesChecker(config, seed, rows), steps)
 
 
-def steady(checker: Checker, seconds: float, rate: float, rng: Random) -> None:
+def steady(checker: RulesChecker, seconds: float, rate: float, rng: Random) -> None:
     """Answer a steady stream of calls, each after about a tenth of a second."""
     end = checker.now + seconds
     while checker.now < end:
         checker.request(0, 3.0)
         checker.advance(1.0 / rate)
-        for rid, number in checker.open_tries():
+        for rid, number in checker.open_attempts():
             if rng.random() < 0.3:
-                checker.end(rid, number, Outcome.SUCCESS)
+                checker.finish_attempt(rid, number, Outcome.SUCCESS)
 
 
 def cold_push(seed: int) -> None:
     """A server restarts under a steady stream; asserts that it gets no more than it can do for certain."""
     config = Settings(classes=KINDS, rules=RULES)
     rows = [Endpoint(i) for i in range(10)]
-    checker = Checker(config, seed, rows)
+    checker = RulesChecker(config, seed, rows)
     rng = Random(seed)
     steady(checker, 5.0, 100.0, rng)
-    checker.members(UpdateKind.DELTA, [Endpoint(3, started=checker.now)])
+    checker.update_endpoints(UpdateKind.DELTA, [Endpoint(3, started=checker.now)])
     begin = checker.now
-    checker.sends.clear()
+    checker.starts_by_endpoint.clear()
     steady(checker, 4.0, 100.0, rng)
-    cold = [t for t in checker.sends.get(3, []) if t >= begin]
-    warm = sum(len(v) for k, v in checker.sends.items() if k != 3) / 9
+    cold = [t for t in checker.starts_by_endpoint.get(3, []) if t >= begin]
+    warm = sum(len(v) for k, v in checker.starts_by_endpoint.items() if k != 3) / 9
     # after 4 s it can do 0.14 + 0.86 * 4 / 20 = 0.31 for certain; three times that would push it over
     assert len(cold) <= 0.31 * 2 * warm, "a cold server was pushed"
     for first, later in pairwise(cold):
@@ -170,8 +175,8 @@
 
 def test_a_module_that_ignores_drains_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def drained() -> None:
-        checker = Checker(Settings(classes=KINDS), 1, [Endpoint(1), Endpoint(2)])
-        checker.members(UpdateKind.DELTA, [Endpoint(1, EndpointStatus.DRAINING)])
+        checker = RulesChecker(Settings(classes=KINDS), 1, [Endpoint(1), Endpoint(2)])
+        checker.update_endpoints(UpdateKind.DELTA, [Endpoint(1, EndpointStatus.DRAINING)])
         for _ in range(20):
             checker.request(0, 3.0)
 
@@ -191,26 +196,26 @@
         drained()
 
 
-def fail_unseen(checker: Checker, kind: int, tries: int) -> None:
+def fail_unseen(checker: RulesChecker, kind: int, tries: int) -> None:
     """A request of which so many attempts in a row cannot be delivered."""
     rid = checker.request(kind, 3.0)
     for number in range(tries):
-        if (rid, number) in checker.open_tries():
-            checker.end(rid, number, Outcome.UNREACHABLE)
+        if (rid, number) in checker.open_attempts():
+            checker.finish_attempt(rid, number, Outcome.UNREACHABLE)
 
 
 def test_a_module_that_ignores_placement_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def bound() -> int:
         rows = [Endpoint(i, zone=i % 2, machine_type=i % 3) for i in range(12)]
-        checker = Checker(Settings(classes=KINDS, zone_count=2, limits=Limits(max_attempts=4)), 1, rows)
+        checker = RulesChecker(Settings(classes=KINDS, zone_count=2, limits=Limits(max_attempts=4)), 1, rows)
         for n in range(40):
             fail_unseen(checker, 5 + n % 2, 4)
             checker.advance(0.5)
         none_open = [replace(row, status=EndpointStatus.GONE) for row in rows if row.machine_type == 1]
-        checker.members(UpdateKind.DELTA, none_open)
-        before = sum(len(v) for v in checker.sends.values())
+        checker.update_endpoints(UpdateKind.DELTA, none_open)
+        before = sum(len(v) for v in checker.starts_by_endpoint.values())
         checker.request(5, 3.0)
-        assert sum(len(v) for v in checker.sends.values()) == before
+        assert sum(len(v) for v in checker.starts_by_endpoint.values()) == before
         return before
 
     assert bound() > 15
@@ -222,11 +227,11 @@
 def spend(stated: bool) -> int:
     """Every attempt fails unseen; returns how many further attempts were sent in 20 s."""
     rules = BUDGETED if stated else RULES
-    checker = Checker(Settings(classes=KINDS, rules=rules), 1, [Endpoint(i) for i in range(40)])
+    checker = RulesChecker(Settings(classes=KINDS, rules=rules), 1, [Endpoint(i) for i in range(40)])
     for _ in range(200):
         fail_unseen(checker, 0, 3)
         checker.advance(0.1)
-    return sum(max(0, len(owed.tries) - 1) for owed in checker.owed.values())
+    return sum(max(0, len(owed.attempts) - 1) for owed in checker.requests.values())
 
 
 @pytest.mark.parametrize(("stated", "low", "high"), [(True, 8, 77), (False, 8, 50)])
@@ -236,27 +241,27 @@
 
 def test_a_module_that_ignores_the_budget_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(RetryBudget, "allows", lambda _self, _now: True)
-    with pytest.raises(AssertionError, match="beyond the attempt budget"):
+    with pytest.raises(AssertionError, match="beyond the retry budget"):
         spend(True)
 
 
 def test_the_checker_covers_copies_and_streams() -> None:
-    checker = Checker(Settings(classes=KINDS), 1, [Endpoint(1), Endpoint(2)])
+    checker = RulesChecker(Settings(classes=KINDS), 1, [Endpoint(1), Endpoint(2)])
     rid = checker.request(0, 3.0)
-    with pytest.raises(AssertionError, match="second copy"):
-        checker.apply([StartAttempt(rid, 2)])
-    checker.begin(rid, 0)
+    with pytest.raises(AssertionError, match="hedged request"):
+        checker.check([StartAttempt(rid, 2)])
+    checker.start_response(rid, 0)
     checker.advance(20.0)  # a begun stream knows no deadline...
-    with pytest.raises(AssertionError, match="after its stream began"):
-        checker.apply([StartAttempt(rid, 2)])
+    with pytest.raises(AssertionError, match="after its response started"):
+        checker.check([StartAttempt(rid, 2)])
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_all_cold_at_once(seed: int) -> None:
     rows = [Endpoint(i, started=100.0) for i in range(10)]
-    checker = Checker(Settings(classes=KINDS, rules=RULES), seed, rows)
+    checker = RulesChecker(Settings(classes=KINDS, rules=RULES), seed, rows)
     steady(checker, 3.0, 200.0, Random(seed))
-    sent = sum(len(v) for v in checker.sends.values())
+    sent = sum(len(v) for v in checker.starts_by_endpoint.values())
     # with everything cold there is no warm peer to compare with: about the certain part of the calls goes out
     assert 0 < sent <= 600 * (0.14 + 0.86 * 3 / 20) * 2
 
@@ -269,12 +274,12 @@
     config = Settings(
         classes=KINDS, zone_count=2, rules=RULES, limits=Limits(max_attempts=4), tenants=tenants
     )
-    play(Checker(config, 1, rows), steps)
+    play(RulesChecker(config, 1, rows), steps)
     with monkeypatch.context() as patch:
         patch.setattr(RequestState, "retry_endpoints", lambda self, _now: self.pool.ready)
         with pytest.raises(AssertionError, match=r"sent twice|another"):
-            play(Checker(config, 1, rows), steps)
+            play(RulesChecker(config, 1, rows), steps)
     with monkeypatch.context() as patch:
         patch.setattr(Balancer, "_answer", lambda _self, *_rest: [])
         with pytest.raises(AssertionError, match="final answers"):
-            play(Checker(config, 1, rows), steps)
+            play(RulesChecker(config, 1, rows), steps)
