--- /dev/null
+++ b/tests/decision_helpers.py
@@ -0,0 +1,78 @@
+"""What the tests of the decisions share: two classes, eight endpoints, and ways to send requests."""
+
+from __future__ import annotations
+
+from heapq import heappop, heappush
+from random import Random
+
+from rules_checker import RulesChecker
+
+from balancer.balancer import Balancer
+from balancer.endpoints import Endpoint, UpdateKind
+from balancer.events import Outcome, StartAttempt
+from balancer.settings import Idempotency, RequestClass, Settings
+
+IDEMPOTENT = RequestClass(
+    "a", latency_objective=1.0, deadline=4.0, idempotency=Idempotency.IDEMPOTENT, priority_weight=1.0
+)
+NON_IDEMPOTENT = RequestClass(
+    "b", latency_objective=1.0, deadline=4.0, idempotency=Idempotency.NON_IDEMPOTENT, priority_weight=10.0
+)
+ENDPOINTS = [Endpoint(i) for i in range(1, 9)]
+
+
+def make_balancer(settings: Settings, endpoints: list[Endpoint] = ENDPOINTS) -> Balancer:
+    """Return a balancer that knows the endpoints, started at 100 s."""
+    balancer = Balancer(settings, 1)
+    balancer.on_endpoints_updated(100.0, UpdateKind.CACHED, endpoints)
+    balancer.start(100.0)
+    return balancer
+
+
+def send_steadily(checker: RulesChecker, seconds: float, rate: float, class_index: int = 0) -> None:
+    """Send requests at an even rate, each answered after about a third of a second."""
+    rng = Random(7)
+    end = checker.now + seconds
+    while checker.now < end:
+        checker.request(class_index, 4.0)
+        checker.advance(1.0 / rate)
+        for request_id, number in checker.open_attempts():
+            if rng.random() < 3.0 / rate:
+                checker.finish_attempt(request_id, number, Outcome.SUCCESS)
+
+
+def serve_sequentially(balancer: Balancer, latency: float = 0.05, count: int = 40) -> None:
+    """Send requests one after another, each answered after so long."""
+    for n in range(count):
+        now = 101.0 + n
+        balancer.on_request(now, f"s{n}", 0, 0, now + 4.0)
+        balancer.on_attempt_finished(now + latency, f"s{n}", 0, Outcome.SUCCESS, latency, True)
+
+
+def serve_with_failures(balancer: Balancer, tenant: int, fifth: Outcome) -> float:
+    """Send 50 requests a second for 8 s, of which one in five ends so; return the time after them."""
+    now = 100.0
+    for n in range(400):
+        now += 0.02
+        balancer.on_request(now, f"w{n}", 0, tenant, now + 4.0)
+        balancer.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS if n % 5 else fifth, 0.1)
+    return now
+
+
+class TimedRequests:
+    """Requests that overlap, each answered after the latency that it was given."""
+
+    def __init__(self, balancer: Balancer) -> None:
+        self._balancer = balancer
+        self._in_flight: list[tuple[float, str, float]] = []
+
+    def send(self, now: float, request_id: str, class_index: int, time_left: float, latency: float) -> bool:
+        """Answer what has ended by now, then send a request; return whether it was admitted."""
+        while self._in_flight and self._in_flight[0][0] <= now:
+            ended_at, ended, ended_latency = heappop(self._in_flight)
+            self._balancer.on_attempt_finished(ended_at, ended, 0, Outcome.SUCCESS, ended_latency, True)
+        action = self._balancer.on_request(now, request_id, class_index, 0, now + time_left)[0]
+        if not isinstance(action, StartAttempt):
+            return False
+        heappush(self._in_flight, (now + latency, request_id, latency))
+        return True
--- /dev/null
+++ b/tests/test_endpoint_list.py
@@ -0,0 +1,16 @@
+"""The endpoint list: what is kept of an endpoint that a list no longer names."""
+
+from __future__ import annotations
+
+from decision_helpers import IDEMPOTENT, make_balancer
+
+from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
+from balancer.settings import Settings
+
+
+def test_absence_from_a_snapshot_keeps_start_time_and_size() -> None:
+    balancer = make_balancer(
+        Settings(classes=(IDEMPOTENT,)), [Endpoint(1, size=2.0, started=99.0), Endpoint(2)]
+    )
+    balancer.on_endpoints_updated(101.0, UpdateKind.SNAPSHOT, [Endpoint(2)])
+    assert balancer.endpoints.states[1].endpoint == Endpoint(1, EndpointStatus.GONE, size=2.0, started=99.0)
