--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,8 @@
-"""What the loopback tests share: a running proxy, a scripted backend, a discovery, a caller."""
+"""The neighbours of a proxy, faked on loopback sockets: clients, backends, discovery, and the clock.
+
+`running_proxy` runs a real proxy between them. `ManualClock` and `ConnectGate` let a test force the order in
+which events meet, so that no test depends on how long something takes.
+"""
 
 from __future__ import annotations
 
@@ -13,43 +17,23 @@
 from typing import Any, ParamSpec, TypeVar
 
 import pytest
+from proxy_inputs import HOST, MAX_WAIT, NO_DISCOVERY_PORT, endpoint_entry, proxy_config
 
 from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
-from balancer.settings import Settings
-from balancer.settings_reader import read_settings
-from proxy.config import Address, Config
 from proxy.discovery.endpoint_reader import EndpointReader
 from proxy.dispatcher import Dispatcher
 from proxy.downstream.listener import Listener
 from proxy.proxy import Proxy
 from proxy.upstream import ConnectionPool
 
-WIDE = 20.0  # seconds that any wait may take on a loaded machine
-HOST = "127.0.0.1"
-NOBODY = 9  # discovery's port where nobody is to be there
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-NEVER_RAN = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-MAY_HAVE_RUN = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
-CLOSE = b""  # a script's word for: close without an answer
+CLOSE_CONNECTION = b""  # a script's result that closes the connection without a response
+SETTLE_TURNS = 100  # turns of the event loop in which all that is on its way on loopback arrives
+
+Script = Callable[[bytes], bytes | None]
 T = TypeVar("T")
 Parameters = ParamSpec("Parameters")
 
-WIRE: dict[str, Any] = {
-    "Instances": 1,
-    "Services": [
-        {"Name": "read", "Aim": 60.0, "HardLimit": 60.0, "Repeat": "retryable", "LateWorth": 1.0},
-        {"Name": "book", "Aim": 60.0, "HardLimit": 60.0, "Repeat": "fragile", "LateWorth": 1.0},
-        {"Name": "once", "Aim": 60.0, "HardLimit": 60.0, "Repeat": "dedup", "Group": "all"},
-    ],
-    "Orgs": [{"Name": "acme", "Share": 1.0}],
-    "Bounds": {"Cancel": True, "MaxAttempts": 5, "ConnIdle": 60.0, "DialTimeout": WIDE},
-    "Rules": {"DrainGrace": 0.5, "ColdFrom": 0.5, "Cold": 0.0, "FallMultiple": 3.0, "TipAfter": 3.0},
-    "Tiers": ["one"],
-    "Zones": ["here", "there"],
-    "HostTypes": ["k"],
-}
-
 
 def in_event_loop(test: Callable[Parameters, Coroutine[Any, Any, None]]) -> Callable[Parameters, None]:
     """Run a test that is a coroutine function to its end, in an event loop of its own."""
@@ -61,46 +45,50 @@
     return run_test
 
 
-async def soon(what: Awaitable[T]) -> T:
+async def with_timeout(awaitable: Awaitable[T]) -> T:
     """Wait for an event, but not for ever."""
-    return await asyncio.wait_for(what, WIDE)
+    return await asyncio.wait_for(awaitable, MAX_WAIT)
 
 
-async def until(holds: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Wait for something that has no event of its own."""
-    async with asyncio.timeout(WIDE):
-        while not holds():
+    async with asyncio.timeout(MAX_WAIT):
+        while not condition():
             await asyncio.sleep(0.001)
 
 
-class Clock:
-    """The running loop's time, which stands still until it is moved: timers fall due when a test says so."""
+class ManualClock:
+    """Makes the running loop's time stand still: timers fall due only when a test advances it.
+
+    Attributes:
+        now: The loop's time.
+    """
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
         self.now = loop.time()
         loop.time = lambda: self.now  # type: ignore[method-assign]
 
-    async def until(self, holds: Callable[[], bool]) -> None:
-        """Wait for something to come over the sockets; no timer falls due meanwhile."""
-        end = time.monotonic() + WIDE
-        while not holds():
-            assert time.monotonic() < end, "it did not come"
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Wait for something to arrive over the sockets; no timer falls due meanwhile."""
+        give_up_at = time.monotonic() + MAX_WAIT
+        while not condition():
+            assert time.monotonic() < give_up_at, "it did not come"
             await asyncio.sleep(0)
 
     async def settle(self) -> None:
-        """Let all that is due, and all that is on its way on loopback, be seen."""
-        for _ in range(100):
+        """Let the loop run what is due, and read what is on its way on loopback."""
+        for _ in range(SETTLE_TURNS):
             await asyncio.sleep(0)
 
-    async def move(self, seconds: float) -> None:
-        """Let so much time pass at once."""
+    async def advance(self, seconds: float) -> None:
+        """Let so much time pass at once, and run what falls due by it."""
         self.now += seconds
         await self.settle()
 
 
 async def read_message(reader: asyncio.StreamReader) -> bytes:
-    """One message with a Content-Length, or none, as it came."""
+    """Read one HTTP message, whose body ends by its Content-Length, and return its bytes."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = 0
     for line in head.split(b"\r\n"):
@@ -109,40 +97,51 @@
     return head + await reader.readexactly(length)
 
 
-class Backend:
-    """Answers by a script: bytes (closed after them if they say so), CLOSE, or None for silence."""
+class StubBackend:
+    """A backend that responds by a script.
+
+    The script gets each request and returns the bytes to respond with, `CLOSE_CONNECTION`, or None for
+    silence. After bytes that contain `cut` the connection is closed.
 
-    def __init__(self, script: Callable[[bytes], bytes | None]) -> None:
+    Attributes:
+        script: What the backend goes by; a test may replace it.
+        received: The requests that have arrived and that the test has not taken yet.
+        disconnects: One item for each connection that has ended.
+        writers: The connections so far, in the order in which they came.
+        address: Where it listens, as `host:port`.
+    """
+
+    def __init__(self, script: Script) -> None:
         self.script = script
-        self.got: asyncio.Queue[bytes] = asyncio.Queue()
-        self.ended: asyncio.Queue[None] = asyncio.Queue()  # one for each connection that has ended
-        self.open: list[asyncio.StreamWriter] = []
+        self.received: asyncio.Queue[bytes] = asyncio.Queue()
+        self.disconnects: asyncio.Queue[None] = asyncio.Queue()
+        self.writers: list[asyncio.StreamWriter] = []
         self.address = ""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection."""
-        self.open.append(writer)
+        """Serve one connection."""
+        self.writers.append(writer)
         try:
             while True:
                 request = await read_message(reader)
-                self.got.put_nowait(request)
-                answer = self.script(request)
-                if answer == CLOSE:
+                self.received.put_nowait(request)
+                response = self.script(request)
+                if response == CLOSE_CONNECTION:
                     break
-                if answer is not None:
-                    writer.write(answer)
-                    if b"cut" in answer:
+                if response is not None:
+                    writer.write(response)
+                    if b"cut" in response:
                         break
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         writer.close()
-        self.ended.put_nowait(None)
+        self.disconnects.put_nowait(None)
 
 
 @asynccontextmanager
-async def backend(script: Callable[[bytes], bytes | None]) -> AsyncIterator[Backend]:
-    """A backend on a free port."""
-    stub = Backend(script)
+async def stub_backend(script: Script) -> AsyncIterator[StubBackend]:
+    """Run a backend on a free port."""
+    stub = StubBackend(script)
     server = await asyncio.start_server(stub.serve, HOST, 0, limit=1 << 20)
     stub.address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
     try:
@@ -151,44 +150,51 @@
         server.close()
 
 
-class Watches:
-    """A discovery whose watches say what they are told to."""
+class StubDiscovery:
+    """A discovery whose watches send what a test says.
+
+    Attributes:
+        watch_requests: The targets of the watches that were opened and that the test has not taken yet.
+        disconnects: One item for each watch that the proxy has closed.
+        writer: The watch that was opened last.
+        port: Where it listens.
+    """
 
     def __init__(self) -> None:
-        self.asked: asyncio.Queue[str] = asyncio.Queue()
-        self.ended: asyncio.Queue[None] = asyncio.Queue()  # one for each watch that the proxy has closed
+        self.watch_requests: asyncio.Queue[str] = asyncio.Queue()
+        self.disconnects: asyncio.Queue[None] = asyncio.Queue()
         self.writer: asyncio.StreamWriter | None = None
         self.port = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One watch; its first line comes with `say`."""
+        """Serve one watch: the head of its response at once, and then what `send_update` is given."""
         request = await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.writer = writer
-        self.asked.put_nowait(request.split()[1].decode())
+        self.watch_requests.put_nowait(request.split()[1].decode())
         with suppress(ConnectionError):
             await reader.read()
         writer.close()
-        self.ended.put_nowait(None)
+        self.disconnects.put_nowait(None)
 
-    def say(
+    def send_update(
         self, index: int, entries: list[dict[str, Any]], snapshot: bool = False, indent: int | None = None
     ) -> None:
-        """One object of the watch that is open, on one line or indented."""
+        """Send one update on the watch that is open, on one line or indented."""
         message = {"index": index, "snapshot": snapshot, "endpoints": entries}
-        self.write(json.dumps(message, indent=indent).encode() + b"\n")
+        self.send_bytes(json.dumps(message, indent=indent).encode() + b"\n")
 
-    def write(self, line: bytes) -> None:
-        """Bytes of the watch that is open, cut in two chunks."""
+    def send_bytes(self, data: bytes) -> None:
+        """Send bytes on the watch that is open, cut in two chunks."""
         assert self.writer is not None
-        for part in filter(None, (line[:9], line[9:])):
+        for part in filter(None, (data[:9], data[9:])):
             self.writer.write(b"%x\r\n%b\r\n" % (len(part), part))
 
 
 @asynccontextmanager
-async def watches() -> AsyncIterator[Watches]:
-    """A discovery on a free port."""
-    stub = Watches()
+async def stub_discovery() -> AsyncIterator[StubDiscovery]:
+    """Run a discovery on a free port."""
+    stub = StubDiscovery()
     server = await asyncio.start_server(stub.serve, HOST, 0)
     stub.port = server.sockets[0].getsockname()[1]
     try:
@@ -197,92 +203,65 @@
         server.close()
 
 
-def entry(name: str, address: str, status: str = "in_service", since_ms: int = 0) -> dict[str, Any]:
-    """One entry of the list."""
-    return {
-        "name": name,
-        "address": address,
-        "zone": "here",
-        "type": "k",
-        "group": 0,
-        "status": status,
-        "weight": 1.0,
-        "since_ms": since_ms,
-    }
-
-
 def free_port() -> int:
-    """A port that nobody has."""
+    """Return a port that nobody listens on."""
     with socket.socket() as sock:
         sock.bind((HOST, 0))
         return int(sock.getsockname()[1])
 
 
-def config(entries: list[dict[str, Any]], discovery: int = NOBODY, **changed: Any) -> Config:
-    """A proxy's configuration; by default nobody is at discovery's port."""
-    settings: Settings = read_settings(WIRE)
-    values: dict[str, Any] = {
-        "name": "n0",
-        "listen": Address(HOST, 0),
-        "discovery": Address(HOST, discovery),
-        "seed": 1,
-        "max_sockets": 1024,
-        "memory_limit": 64 << 20,
-        "cached_list": {"index": 7, "snapshot": True, "endpoints": entries},
-        "settings": settings,
-        "class_indices": {"read": 0, "book": 1, "once": 2},
-        "tenant_indices": {"acme": 0},
-        "zone_indices": {"here": 0, "there": 1},
-        "machine_type_indices": {"k": 0},
-        "backend_idle_timeout": 60.0,
-        "dial_timeout": WIDE,
-    }
-    return Config(**(values | changed))
-
-
 class Client:
-    """A caller's connection to a proxy."""
+    """A client's connection to a proxy."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    async def ask(self, request: bytes) -> bytes:
-        """Send, and wait for one whole answer."""
+    async def request(self, request: bytes) -> bytes:
+        """Send a request, or the rest of one, and return the next complete response."""
         self.writer.write(request)
-        return await self.answer()
+        return await self.response()
+
+    async def response(self) -> bytes:
+        """Return the next complete response."""
+        return await with_timeout(read_message(self.reader))
 
-    async def answer(self) -> bytes:
-        """The next whole answer."""
-        return await soon(read_message(self.reader))
 
+class ConnectGate:
+    """Holds the proxy's connection attempts, all but the first few, until a test releases them.
 
-class Gate:
-    """Holds up the proxy's dials, all but the first few, until they are let through.
+    While nobody listens at discovery's port, the watch attempts a connection again and again: these
+    attempts are neither held nor counted.
 
-    The watch, looking for a discovery where nobody is, dials again and again: it is neither held nor counted.
+    Attributes:
+        held: How many attempts have been held, with those that were released.
+        unheld: How many attempts still pass before the first one is held.
     """
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, free: int = 0) -> None:
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, unheld: int = 0) -> None:
         loop = asyncio.get_running_loop()
-        self._connect: Callable[..., Any] = loop.create_connection
-        self.waiting = 0
-        self.free = free
-        self.open = asyncio.Event()
-        monkeypatch.setattr(loop, "create_connection", self._dial)
-
-    async def _dial(self, *args: Any, **more: Any) -> Any:
-        if args[2:] == (NOBODY,):
-            return await self._connect(*args, **more)
-        if self.free:
-            self.free -= 1
+        self._create_connection: Callable[..., Any] = loop.create_connection
+        self.held = 0
+        self.unheld = unheld
+        self._released = asyncio.Event()
+        monkeypatch.setattr(loop, "create_connection", self._attempt)
+
+    def release(self) -> None:
+        """Let the attempts that are held, and all later ones, go on."""
+        self._released.set()
+
+    async def _attempt(self, *args: Any, **kwargs: Any) -> Any:
+        if args[2:] == (NO_DISCOVERY_PORT,):
+            return await self._create_connection(*args, **kwargs)
+        if self.unheld:
+            self.unheld -= 1
         else:
-            self.waiting += 1
-            await self.open.wait()
-        return await self._connect(*args, **more)
+            self.held += 1
+            await self._released.wait()
+        return await self._create_connection(*args, **kwargs)
 
 
-class Running:
-    """A proxy in this process."""
+class RunningProxy:
+    """A proxy that serves in this process."""
 
     def __init__(self, proxy: Proxy, port: int) -> None:
         self.proxy, self.port = proxy, port
@@ -307,23 +286,23 @@
         """Its connections to backends."""
         return self.proxy.pool
 
-    def tell(self, entries: list[dict[str, Any]]) -> None:
-        """Changes of the list, as if discovery had told them."""
+    def notify(self, entries: list[dict[str, Any]]) -> None:
+        """Deliver a delta of the endpoint list to the proxy, as if discovery had sent it."""
         reader = EndpointReader({"here": 0, "there": 1}, {"k": 0})
         self.proxy.on_update(UpdateKind.DELTA, reader.endpoints({"endpoints": entries}))
 
-    async def client(self) -> Client:
-        """A new connection to it."""
+    async def connect(self) -> Client:
+        """Open a client's connection to it."""
         return Client(*await asyncio.open_connection(HOST, self.port))
 
 
 @asynccontextmanager
-async def running(entries: list[dict[str, Any]], **changed: Any) -> AsyncIterator[Running]:
-    """A proxy on a free port that knows these backends."""
-    proxy = Proxy(config(entries, **changed))
+async def running_proxy(entries: list[dict[str, Any]], **changed: Any) -> AsyncIterator[RunningProxy]:
+    """Run a proxy on a free port; the arguments are those of `proxy_config`."""
+    proxy = Proxy(proxy_config(entries, **changed))
     sock = await proxy.listener.listen()
     try:
-        yield Running(proxy, sock.getsockname()[1])
+        yield RunningProxy(proxy, sock.getsockname()[1])
     finally:
         await proxy.listener.stop_listening(sock)
         proxy.listener.stop_keepalive()
@@ -331,40 +310,13 @@
 
 @asynccontextmanager
 async def proxy_with_backends(
-    *scripts: Callable[[bytes], bytes | None], **changed: Any
-) -> AsyncIterator[tuple[Running, list[Backend]]]:
-    """A proxy, and a backend for each of the scripts, which it knows as "a", "b" and so on."""
+    *scripts: Script, **changed: Any
+) -> AsyncIterator[tuple[RunningProxy, list[StubBackend]]]:
+    """Run a proxy, and a backend for each of the scripts, which the proxy knows as "a", "b" and so on."""
     async with AsyncExitStack() as stack:
-        backends = [await stack.enter_async_context(backend(script)) for script in scripts]
-        entries = [entry(name, each.address) for name, each in zip(ascii_lowercase, backends, strict=False)]
-        yield await stack.enter_async_context(running(entries, **changed)), backends
-
-
-def read(number: int = 1, timeout: str = "30", target: str = "/api/k", **headers: str) -> bytes:
-    """A request of the class that is safe to repeat."""
-    return _request("GET", "read", number, timeout, target, b"", headers)
-
-
-def book(number: int = 1, timeout: str = "30", body: bytes = b"room", **headers: str) -> bytes:
-    """A request of the class that must not run twice."""
-    return _request("POST", "book", number, timeout, "/api/k", body, headers)
-
-
-def _request(
-    method: str, kind: str, number: int, timeout: str, target: str, body: bytes, headers: dict[str, str]
-) -> bytes:
-    fields = {
-        "X-Request-ID": f"id{number}",
-        "X-Priority-Class": kind,
-        "X-Tenant-Id": "acme",
-        "X-Timeout": timeout,
-        "Content-Length": str(len(body)),
-    }
-    fields |= {name.replace("_", "-"): value for name, value in headers.items()}
-    lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items() if value)
-    return f"{method} {target} HTTP/1.1\r\nHost: h\r\n{lines}\r\n".encode() + body
-
-
-def status(answer: bytes) -> int:
-    """An answer's status."""
-    return int(answer.split(None, 2)[1])
+        backends = [await stack.enter_async_context(stub_backend(script)) for script in scripts]
+        entries = [
+            endpoint_entry(name, backend.address)
+            for name, backend in zip(ascii_lowercase, backends, strict=False)
+        ]
+        yield await stack.enter_async_context(running_proxy(entries, **changed)), backends
--- /dev/null
+++ b/tests/proxy_inputs.py
@@ -0,0 +1,122 @@
+"""What the tests give a proxy: requests, backends' responses, endpoint lists and configurations."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from balancer.settings import Settings
+from balancer.settings_reader import read_settings
+from proxy.config import Address, Config
+
+HOST = "127.0.0.1"
+MAX_WAIT = 20.0  # seconds that any wait may take on a loaded machine
+NO_DISCOVERY_PORT = 9  # discovery's port where nobody is to listen
+
+HEALTH_REQUEST = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+#: An overloaded backend's response that promises that the request did not run: any request may be retried.
+NOT_PROCESSED_RESPONSE = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+#: The same response without the promise: the request may have run.
+MAYBE_PROCESSED_RESPONSE = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
+
+#: The `settings` of a configuration file. Class `read` is idempotent, `book` must not run twice, and `once`
+#: has idempotency keys. The times are so long that none passes in a test that does not change them.
+RAW_SETTINGS: dict[str, Any] = {
+    "Instances": 1,
+    "Services": [
+        {"Name": "read", "Aim": 60.0, "HardLimit": 60.0, "Repeat": "retryable", "LateWorth": 1.0},
+        {"Name": "book", "Aim": 60.0, "HardLimit": 60.0, "Repeat": "fragile", "LateWorth": 1.0},
+        {"Name": "once", "Aim": 60.0, "HardLimit": 60.0, "Repeat": "dedup", "Group": "all"},
+    ],
+    "Orgs": [{"Name": "acme", "Share": 1.0}],
+    "Bounds": {"Cancel": True, "MaxAttempts": 5, "ConnIdle": 60.0, "DialTimeout": MAX_WAIT},
+    "Rules": {"DrainGrace": 0.5, "ColdFrom": 0.5, "Cold": 0.0, "FallMultiple": 3.0, "TipAfter": 3.0},
+    "Tiers": ["one"],
+    "Zones": ["here", "there"],
+    "HostTypes": ["k"],
+}
+
+
+def endpoint_entry(name: str, address: str, status: str = "in_service", since_ms: int = 0) -> dict[str, Any]:
+    """Return one entry of the endpoint list, in discovery's form."""
+    return {
+        "name": name,
+        "address": address,
+        "zone": "here",
+        "type": "k",
+        "group": 0,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": since_ms,
+    }
+
+
+def proxy_config(entries: list[dict[str, Any]], discovery: int = NO_DISCOVERY_PORT, **changed: Any) -> Config:
+    """Return a proxy's configuration.
+
+    Args:
+        entries: The endpoint list known when the configuration was written.
+        discovery: The port of discovery; by default nobody listens there.
+        changed: Other fields of `Config` that differ from the usual ones.
+    """
+    settings: Settings = read_settings(RAW_SETTINGS)
+    values: dict[str, Any] = {
+        "name": "n0",
+        "listen": Address(HOST, 0),
+        "discovery": Address(HOST, discovery),
+        "seed": 1,
+        "max_sockets": 1024,
+        "memory_limit": 64 << 20,
+        "cached_list": {"index": 7, "snapshot": True, "endpoints": entries},
+        "settings": settings,
+        "class_indices": {"read": 0, "book": 1, "once": 2},
+        "tenant_indices": {"acme": 0},
+        "zone_indices": {"here": 0, "there": 1},
+        "machine_type_indices": {"k": 0},
+        "backend_idle_timeout": 60.0,
+        "dial_timeout": MAX_WAIT,
+    }
+    return Config(**(values | changed))
+
+
+def get_request(number: int = 1, timeout: str = "30", target: str = "/api/k", **headers: str) -> bytes:
+    """Return a request of the idempotent class `read`.
+
+    Args:
+        number: The request's id is `id` and this number.
+        timeout: The value of `X-Timeout`, in seconds.
+        target: The path and query.
+        headers: Other or more headers, with `_` for `-`; an empty value leaves a header out.
+    """
+    return _request("GET", "read", number, timeout, target, b"", headers)
+
+
+def post_request(number: int = 1, timeout: str = "30", body: bytes = b"room", **headers: str) -> bytes:
+    """Return a request of class `book`, which must not run twice; the arguments are as in `get_request`."""
+    return _request("POST", "book", number, timeout, "/api/k", body, headers)
+
+
+def _request(
+    method: str,
+    class_name: str,
+    number: int,
+    timeout: str,
+    target: str,
+    body: bytes,
+    headers: dict[str, str],
+) -> bytes:
+    fields = {
+        "X-Request-ID": f"id{number}",
+        "X-Priority-Class": class_name,
+        "X-Tenant-Id": "acme",
+        "X-Timeout": timeout,
+        "Content-Length": str(len(body)),
+    }
+    fields |= {name.replace("_", "-"): value for name, value in headers.items()}
+    lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items() if value)
+    return f"{method} {target} HTTP/1.1\r\nHost: h\r\n{lines}\r\n".encode() + body
+
+
+def status_of(response: bytes) -> int:
+    """Return the status of a response."""
+    return int(response.split(None, 2)[1])
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 import pytest
-from loopback import HOST, WIRE
+from proxy_inputs import HOST, RAW_SETTINGS
 
 from proxy.__main__ import main
 from proxy.config import ConfigError, load
 
-READ, BOOK, ONCE = WIRE["Services"]
+READ, BOOK, ONCE = RAW_SETTINGS["Services"]
 
 
 @pytest.fixture
@@ -40,7 +40,7 @@
             "seed": "1",
             "limits": {"sockets": 1024, "memory_mb": 64},
             "known": {"index": 7, "endpoints": []},
-            "settings": WIRE | settings,
+            "settings": RAW_SETTINGS | settings,
         }
     ).encode()
 
--- a/tests/test_emulator_load_generator.py
+++ b/tests/test_emulator_load_generator.py
@@ -6,7 +6,7 @@
 import time
 
 import numpy as np
-from loopback import read_message, soon
+from loopback import read_message, with_timeout
 
 from emulator.backend_stub import RESPONSE, listen
 from emulator.load_generator import LOST, OpenLoopGenerator
@@ -41,9 +41,9 @@
         writer.write(b"POST /api/k HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nro")
         await asyncio.sleep(0)
         writer.write(b"om" + get)
-        assert [await soon(read_message(reader)) for _ in range(2)] == [RESPONSE, RESPONSE]
+        assert [await with_timeout(read_message(reader)) for _ in range(2)] == [RESPONSE, RESPONSE]
         writer.write(get.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-        assert await soon(reader.read()) == RESPONSE
+        assert await with_timeout(reader.read()) == RESPONSE
         writer.close()
         server.close()
 
--- a/tests/test_emulator_registry.py
+++ b/tests/test_emulator_registry.py
@@ -8,7 +8,8 @@
 import orjson
 import pytest
 from emulator_fixtures import ENDPOINT, FLEET, NAMES, changed, running_registry
-from loopback import HOST, Clock, soon
+from loopback import ManualClock, with_timeout
+from proxy_inputs import HOST
 
 from emulator.control_endpoint import HEARTBEAT_INTERVAL
 from emulator.watch_load import WatchLoad
@@ -22,8 +23,8 @@
 
     async def next_message(self) -> Any:
         """The next line: an object, or None where it is empty."""
-        size = int((await soon(self.reader.readline())).strip(), 16)
-        line = await soon(self.reader.readexactly(size + 2))
+        size = int((await with_timeout(self.reader.readline())).strip(), 16)
+        line = await with_timeout(self.reader.readexactly(size + 2))
         return orjson.loads(line) if line.strip() else None
 
 
@@ -31,7 +32,7 @@
     """Open a watch that resumes from a version."""
     watch = WatchClient(*await asyncio.open_connection(HOST, port))
     watch.writer.write(b"GET /v1/servers?follow=1&since=%d HTTP/1.1\r\nHost: h\r\n\r\n" % since)
-    assert b" 200 " in await soon(watch.reader.readuntil(b"\r\n\r\n"))
+    assert b" 200 " in await with_timeout(watch.reader.readuntil(b"\r\n\r\n"))
     return watch
 
 
@@ -41,11 +42,11 @@
             port = await registry.open_endpoint(ENDPOINT)
             reader, writer = await asyncio.open_connection(HOST, port)
             writer.write(b"GET /v1/servers HTTP/1.1\r\nHost: h\r\n\r\nGET /odd HTTP/1.1\r\nHost: h\r\n\r\n")
-            head = await soon(reader.readuntil(b"\r\n\r\n"))
+            head = await with_timeout(reader.readuntil(b"\r\n\r\n"))
             size = int(head.lower().partition(b"content-length:")[2].split()[0])
-            body = orjson.loads(await soon(reader.readexactly(size)))
+            body = orjson.loads(await with_timeout(reader.readexactly(size)))
             assert body == {"index": 1, "snapshot": True, "endpoints": list(FLEET.entries)}
-            assert b" 404 " in await soon(reader.readline())
+            assert b" 404 " in await with_timeout(reader.readline())
 
     asyncio.run(scenario())
 
@@ -97,17 +98,17 @@
     async def scenario() -> None:
         async with running_registry() as registry:
             port = await registry.open_endpoint(ENDPOINT)
-            clock = Clock()
+            clock = ManualClock()
             load = WatchLoad()
             await load.open(port, 2)
-            await clock.until(lambda: registry.usage().open_watches == 2)
-            await clock.move(HEARTBEAT_INTERVAL * 0.9)
+            await clock.wait_until(lambda: registry.usage().open_watches == 2)
+            await clock.advance(HEARTBEAT_INTERVAL * 0.9)
             assert registry.usage().traffic.heartbeats == 0
             registry.publish(2, [changed(0)])
-            await clock.move(HEARTBEAT_INTERVAL * 0.2)
+            await clock.advance(HEARTBEAT_INTERVAL * 0.2)
             assert registry.usage().traffic.heartbeats == 0
-            await clock.move(HEARTBEAT_INTERVAL * 0.9)
-            await clock.until(lambda: registry.usage().traffic.heartbeats == 2)
-            await clock.until(lambda: load.received_bytes() == registry.usage().traffic.sent_bytes)
+            await clock.advance(HEARTBEAT_INTERVAL * 0.9)
+            await clock.wait_until(lambda: registry.usage().traffic.heartbeats == 2)
+            await clock.wait_until(lambda: load.received_bytes() == registry.usage().traffic.sent_bytes)
 
     asyncio.run(scenario())
--- a/tests/test_emulator_simulated_host.py
+++ b/tests/test_emulator_simulated_host.py
@@ -6,7 +6,7 @@
 
 import pytest
 from emulator_fixtures import BACKENDS, ENDPOINT, NAMES, SEED, SERVICES, changed, running_registry
-from loopback import Clock, soon, until
+from loopback import ManualClock, wait_until, with_timeout
 
 from emulator.change_ages import Publication
 from emulator.simulated_host import ProxyPlacement, SimulatedHost
@@ -19,27 +19,27 @@
     async def scenario() -> None:
         async with running_registry() as registry:
             port = await registry.open_endpoint(ENDPOINT)
-            clock = Clock()
+            clock = ManualClock()
             host = SimulatedHost(SEED, BACKENDS, SERVICES)
             starting = asyncio.ensure_future(
                 host.start_proxies([ProxyPlacement(0, port), ProxyPlacement(1, port)])
             )
-            await clock.until(starting.done)
+            await clock.wait_until(starting.done)
             assert starting.result().proxies == 2
             before = {2: Publication(registry.publish(2, [changed(0)]), frozenset(NAMES[:1]))}
-            await clock.until(lambda: host.age_report(before).missing == 0)
+            await clock.wait_until(lambda: host.age_report(before).missing == 0)
             getattr(registry, failure)([ENDPOINT])
             registry.publish(3, [changed(1)])
             meanwhile = {3: Publication(0.0, frozenset(NAMES[1:2]))}
-            await clock.move(PARTITION_SECONDS)
+            await clock.advance(PARTITION_SECONDS)
             assert host.age_report(meanwhile).missing == 2
             if failure == "close_endpoints":
                 await registry.open_endpoint(ENDPOINT, port)
             else:
                 registry.heal([ENDPOINT])
             for _ in range(4):
-                await clock.move(0.2)
-            await clock.until(lambda: host.age_report(meanwhile).missing == 0)
+                await clock.advance(0.2)
+            await clock.wait_until(lambda: host.age_report(meanwhile).missing == 0)
             assert registry.usage().traffic.snapshots == 2  # those of the start: a return gets a delta
 
     asyncio.run(scenario())
@@ -50,10 +50,10 @@
         async with running_registry() as registry:
             port = await registry.open_endpoint(ENDPOINT)
             host = SimulatedHost(SEED, BACKENDS, SERVICES)
-            await soon(host.start_proxies([ProxyPlacement(0, port)]))
+            await with_timeout(host.start_proxies([ProxyPlacement(0, port)]))
             host.set_call_rate(1000.0)
             balancer = host._proxies[0].balancer
-            await until(lambda: balancer.statistics.sample_count >= 10)
+            await wait_until(lambda: balancer.statistics.sample_count >= 10)
             host.set_call_rate(0.0)
             assert not balancer.requests
 
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -6,7 +6,8 @@
 from typing import Any
 
 import pytest
-from loopback import HOST, WIRE, Client, Clock, Gate, config, entry, free_port, status
+from loopback import Client, ConnectGate, ManualClock, free_port
+from proxy_inputs import HOST, RAW_SETTINGS, endpoint_entry, proxy_config, status_of
 
 from balancer.settings_reader import read_settings
 from proxy.__main__ import serve
@@ -16,8 +17,8 @@
 TIER = 20  # processes
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
 KNOWN: dict[str, list[dict[str, Any]]] = {
-    "known": [entry("a", f"{HOST}:1")],
-    "all drain": [entry("a", f"{HOST}:1", "terminating")],
+    "known": [endpoint_entry("a", f"{HOST}:1")],
+    "all drain": [endpoint_entry("a", f"{HOST}:1", "terminating")],
     "nothing known": [],
 }
 
@@ -28,14 +29,14 @@
     writer.close()
 
 
-async def healthy(clock: Clock, port: int) -> bool:
+async def healthy(clock: ManualClock, port: int) -> bool:
     """Whether a process says that it is ready, without any more time."""
     opening = asyncio.ensure_future(asyncio.open_connection(HOST, port))
-    await clock.until(opening.done)
+    await clock.wait_until(opening.done)
     client = Client(*opening.result())
-    answer = asyncio.ensure_future(client.ask(HEALTH))
+    answer = asyncio.ensure_future(client.request(HEALTH))
     await clock.settle()
-    said = answer.done() and status(answer.result()) == 200
+    said = answer.done() and status_of(answer.result()) == 200
     answer.cancel()
     client.writer.close()
     return said
@@ -49,21 +50,23 @@
 ) -> None:
     async def play() -> None:
         agent = await asyncio.start_server(silent, HOST, 0)
-        clock = Clock()
+        clock = ManualClock()
         at = free_port() if discovery == "refuses" else int(agent.sockets[0].getsockname()[1])
-        gate = Gate(monkeypatch, free=0 if discovery == "never comes up" else 1 << 30)
-        settings = read_settings(WIRE | {"RegistryMode": mode})
+        gate = ConnectGate(monkeypatch, unheld=0 if discovery == "never comes up" else 1 << 30)
+        settings = read_settings(RAW_SETTINGS | {"RegistryMode": mode})
         ports = [free_port() for _ in range(TIER)]
         tier = [
             asyncio.create_task(
-                serve(config(KNOWN[known], at, seed=seed, listen=Address(HOST, port), settings=settings))
+                serve(
+                    proxy_config(KNOWN[known], at, seed=seed, listen=Address(HOST, port), settings=settings)
+                )
             )
             for seed, port in enumerate(ports)
         ]
         begun = clock.now
         while clock.now < begun + WITHIN - 0.25:
-            await clock.move(0.25)
-        gate.free = 1 << 30  # from here on the test's own connections
+            await clock.advance(0.25)
+        gate.unheld = 1 << 30  # from here on the test's own connections
         said = [await healthy(clock, port) for port in ports]
         assert sum(said) >= 0.9 * TIER, f"{sum(said)} of {TIER} are ready"
         for process in tier:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -12,86 +12,85 @@
 from pathlib import Path
 
 import pytest
-from loopback import (
+from loopback import Client, free_port, running_proxy, stub_backend, stub_discovery, wait_until, with_timeout
+from proxy_inputs import (
     HOST,
-    OK,
-    WIDE,
-    WIRE,
-    Client,
-    backend,
-    book,
-    config,
-    entry,
-    free_port,
-    read,
-    running,
-    soon,
-    status,
-    until,
-    watches,
+    MAX_WAIT,
+    OK_RESPONSE,
+    RAW_SETTINGS,
+    endpoint_entry,
+    get_request,
+    post_request,
+    proxy_config,
+    status_of,
 )
 
 from proxy.proxy import Proxy
 
 ROOT = Path(__file__).parent.parent
-CHUNKED = book(Content_Length="", Transfer_Encoding="chunked", body=b"2\r\nro\r\n2\r\nom\r\n0\r\n\r\n")
+CHUNKED = post_request(
+    Content_Length="", Transfer_Encoding="chunked", body=b"2\r\nro\r\n2\r\nom\r\n0\r\n\r\n"
+)
 
 
 @pytest.mark.parametrize(
     ("request_", "expected"),
     [
-        (book(X_Priority_Class="odd"), 400),
-        (book(X_Priority_Class=""), 400),
-        (book(X_Tenant_Id="odd"), 400),
-        (book(X_Request_ID=""), 400),
-        (book().replace(b"POST", b"PUT"), 400),
-        (book().replace(b"POST", b"GET"), 400),
-        (book(X_Priority_Class="once"), 400),
-        (book(X_Priority_Class="once", Idempotency_Key="k"), 200),
-        *((book(timeout=time), 400) for time in ("", "soon", "nan", "inf", "-1", "1e9", "1_0")),
+        (post_request(X_Priority_Class="odd"), 400),
+        (post_request(X_Priority_Class=""), 400),
+        (post_request(X_Tenant_Id="odd"), 400),
+        (post_request(X_Request_ID=""), 400),
+        (post_request().replace(b"POST", b"PUT"), 400),
+        (post_request().replace(b"POST", b"GET"), 400),
+        (post_request(X_Priority_Class="once"), 400),
+        (post_request(X_Priority_Class="once", Idempotency_Key="k"), 200),
+        *((post_request(timeout=time), 400) for time in ("", "soon", "nan", "inf", "-1", "1e9", "1_0")),
         (b"nonsense\r\n\r\n", 400),
         (b"GET /api HTTP/1.1\r\nHost h\r\n\r\n", 400),
-        (book().replace(b"/api/k", b"/apis"), 404),
+        (post_request().replace(b"/api/k", b"/apis"), 404),
         (b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", 404),
-        (book(body=b"x" * (64 * 1024 + 1)), 413),
-        (book(body=b"x" * (1 << 20)), 413),
-        (book(timeout="0.000"), 503),
-        (read(target="/api"), 200),
+        (post_request(body=b"x" * (64 * 1024 + 1)), 413),
+        (post_request(body=b"x" * (1 << 20)), 413),
+        (post_request(timeout="0.000"), 503),
+        (get_request(target="/api"), 200),
         (CHUNKED, 200),
         (CHUNKED.replace(b"chunked", b"gzip, chunked"), 400),
         (CHUNKED.replace(b"\r\n\r\n", b"\r\nContent-Length: 4\r\n\r\n", 1), 400),
-        (book().replace(b"Content-Length: 4", b"Content-Length: 4\r\nContent-Length: 4"), 400),
-        (book().replace(b"Content-Length: 4", b"Content-Length: -4"), 400),
-        (book().replace(b"Content-Length: 4", b"Content-Length: 3000000000"), 413),
-        (book(X_Pad="p" * (17 << 10)), 431),
-        (book(X_Pad="p" * (300 << 10)), 431),
+        (post_request().replace(b"Content-Length: 4", b"Content-Length: 4\r\nContent-Length: 4"), 400),
+        (post_request().replace(b"Content-Length: 4", b"Content-Length: -4"), 400),
+        (post_request().replace(b"Content-Length: 4", b"Content-Length: 3000000000"), 413),
+        (post_request(X_Pad="p" * (17 << 10)), 431),
+        (post_request(X_Pad="p" * (300 << 10)), 431),
         (b"GET /api/k HTTP/1.1\r\n" + b"X-Pad: p\r\n" * 4000, 431),
-        (book().replace(b"\r\nX-Timeout", b"\r\nX-Request-Id: id2\r\nX-Timeout"), 400),
-        (book(X_Request_ID="id 1"), 400),
-        (book(X_Request_ID="i" * 65), 400),
-        (book(X_Note="\xff"), 400),
-        (book(Connection="X-Request-ID"), 400),
-        (book(Connection="upgrade", Upgrade="h2c"), 400),
+        (post_request().replace(b"\r\nX-Timeout", b"\r\nX-Request-Id: id2\r\nX-Timeout"), 400),
+        (post_request(X_Request_ID="id 1"), 400),
+        (post_request(X_Request_ID="i" * 65), 400),
+        (post_request(X_Note="\xff"), 400),
+        (post_request(Connection="X-Request-ID"), 400),
+        (post_request(Connection="upgrade", Upgrade="h2c"), 400),
         (b"CONNECT h:80 HTTP/1.1\r\nHost: h\r\n\r\n", 400),
-        (book().replace(b"Host: h\r\n", b""), 400),
-        (book().replace(b"HTTP/1.1", b"HTTP/2.0"), 505),
-        (read(target="/api/k#part"), 400),
-        (b"".join(read(number) for number in range(200)), 400),
+        (post_request().replace(b"Host: h\r\n", b""), 400),
+        (post_request().replace(b"HTTP/1.1", b"HTTP/2.0"), 505),
+        (get_request(target="/api/k#part"), 400),
+        (b"".join(get_request(number) for number in range(200)), 400),
     ],
 )
 def test_odd_requests_get_one_answer_and_the_proxy_goes_on(request_: bytes, expected: int) -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
-            client = await up.client()
-            answer = await client.ask(request_)
-            assert status(answer) == expected
+        async with (
+            stub_backend(lambda _: OK_RESPONSE) as one,
+            running_proxy([endpoint_entry("a", one.address)]) as up,
+        ):
+            client = await up.connect()
+            answer = await client.request(request_)
+            assert status_of(answer) == expected
             assert answer.count(b"\n", answer.index(b"\r\n\r\n") + 4) <= 1, "more than one line of reason"
             if expected not in (200, 503):
-                assert await soon(client.reader.read()) == b""  # half closed, not reset
-            assert one.got.qsize() == (expected == 200)
+                assert await with_timeout(client.reader.read()) == b""  # half closed, not reset
+            assert one.received.qsize() == (expected == 200)
             if request_ is CHUNKED:
-                assert one.got.get_nowait().endswith(b"Content-Length: 4\r\n\r\nroom")
-            assert status(await (await up.client()).ask(book(2))) == 200
+                assert one.received.get_nowait().endswith(b"Content-Length: 4\r\n\r\nroom")
+            assert status_of(await (await up.connect()).request(post_request(2))) == 200
 
     asyncio.run(play())
 
@@ -101,33 +100,38 @@
         def script(request: bytes) -> bytes:
             return b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + request[request.index(b"id") + 2 :][:1]
 
-        async with backend(script) as one, running([entry("a", one.address)]) as up:
-            client = await up.client()
-            whole = book(1) + read(2) + CHUNKED.replace(b"id1", b"id3")
+        async with stub_backend(script) as one, running_proxy([endpoint_entry("a", one.address)]) as up:
+            client = await up.connect()
+            whole = post_request(1) + get_request(2) + CHUNKED.replace(b"id1", b"id3")
             client.writer.write(whole)
-            assert [(await client.answer())[-1:] for _ in range(3)] == [b"1", b"2", b"3"]
+            assert [(await client.response())[-1:] for _ in range(3)] == [b"1", b"2", b"3"]
             for at in range(len(whole)):
                 client.writer.write(whole[at : at + 1])
                 await asyncio.sleep(0)
-            assert [(await client.answer())[-1:] for _ in range(3)] == [b"1", b"2", b"3"]
-            last = await client.ask(book(4, Connection="close"))
+            assert [(await client.response())[-1:] for _ in range(3)] == [b"1", b"2", b"3"]
+            last = await client.request(post_request(4, Connection="close"))
             assert b"Connection: close\r\n" in last
-            assert await soon(client.reader.read()) == b""
+            assert await with_timeout(client.reader.read()) == b""
 
     asyncio.run(play())
 
 
-@pytest.mark.parametrize("sent", [b"", b"\r\n", b"POST /api/k HT", book(body=b"room")[:-1], CHUNKED[:-4]])
+@pytest.mark.parametrize(
+    "sent", [b"", b"\r\n", b"POST /api/k HT", post_request(body=b"room")[:-1], CHUNKED[:-4]]
+)
 def test_a_caller_that_does_not_finish_is_let_go(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
-            client = await up.client()
+        async with (
+            stub_backend(lambda _: OK_RESPONSE) as one,
+            running_proxy([endpoint_entry("a", one.address)]) as up,
+        ):
+            client = await up.connect()
             client.writer.write(sent)
-            got = await soon(client.reader.read())
+            got = await with_timeout(client.reader.read())
             assert got.startswith(b"HTTP/1.1 408 ") if len(sent) > 2 else got == b""
-            assert one.got.empty()
+            assert one.received.empty()
             client.writer.close()
-            await until(
+            await wait_until(
                 lambda: not up.proxy.listener.connections.open and not up.proxy.listener.connections.closing
             )
 
@@ -137,10 +141,13 @@
 
 def test_an_idle_caller_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
-            client = await up.client()
-            assert status(await client.ask(book())) == 200
-            assert await soon(client.reader.read()) == b""
+        async with (
+            stub_backend(lambda _: OK_RESPONSE) as one,
+            running_proxy([endpoint_entry("a", one.address)]) as up,
+        ):
+            client = await up.connect()
+            assert status_of(await client.request(post_request())) == 200
+            assert await with_timeout(client.reader.read()) == b""
             assert not up.proxy.listener.connections.open
 
     monkeypatch.setattr("proxy.downstream.eviction.IDLE_TIMEOUT", 0.1)
@@ -149,38 +156,40 @@
 
 def test_half_bodies_may_not_fill_the_memory() -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one:
+        async with stub_backend(lambda _: OK_RESPONSE) as one:
             limit = 400 << 10  # 100 KiB for half bodies
-            async with running([entry("a", one.address)], memory_limit=limit) as up:
-                whole = [book(number, body=b"x" * (60 << 10)) for number in range(2)]
-                first, second = await up.client(), await up.client()
+            async with running_proxy([endpoint_entry("a", one.address)], memory_limit=limit) as up:
+                whole = [post_request(number, body=b"x" * (60 << 10)) for number in range(2)]
+                first, second = await up.connect(), await up.connect()
                 first.writer.write(whole[0][:-1])
-                await until(lambda: up.proxy.listener.buffered_bytes > 60_000)
-                assert status(await second.ask(whole[1][:-1])) == 503
-                assert status(await first.ask(whole[0][-1:])) == 200
-                await until(lambda: up.proxy.listener.buffered_bytes == 0)
-                assert one.got.qsize() == 1
+                await wait_until(lambda: up.proxy.listener.buffered_bytes > 60_000)
+                assert status_of(await second.request(whole[1][:-1])) == 503
+                assert status_of(await first.request(whole[0][-1:])) == 200
+                await wait_until(lambda: up.proxy.listener.buffered_bytes == 0)
+                assert one.received.qsize() == 1
 
     asyncio.run(play())
 
 
 def test_silent_callers_make_room_before_good_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one:
-            async with running([entry("a", one.address)], max_sockets=48 + 8) as up:  # 4 callers
+        async with stub_backend(lambda _: OK_RESPONSE) as one:
+            async with running_proxy(
+                [endpoint_entry("a", one.address)], max_sockets=48 + 8
+            ) as up:  # 4 callers
                 front = up.proxy.listener
-                good, half = await up.client(), await up.client()
-                assert status(await good.ask(book(1))) == 200
-                half.writer.write(book(2)[:-1])
-                await until(lambda: bool(front.connections.reading))
-                bad = await up.client()
-                assert status(await bad.ask(b"nonsense\r\n\r\n")) == 400
-                silent = [await up.client() for _ in range(12)]  # far more than there is room for
-                await until(lambda: not front.connections.closing and len(front.connections.open) == 4)
+                good, half = await up.connect(), await up.connect()
+                assert status_of(await good.request(post_request(1))) == 200
+                half.writer.write(post_request(2)[:-1])
+                await wait_until(lambda: bool(front.connections.reading))
+                bad = await up.connect()
+                assert status_of(await bad.request(b"nonsense\r\n\r\n")) == 400
+                silent = [await up.connect() for _ in range(12)]  # far more than there is room for
+                await wait_until(lambda: not front.connections.closing and len(front.connections.open) == 4)
                 for client in silent[:-2]:
-                    assert await soon(client.reader.read()) == b""
-                assert status(await good.ask(book(3))) == 200
-                assert status(await half.ask(book(2)[-1:])) == 200
+                    assert await with_timeout(client.reader.read()) == b""
+                assert status_of(await good.request(post_request(3))) == 200
+                assert status_of(await half.request(post_request(2)[-1:])) == 200
 
     for name in (
         "FIRST_REQUEST_TIMEOUT",
@@ -189,40 +198,46 @@
         "IDLE_TIMEOUT",
         "CLOSING_TIMEOUT",
     ):
-        monkeypatch.setattr(f"proxy.downstream.eviction.{name}", 3 * WIDE)
+        monkeypatch.setattr(f"proxy.downstream.eviction.{name}", 3 * MAX_WAIT)
     monkeypatch.setattr("proxy.downstream.eviction.SETTLING_TIME", 0.0)
     asyncio.run(play())
 
 
 def test_an_id_that_is_open_here_is_not_passed_on() -> None:
     async def play() -> None:
-        async with backend(lambda _: None) as one, running([entry("a", one.address)]) as up:
-            client, other = await up.client(), await up.client()
-            client.writer.write(book(1))
-            await soon(one.got.get())
-            assert status(await other.ask(book(1))) == 409
-            for writer in one.open:
-                writer.write(OK)
-            assert status(await client.answer()) == 200
-            client.writer.write(book(1))  # not open any more
-            assert b"id1" in await soon(one.got.get())
+        async with (
+            stub_backend(lambda _: None) as one,
+            running_proxy([endpoint_entry("a", one.address)]) as up,
+        ):
+            client, other = await up.connect(), await up.connect()
+            client.writer.write(post_request(1))
+            await with_timeout(one.received.get())
+            assert status_of(await other.request(post_request(1))) == 409
+            for writer in one.writers:
+                writer.write(OK_RESPONSE)
+            assert status_of(await client.response()) == 200
+            client.writer.write(post_request(1))  # not open any more
+            assert b"id1" in await with_timeout(one.received.get())
 
     asyncio.run(play())
 
 
 def test_what_connection_names_and_trailers_end_here() -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
-            client = await up.client()
-            hops = book(1, Connection="keep-alive, X-Hop", X_Hop="1", X_End="2")
-            assert status(await client.ask(hops)) == 200
-            sent = await soon(one.got.get())
+        async with (
+            stub_backend(lambda _: OK_RESPONSE) as one,
+            running_proxy([endpoint_entry("a", one.address)]) as up,
+        ):
+            client = await up.connect()
+            hops = post_request(1, Connection="keep-alive, X-Hop", X_Hop="1", X_End="2")
+            assert status_of(await client.request(hops)) == 200
+            sent = await with_timeout(one.received.get())
             assert b"X-Hop" not in sent
             assert b"X-End: 2" in sent
             trailed = CHUNKED.replace(b"0\r\n\r\n", b"0\r\nX-Request-ID: id7\r\n\r\n")
             trailed = trailed.replace(b"X-Tenant", b"Transfer_Encoding: a\r\nX-Tenant")
-            assert status(await client.ask(trailed)) == 200
-            sent = await soon(one.got.get())
+            assert status_of(await client.request(trailed)) == 200
+            sent = await with_timeout(one.received.get())
             assert b"id7" not in sent
             assert b"Transfer" not in sent
 
@@ -232,17 +247,20 @@
 def test_answers_that_are_not_read_hold_up_further_requests() -> None:
     async def play() -> None:
         large = b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + b"x" * 65536
-        async with backend(lambda _: large) as one, running([entry("a", one.address)]) as up:
+        async with (
+            stub_backend(lambda _: large) as one,
+            running_proxy([endpoint_entry("a", one.address)]) as up,
+        ):
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.setblocking(False)
             await asyncio.get_running_loop().sock_connect(sock, (HOST, up.port))
-            await until(lambda: bool(up.proxy.listener.connections.open))
+            await wait_until(lambda: bool(up.proxy.listener.connections.open))
             [caller] = up.proxy.listener.connections.open
             number = 0
             while not caller._write_paused:
-                sock.send(read(number := number + 1))
-                await until(lambda sent=number: caller._write_paused or one.got.qsize() == sent)  # type: ignore[misc]
+                sock.send(get_request(number := number + 1))
+                await wait_until(lambda sent=number: caller._write_paused or one.received.qsize() == sent)  # type: ignore[misc]
             assert caller._transport.get_write_buffer_size() < 3 * 65536
             sock.close()
 
@@ -251,23 +269,25 @@
 
 def test_the_limit_on_callers() -> None:
     async def play() -> None:
-        async with backend(lambda request: OK if b"id1" in request else None) as one:
-            async with running([entry("a", one.address)], max_sockets=48 + 8) as up:  # 4 callers
-                idle = await up.client()
-                assert status(await idle.ask(book(1))) == 200
+        async with stub_backend(lambda request: OK_RESPONSE if b"id1" in request else None) as one:
+            async with running_proxy(
+                [endpoint_entry("a", one.address)], max_sockets=48 + 8
+            ) as up:  # 4 callers
+                idle = await up.connect()
+                assert status_of(await idle.request(post_request(1))) == 200
                 busy = []
                 for number in range(4):
-                    busy.append(await up.client())
-                    busy[-1].writer.write(book(20 + number))
-                    await soon(one.got.get())
-                assert await soon(idle.reader.read()) == b"", "the idle one made no room"
-                refused = await (await up.client()).ask(book(3))
-                assert status(refused) == 503
+                    busy.append(await up.connect())
+                    busy[-1].writer.write(post_request(20 + number))
+                    await with_timeout(one.received.get())
+                assert await with_timeout(idle.reader.read()) == b"", "the idle one made no room"
+                refused = await (await up.connect()).request(post_request(3))
+                assert status_of(refused) == 503
                 assert b"Connection: close\r\n" in refused
                 busy[0].writer.close()
                 front = up.proxy.listener
-                await until(lambda: len(front.connections.open) - len(front.connections.closing) == 3)
-                assert status(await (await up.client()).ask(book(1))) == 200
+                await wait_until(lambda: len(front.connections.open) - len(front.connections.closing) == 3)
+                assert status_of(await (await up.connect()).request(post_request(1))) == 200
 
     asyncio.run(play())
 
@@ -282,7 +302,7 @@
                 "seed": "8c1f30d27a5be964",
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
                 "known": {"index": 3, "snapshot": True, "endpoints": known},
-                "settings": WIRE,
+                "settings": RAW_SETTINGS,
             }
         )
     )
@@ -295,11 +315,11 @@
 
 async def up_and_ready(port: int) -> None:
     """Wait until a process answers that it is ready."""
-    async with asyncio.timeout(WIDE):
+    async with asyncio.timeout(MAX_WAIT):
         while True:
             try:
                 client = await connect(port)
-                if status(await client.ask(b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")) == 200:
+                if status_of(await client.request(b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")) == 200:
                     return
             except OSError:
                 pass
@@ -308,65 +328,72 @@
 
 def test_what_was_taken_is_finished_after_sigterm(tmp_path: Path) -> None:
     async def play() -> None:
-        async with watches() as registry, backend(lambda _: None) as one:
+        async with stub_discovery() as registry, stub_backend(lambda _: None) as one:
             port = free_port()
             env = environment(
-                tmp_path / "c.json", f"{HOST}:{port}", f"{HOST}:{registry.port}", [entry("a", one.address)]
+                tmp_path / "c.json",
+                f"{HOST}:{port}",
+                f"{HOST}:{registry.port}",
+                [endpoint_entry("a", one.address)],
             )
             process = await asyncio.create_subprocess_exec(sys.executable, "-m", "proxy", cwd=ROOT, env=env)
             await up_and_ready(port)
             idle, early = await connect(port), await connect(port)
-            early.writer.write(book(1, timeout="15"))
-            await soon(one.got.get())
+            early.writer.write(post_request(1, timeout="15"))
+            await with_timeout(one.received.get())
             process.send_signal(signal.SIGTERM)
             late = await connect(port)  # new connections still come for a moment
-            late.writer.write(book(2, timeout="15"))
-            await soon(one.got.get())
-            assert await soon(idle.reader.read()) == b""
-            for writer in one.open:
-                writer.write(OK)
+            late.writer.write(post_request(2, timeout="15"))
+            await with_timeout(one.received.get())
+            assert await with_timeout(idle.reader.read()) == b""
+            for writer in one.writers:
+                writer.write(OK_RESPONSE)
             for client in (early, late):
-                answer = await client.answer()
-                assert status(answer) == 200
+                answer = await client.response()
+                assert status_of(answer) == 200
                 assert b"Connection: close\r\n" in answer
-            assert await soon(process.wait()) == 0
+            assert await with_timeout(process.wait()) == 0
 
     asyncio.run(play())
 
 
 def test_sighup_moves_the_watch_and_loses_nothing(tmp_path: Path) -> None:
     async def play() -> None:
-        async with watches() as old, watches() as new, backend(lambda _: OK) as one:
+        async with (
+            stub_discovery() as old,
+            stub_discovery() as new,
+            stub_backend(lambda _: OK_RESPONSE) as one,
+        ):
             port, path = free_port(), tmp_path / "c.json"
             env = environment(path, f"{HOST}:{port}", f"{HOST}:{old.port}", [])
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "proxy", cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE
             )
             assert process.stderr is not None
-            await soon(old.asked.get())
-            old.say(4, [entry("b", f"{HOST}:9", "terminating")])
+            await with_timeout(old.watch_requests.get())
+            old.send_update(4, [endpoint_entry("b", f"{HOST}:9", "terminating")])
             await up_and_ready(port)
             path.write_text("{")
             process.send_signal(signal.SIGHUP)  # can't be read: one line, and all stays
-            assert (await soon(process.stderr.readline())).startswith(b"proxy: reload: ")
+            assert (await with_timeout(process.stderr.readline())).startswith(b"proxy: reload: ")
             environment(path, f"{HOST}:{port}", f"{HOST}:{new.port}", [])
             for _ in range(3):
                 process.send_signal(signal.SIGHUP)
-            assert await soon(new.asked.get()) == "/v1/servers?follow=1&since=0"
-            assert old.ended.empty(), "the old watch went before the new one told anything"
-            old.say(5, [entry("a", one.address)])  # still counts
+            assert await with_timeout(new.watch_requests.get()) == "/v1/servers?follow=1&since=0"
+            assert old.disconnects.empty(), "the old watch went before the new one told anything"
+            old.send_update(5, [endpoint_entry("a", one.address)])  # still counts
             client = await connect(port)
             number = 0
-            while status(await client.ask(read(number := number + 1))) != 200:
+            while status_of(await client.request(get_request(number := number + 1))) != 200:
                 await asyncio.sleep(0.01)
-            new.say(6, [entry("a", one.address)], snapshot=True)
-            await soon(old.ended.get())
-            assert status(await client.ask(read(number + 1))) == 200
-            assert new.asked.empty()
-            assert old.asked.empty()
+            new.send_update(6, [endpoint_entry("a", one.address)], snapshot=True)
+            await with_timeout(old.disconnects.get())
+            assert status_of(await client.request(get_request(number + 1))) == 200
+            assert new.watch_requests.empty()
+            assert old.watch_requests.empty()
             process.send_signal(signal.SIGTERM)
             process.send_signal(signal.SIGHUP)
-            assert await soon(process.wait()) == 0
+            assert await with_timeout(process.wait()) == 0
 
     asyncio.run(play())
 
@@ -374,19 +401,21 @@
 def test_a_proxy_out_of_descriptors_complains_little_and_recovers(tmp_path: Path) -> None:
     async def play() -> None:
         port = free_port()
-        env = environment(tmp_path / "c.json", f"{HOST}:{port}", f"{HOST}:9", [entry("a", f"{HOST}:9")])
+        env = environment(
+            tmp_path / "c.json", f"{HOST}:{port}", f"{HOST}:9", [endpoint_entry("a", f"{HOST}:9")]
+        )
         with open(tmp_path / "log", "wb") as log:
             process = await asyncio.create_subprocess_shell(
                 f"ulimit -n 30; exec {sys.executable} -m proxy", cwd=ROOT, env=env, stderr=log
             )
         await up_and_ready(port)
         many = [socket.create_connection((HOST, port)) for _ in range(60)]
-        await until(lambda: b"out of system resource" in (tmp_path / "log").read_bytes())
+        await wait_until(lambda: b"out of system resource" in (tmp_path / "log").read_bytes())
         for sock in many:
             sock.close()
         await up_and_ready(port)
         process.send_signal(signal.SIGTERM)
-        assert await soon(process.wait()) == 0
+        assert await with_timeout(process.wait()) == 0
         assert (tmp_path / "log").read_bytes().count(b"out of system resource") < 500
 
     asyncio.run(play())
@@ -399,23 +428,23 @@
     "seed": "1",
     "limits": {"sockets": 64},
     "known": {"index": 1, "endpoints": [{"name": "a"}]},
-    "settings": WIRE,
+    "settings": RAW_SETTINGS,
 }
 
 
 def test_a_drain_takes_what_is_queued_and_what_still_comes() -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one:
-            proxy = Proxy(config([entry("a", one.address)]))
+        async with stub_backend(lambda _: OK_RESPONSE) as one:
+            proxy = Proxy(proxy_config([endpoint_entry("a", one.address)]))
             listener = await proxy.listener.listen()
             port = listener.getsockname()[1]
             ending = asyncio.create_task(proxy.shutdown.run(listener))
             await asyncio.sleep(0)  # the drain has begun
             client = await connect(port)
-            assert status(await client.ask(book(1))) == 200
-            assert status(await client.ask(b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")) == 503
-            await soon(ending)
-            assert await soon(client.reader.read()) == b""
+            assert status_of(await client.request(post_request(1))) == 200
+            assert status_of(await client.request(b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")) == 503
+            await with_timeout(ending)
+            assert await with_timeout(client.reader.read()) == b""
             with pytest.raises(ConnectionRefusedError):
                 await connect(port)
 
@@ -424,14 +453,14 @@
 
 def test_closing_the_listener_loses_nothing_that_is_queued() -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one:
-            front = Proxy(config([entry("a", one.address)])).listener
+        async with stub_backend(lambda _: OK_RESPONSE) as one:
+            front = Proxy(proxy_config([endpoint_entry("a", one.address)])).listener
             listener = await front.listen()
             queued = [socket.create_connection(listener.getsockname()) for _ in range(20)]
             await front.stop_listening(listener)
             for sock in queued:
                 client = Client(*await asyncio.open_connection(sock=sock))
-                assert status(await client.ask(book())) == 200
+                assert status_of(await client.request(post_request())) == 200
 
     asyncio.run(play())
 
@@ -446,7 +475,7 @@
             [sys.executable, "-m", "proxy"],
             cwd=ROOT,
             env=env | more,
-            timeout=WIDE,
+            timeout=MAX_WAIT,
             capture_output=True,
             text=True,
             check=False,
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 
 import pytest
-from loopback import HOST, WIRE, Clock, Running, entry, free_port, running
+from loopback import ManualClock, RunningProxy, free_port, running_proxy
+from proxy_inputs import HOST, RAW_SETTINGS, endpoint_entry
 
 from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
@@ -18,7 +19,7 @@
 COUNTS = 6.0  # seconds after discovery had a change, and could be reached, at which it counts as told
 STEP = 0.05
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-REPLACED = {"index": 9, "snapshot": True, "endpoints": [entry("b", f"{HOST}:2")]}
+REPLACED = {"index": 9, "snapshot": True, "endpoints": [endpoint_entry("b", f"{HOST}:2")]}
 TEXT = json.dumps(REPLACED).encode()
 CLOSE = b"close"
 DRIP = 0.5  # seconds between two bytes of what trickles
@@ -73,11 +74,11 @@
                 writer.write(again)
 
 
-async def waited(clock: Clock, agent: Agent, told: Callable[[], bool]) -> float:
+async def waited(clock: ManualClock, agent: Agent, told: Callable[[], bool]) -> float:
     """How long it takes until a change is told."""
     begun = dripped = clock.now
     while not told() and clock.now < begun + 3.0 * COUNTS:
-        await clock.move(STEP)
+        await clock.advance(STEP)
         if clock.now >= dripped + DRIP:
             dripped = clock.now
             agent.drip()
@@ -87,10 +88,12 @@
 
 def settings(mode: str, ask_within: float) -> Settings:
     """The usual settings, with lists pushed or asked for."""
-    return read_settings(WIRE | {"RegistryMode": mode, "Rules": WIRE["Rules"] | {"AskEvery": ask_within}})
+    return read_settings(
+        RAW_SETTINGS | {"RegistryMode": mode, "Rules": RAW_SETTINGS["Rules"] | {"AskEvery": ask_within}}
+    )
 
 
-def places(up: Running) -> list[int]:
+def places(up: RunningProxy) -> list[int]:
     """The ports of the backends that a proxy knows."""
     return [known.address[1] for known in up.proxy.endpoint_table.backends.values()]
 
@@ -99,9 +102,9 @@
     """From the start so many calls fail alike; the change is told before it counts."""
     agent = Agent([FAULTS[fault]] * times)
     server = await asyncio.start_server(agent.serve, HOST, 0)
-    clock = Clock()
+    clock = ManualClock()
     port = server.sockets[0].getsockname()[1]
-    async with running([entry("a", f"{HOST}:1")], discovery=port) as up:
+    async with running_proxy([endpoint_entry("a", f"{HOST}:1")], discovery=port) as up:
         took = await waited(clock, agent, lambda: places(up) == [2])
         assert took < COUNTS, f"told after {took:.2f} s and {agent.calls} calls"
     server.close()
@@ -129,10 +132,12 @@
         once, again = FAULTS[ends]
         agent = Agent([(spoke + once.removeprefix(HEAD), again), FAULTS[fault]])
         server = await asyncio.start_server(agent.serve, HOST, 0)
-        clock = Clock()
+        clock = ManualClock()
         port = server.sockets[0].getsockname()[1]
-        async with running([entry("a", f"{HOST}:1")], discovery=port) as up:
-            await clock.until(lambda: not up.proxy.endpoint_table.backends)  # it has spoken, and says no more
+        async with running_proxy([endpoint_entry("a", f"{HOST}:1")], discovery=port) as up:
+            await clock.wait_until(
+                lambda: not up.proxy.endpoint_table.backends
+            )  # it has spoken, and says no more
             took = await waited(clock, agent, lambda: bool(up.proxy.endpoint_table.backends))
             assert took < COUNTS, f"told after {took:.2f} s and {agent.calls} calls"
         server.close()
@@ -146,10 +151,10 @@
         for seed in range(12):
             agent = Agent([FAULTS["silent"]])
             server = await asyncio.start_server(agent.serve, HOST, 0)
-            clock = Clock()
+            clock = ManualClock()
             port = server.sockets[0].getsockname()[1]
             asks = settings("on_request", ask_within)
-            async with running([], discovery=port, settings=asks, seed=seed) as up:
+            async with running_proxy([], discovery=port, settings=asks, seed=seed) as up:
                 took = await waited(clock, agent, lambda up=up: bool(up.proxy.endpoint_table.backends))  # type: ignore[misc]
                 assert took < COUNTS, f"told after {took:.2f} s and {agent.calls} calls with seed {seed}"
             server.close()
@@ -160,10 +165,10 @@
 def test_an_agent_that_is_back_is_heard_where_lists_are_asked_for() -> None:
     async def play() -> None:
         agent, port = Agent([]), free_port()
-        clock = Clock()
-        async with running([], discovery=port, settings=settings("on_request", 60.0)) as up:
+        clock = ManualClock()
+        async with running_proxy([], discovery=port, settings=settings("on_request", 60.0)) as up:
             for _ in range(60):
-                await clock.move(0.5)  # nobody is there
+                await clock.advance(0.5)  # nobody is there
             server = await asyncio.start_server(agent.serve, HOST, port)
             took = await waited(clock, agent, lambda: bool(up.proxy.endpoint_table.backends))
             assert took < 0.25
@@ -207,9 +212,9 @@
     async def play() -> None:
         agent = Agent([], good)
         server = await asyncio.start_server(agent.serve, HOST, 0)
-        clock = Clock()
+        clock = ManualClock()
         port = server.sockets[0].getsockname()[1]
-        async with running([], discovery=port) as up:
+        async with running_proxy([], discovery=port) as up:
             assert await waited(clock, agent, lambda: bool(up.proxy.endpoint_table.backends)) < COUNTS
         server.close()
 
@@ -219,8 +224,11 @@
 @pytest.mark.parametrize("index", [5, 8, 43])
 def test_a_whole_list_on_return_is_all_there_is_and_changes_follow_on_it(index: int) -> None:
     async def play() -> None:
-        first = REPLACED | {"index": 8, "endpoints": [entry("a", f"{HOST}:1"), entry("b", f"{HOST}:2")]}
-        change = {"index": index + 1, "snapshot": False, "endpoints": [entry("c", f"{HOST}:3")]}
+        first = REPLACED | {
+            "index": 8,
+            "endpoints": [endpoint_entry("a", f"{HOST}:1"), endpoint_entry("b", f"{HOST}:2")],
+        }
+        change = {"index": index + 1, "snapshot": False, "endpoints": [endpoint_entry("c", f"{HOST}:3")]}
         whole = REPLACED | {"index": index}
         spoke, back = (
             b"".join(chunk(json.dumps(one).encode() + b"\n") for one in told)
@@ -228,10 +236,10 @@
         )
         agent = Agent([(HEAD + spoke, b"")], HEAD + back)
         server = await asyncio.start_server(agent.serve, HOST, 0)
-        clock = Clock()
+        clock = ManualClock()
         port = server.sockets[0].getsockname()[1]
-        async with running([], discovery=port) as up:
-            await clock.until(lambda: places(up) == [1, 2])  # and then it falls silent
+        async with running_proxy([], discovery=port) as up:
+            await clock.wait_until(lambda: places(up) == [1, 2])  # and then it falls silent
             assert await waited(clock, agent, lambda: places(up) == [2, 3]) < COUNTS
         server.close()
 
