--- a/balancer/admission_control.py
+++ b/balancer/admission_control.py
@@ -7,27 +7,27 @@
 from balancer.latency_statistics import MIN_SAMPLES, LatencyStatistics
 from balancer.settings import Settings
 
-MAX_WAIT = 0.7  # part of its objective that the class with the highest priority weight may have to wait...
-MIN_WAIT = 0.35  # ...and a class with no weight...
-FAILING_WAIT = 0.57  # ...each shrinks to this part of itself, at endpoints that lose what they are sent...
-FAILING_SLOPE = 8.0  # ...which it reaches where one request in so many fails
+MAX_WAIT = 0.7  # part of its objective that the class with the highest priority weight may wait
+MIN_WAIT = 0.35  # the same of a class with no priority weight
+FAILING_WAIT = 0.57  # what is left of both at endpoints that lose what they are sent
+FAILING_SLOPE = 8.0  # FAILING_WAIT is reached where one request in so many fails
 OFFERED_PART = 0.1  # part of the offered rate that counts as served: stuck requests must not block all others
-ADMITTED_ALWAYS = 3.0  # requests admitted whatever was served lately: a start, a proxy with few calls...
-ADMITTED_ALONE = 2.0  # ...and so many more, while none fail, at a proxy that is alone in its zone
+ADMITTED_ALWAYS = 3.0  # requests admitted whatever was served lately: a start, a proxy with few calls
+ADMITTED_ALONE = 2.0  # requests admitted beyond those, while none fail, at a proxy alone in its zone
 MIN_AGE, RATE_SPAN = 0.2, 2.0  # seconds: a younger pool counts as this old; a rate needs so long to be full
 
-SHEDDING_START = 1.75  # requests are shed by chance where they wait so many times the latency's baseline...
-SHEDDING_FULL = 2.5  # ...and all of them at so many times it...
-SHEDDING_PRIORITY = 0.5  # ...those with the highest priority weight at so much more of both...
-SHEDDING_MIN_FLEET, SHEDDING_FULL_FLEET = 2, 6  # ...not in so small a fleet, and in full in one so large...
-SHEDDING_SPAN = 0.5  # ...by the requests pending over so many seconds: with few calls a moment says little
+SHEDDING_START = 1.75  # multiple of the latency's baseline at which some requests are shed, by chance
+SHEDDING_FULL = 2.5  # multiple of the baseline at which all are shed
+SHEDDING_PRIORITY = 0.5  # part by which both are higher for the highest priority weight
+SHEDDING_MIN_FLEET, SHEDDING_FULL_FLEET = 2, 6  # proxies: none is shed at 2, and in full from 6 on
+SHEDDING_SPAN = 0.5  # seconds over which pending requests are averaged: a moment says little
 
-POOL_PROTECTION = 1.0  # requests that never count against a pool: all of a proxy's calls fill its window...
-POOL_ACCEPTS = 0.85  # ...those with no weight are rejected beyond 1 / this times those served...
-POOL_PRIORITY = 0.45  # ...those with the highest beyond 1 / (this less)
+POOL_PROTECTION = 1.0  # requests that never count against a pool: all calls of a proxy fill its window
+POOL_ACCEPTS = 0.85  # requests with no weight are rejected beyond 1 / this times those served
+POOL_PRIORITY = 0.45  # those with the highest weight beyond 1 / (POOL_ACCEPTS - POOL_PRIORITY) times
 
-RETRY_AFTER_PART = 0.5  # rejected clients are told to stay away for this part of the tier's latency...
-MAX_RETRY_AFTER = 1.0  # ...and for so many seconds at most, where the settings state no other limit
+RETRY_AFTER_PART = 0.5  # part of the tier's latency for which rejected clients should stay away
+MAX_RETRY_AFTER = 1.0  # seconds, where the settings state no other limit
 
 
 class AdmissionControl:
--- a/balancer/circuit_breaker.py
+++ b/balancer/circuit_breaker.py
@@ -5,16 +5,16 @@
 from random import Random
 
 ERROR_WINDOW = 10.0  # seconds that the error probability looks back
-BUCKET_COUNT = 40  # slices of the window...
-BUCKET_WIDTH = ERROR_WINDOW / BUCKET_COUNT  # ...and the seconds of each
-MAX_MULTIPLIER = 1.5  # requests that one accepted call makes up for (the K of adaptive throttling)...
-MIN_MULTIPLIER = 1.1  # ...and what that falls to where every recent bucket fails
+BUCKET_COUNT = 40  # slices of the window
+BUCKET_WIDTH = ERROR_WINDOW / BUCKET_COUNT  # seconds
+MAX_MULTIPLIER = 1.5  # requests that one accepted call makes up for (the K of adaptive throttling)
+MIN_MULTIPLIER = 1.1  # what the multiplier falls to where every recent bucket fails
 PROTECTED_REQUESTS = 5  # requests that never count against an endpoint
 MIN_OUTLIER_FAILURES = 2  # failures in the window from which an endpoint may be an outlier
 PROBE_INTERVAL = 1.0  # seconds between calls that pass whatever the probability
-LATENCY_ACTIVATION = 3.0  # multiple of the latency baseline where the latency probability leaves 0...
-LATENCY_CEILING = 0.95  # ...and part of the timeout where it is full...
-MAX_LATENCY_PROBABILITY = 0.3  # ...at this value
+LATENCY_ACTIVATION = 3.0  # multiple of the latency baseline where the latency probability leaves 0
+LATENCY_CEILING = 0.95  # part of the timeout where the latency probability is full
+MAX_LATENCY_PROBABILITY = 0.3  # the latency probability where it is full
 
 
 @dataclass(slots=True)
--- a/balancer/client_timeouts.py
+++ b/balancer/client_timeouts.py
@@ -6,8 +6,8 @@
 
 OBJECTIVE_PART = 0.98  # of the latency objective in which attempts end: the answer has to reach the client
 MAX_LATE_WEIGHT = 0.5  # classes whose late answers keep more of their weight are waited for
-BUCKETS_PER_E_FOLD = 50.0  # timeouts are told apart in steps of 2%...
-MAX_BUCKETS = 256  # ...so many of them; rarer ones are forgotten first
+BUCKETS_PER_E_FOLD = 50.0  # timeouts are counted in buckets of 2%
+MAX_BUCKETS = 256  # buckets of one class; the rarer ones are forgotten first
 MIN_USUAL_COUNT = 4  # requests with the usual timeout before another one says anything
 
 
@@ -15,8 +15,8 @@
     """The timeouts of each class's requests, and the commonest of them."""
 
     def __init__(self) -> None:
-        self.counts: list[dict[int, int]] = []  # by class: requests by bucket of their timeout...
-        self.usual: list[int] = []  # ...and the bucket that holds most
+        self.counts: list[dict[int, int]] = []  # by class: requests by bucket of their timeout
+        self.usual: list[int] = []  # by class: the bucket that holds most requests
 
     def configure(self, settings: Settings, previous: list[int]) -> None:
         """Keep what was learned of each class by its index in the settings before, -1 for a new class."""
--- a/balancer/endpoint_pool.py
+++ b/balancer/endpoint_pool.py
@@ -17,12 +17,10 @@
 
     placement: Placement
     ready: list[EndpointState] = field(default_factory=list)  # in the order of the ring
-    subset: list[EndpointState] = field(default_factory=list)  # the part that ordinary picks draw from...
-    cumulative_weights: list[float] = field(
-        default_factory=list
-    )  # ...where each one's stretch of the ring ends
-    ring_start: float = 0.0  # ...where that of the subset begins...
-    ring_span: float = 0.0  # ...and its length
+    subset: list[EndpointState] = field(default_factory=list)  # the part that ordinary picks draw from
+    cumulative_weights: list[float] = field(default_factory=list)  # where the stretch of each one ends
+    ring_start: float = 0.0  # where the subset's stretch of the ring begins
+    ring_span: float = 0.0  # the length of that stretch
     fallback_subset: list[EndpointState] = field(default_factory=list)  # stands in for a busy subset
     deduplication_groups: Groups = field(default_factory=dict)  # endpoints that discard each other's repeats
     offered_rate: SmoothedRate = field(default_factory=SmoothedRate)  # requests
@@ -30,9 +28,9 @@
     served_rate: SmoothedRate = field(default_factory=SmoothedRate)  # requests that were answered
     warm_rate: WarmRate = field(default_factory=WarmRate)  # attempts while all of the subset were warm
     first_request_at: float = float("inf")
-    pending: int = 0  # requests whose final answer is still to be given...
-    smoothed_pending: float = 0.0  # ...and their mean of late...
-    smoothed_at: float = 0.0  # ...as of then
+    pending: int = 0  # requests whose final answer is still to be given
+    smoothed_pending: float = 0.0  # the mean of `pending` over the last half second
+    smoothed_at: float = 0.0  # when that mean was updated
     breaker: CircuitBreaker = field(default_factory=CircuitBreaker)  # of requests, wherever they went
     next_warm_at: float = float("inf")  # when the next of the warming endpoints is warm
     warm_fraction: float = 1.0  # of the subset
--- a/balancer/endpoint_selection.py
+++ b/balancer/endpoint_selection.py
@@ -11,8 +11,8 @@
 from balancer.settings import Idempotency
 from balancer.slow_start import SlowStart
 
-CANDIDATES = 2  # random endpoints that are compared by their scores...
-MAX_DRAWS = 8  # ...of so many draws at most
+CANDIDATES = 2  # random endpoints that are compared by their scores
+MAX_DRAWS = 8  # random draws to find them
 
 
 @dataclass(slots=True)
--- a/balancer/endpoint_state.py
+++ b/balancer/endpoint_state.py
@@ -27,10 +27,10 @@
     endpoint: Endpoint
     breaker: CircuitBreaker | None = None  # made at the first call: in a long list most endpoints see none
     in_flight: dict[AttemptState, None] = field(default_factory=dict)  # oldest first
-    mean_latency: float = 0.0  # failures count as the latency objective...
-    measured_at: float = 0.0  # ...as of then
-    warmup_tokens: float = 0.0  # calls that it may get while it warms up...
-    refilled_at: float = 0.0  # ...as of then
+    mean_latency: float = 0.0  # failures count as the latency objective
+    measured_at: float = 0.0  # when the mean was last moved
+    warmup_tokens: float = 0.0  # calls that it may get while it warms up
+    refilled_at: float = 0.0  # when the tokens were last refilled
 
     def reset(self) -> None:
         """Forget the process before; tokens from then would be full at all instances, and push it over."""
--- a/balancer/hedging.py
+++ b/balancer/hedging.py
@@ -9,9 +9,9 @@
 from balancer.latency_statistics import LatencyStatistics
 from balancer.settings import Idempotency, Settings
 
-HEDGE_DEVIATIONS = 5.0  # a hedged request goes out so many mean deviations over the tier's latency...
-HEDGE_MULTIPLE = 2.0  # ...at so many times that latency or later...
-HEDGE_TIME_LEFT = 1.5  # ...if so many times it are left then: in a queue all are late, and hedging feeds it
+HEDGE_DEVIATIONS = 5.0  # mean deviations over the tier's latency after which a hedged request goes out
+HEDGE_MULTIPLE = 2.0  # multiple of the tier's latency that it waits at least
+HEDGE_TIME_LEFT = 1.5  # multiple of it that must be left then: in a queue hedging adds to it
 
 
 @dataclass
--- a/balancer/latency_statistics.py
+++ b/balancer/latency_statistics.py
@@ -10,8 +10,8 @@
     """Mean latencies and their baselines; a baseline falls fast and rises slowly."""
 
     def __init__(self) -> None:
-        self.class_latency: list[float] = []  # mean of the answers to each class of late...
-        self.class_samples: list[int] = []  # ...and how many it goes over
+        self.class_latency: list[float] = []  # mean of the recent answers to each class
+        self.class_samples: list[int] = []  # how many answers that mean goes over
         self._reset()
 
     def _reset(self) -> None:
--- a/balancer/rate_estimators.py
+++ b/balancer/rate_estimators.py
@@ -3,8 +3,8 @@
 from math import exp, inf
 
 SMOOTHING_SPAN = 2.0  # seconds that a smoothed rate goes over
-WARM_RATE_SPAN = 30.0  # seconds with warm endpoints that the warm rate goes over...
-MIN_WARM_EVENTS = 8.0  # ...from so many events on
+WARM_RATE_SPAN = 30.0  # seconds with warm endpoints that the warm rate goes over
+MIN_WARM_EVENTS = 8.0  # events before the warm rate says anything
 
 
 class SmoothedRate:
--- a/balancer/retry_budget.py
+++ b/balancer/retry_budget.py
@@ -6,9 +6,9 @@
 
 from balancer.settings import Rules
 
-DEFAULT_FLOOR = 5.0  # retries in any window where the rules state no retry budget...
-DEFAULT_RATIO = 0.2  # ...and as many more for each request in it: more would feed an overload...
-DEFAULT_WINDOW = 10.0  # ...in seconds
+DEFAULT_FLOOR = 5.0  # retries in any window, where the rules state no retry budget
+DEFAULT_RATIO = 0.2  # retries for each request in the window: more would feed an overload
+DEFAULT_WINDOW = 10.0  # seconds
 HEDGE_FLOOR, HEDGE_RATIO = 1.0, 0.05  # the same of hedged requests
 CLOCK_TOLERANCE = 1e-5  # seconds by which a window is read to the budget's disadvantage: clocks are rounded
 
--- a/balancer/subsetting.py
+++ b/balancer/subsetting.py
@@ -12,8 +12,8 @@
 
 SUBSET_GROWTH = 1.0  # endpoints of a subset beyond the first, for each root of the calls usually in flight
 RESIZE_INTERVAL = 3.0  # seconds between two choices of the subsets
-FALLBACKS_PER_ENDPOINT = 2  # endpoints that stand in for a busy subset, for each of its own...
-MIN_FALLBACKS = 2  # ...and so many more
+FALLBACKS_PER_ENDPOINT = 2  # endpoints that stand in for a busy subset, for each one in it
+MIN_FALLBACKS = 2  # endpoints that stand in for a busy subset, whatever its size
 RING_MULTIPLIER = 0x9E3779B1  # 2^32 over the golden ratio scatters consecutive ids
 
 
--- a/balancer/tenant_quota.py
+++ b/balancer/tenant_quota.py
@@ -15,8 +15,8 @@
 
     def __init__(self) -> None:
         self._rates: list[float] = []  # tokens a second, by tenant; 0: no quota
-        self.tokens: list[float] = []  # requests within the quota...
-        self._refilled_at: list[float] = []  # ...as of then
+        self.tokens: list[float] = []  # requests that are left of each quota
+        self._refilled_at: list[float] = []  # when the tokens were last refilled
 
     def configure(self, now: float, previous: tuple[Tenant, ...], settings: Settings) -> None:
         """Take over new settings; tenants that the previous ones name too keep the tokens they have left."""
--- a/emulator/registry_state.py
+++ b/emulator/registry_state.py
@@ -40,8 +40,8 @@
         self.index = index
         self._entries = {entry["name"]: entry for entry in entries}
         self._log: deque[tuple[int, Entry]] = deque()
-        self._oldest_index = index  # the oldest version from which the log holds every change...
-        self._oldest_resumable = index  # ...and the oldest that a new watch may resume from
+        self._oldest_index = index  # the oldest version from which the log holds every change
+        self._oldest_resumable = index  # the oldest version that a new watch may resume from
         self._encoded: dict[tuple[View, int], EncodedUpdate | None] = {}
 
     def change(self, index: int, entries: list[Entry]) -> None:
--- a/proxy/shutdown.py
+++ b/proxy/shutdown.py
@@ -12,12 +12,12 @@
 from proxy.dispatcher import Dispatcher
 from proxy.downstream.listener import Listener
 
-MIN_ACCEPT_TIME = 0.45  # seconds after SIGTERM in which new connections are still accepted...
-QUIET_TIME = 0.1  # ...and then until none has come for so long...
-MAX_ACCEPT_TIME = 0.6  # ...but no longer than this
+MIN_ACCEPT_TIME = 0.45  # seconds after SIGTERM in which new connections are accepted in any case
+QUIET_TIME = 0.1  # seconds without a new connection after which no more are expected
+MAX_ACCEPT_TIME = 0.6  # seconds after SIGTERM from which none is accepted
 READ_TIME = 0.02  # seconds to read what has come on connections that were accepted last
-KILL_DELAY = 0.7  # seconds after SIGTERM and the longest deadline at which SIGKILL may come...
-MAX_DEADLINE = 3.0  # seconds: ...the deadline counted as this where it is longer
+KILL_DELAY = 0.7  # seconds after SIGTERM and the longest deadline at which SIGKILL may come
+MAX_DEADLINE = 3.0  # seconds: a longer deadline counts as this for SIGKILL
 KILL_MARGIN = 0.1  # seconds before that by which what was taken late is answered
 ACCEPT_POLL_INTERVAL = 0.02  # seconds between two looks at whether connections still come
 CONNECTION_POLL_INTERVAL = 0.01  # seconds between two looks at whether connections are left
