--- /dev/null
+++ b/tests/config_files.py
@@ -0,0 +1,118 @@
+"""The content of configuration files: a good one with changes, and one for each way to be bad."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+from proxy_inputs import HOST, NO_DISCOVERY_PORT, RAW_SETTINGS
+
+READ_CLASS, BOOK_CLASS, ONCE_CLASS = RAW_SETTINGS["Services"]
+
+
+def raw_config(**entries: Any) -> dict[str, Any]:
+    """Return the content of a good file with other entries at its top; None leaves one out."""
+    content = {
+        "name": "n0",
+        "listen": f"{HOST}:0",
+        "discovery": f"{HOST}:{NO_DISCOVERY_PORT}",
+        "seed": "1",
+        "limits": {"sockets": 1024, "memory_mb": 64},
+        "known": {"index": 7, "endpoints": []},
+        "settings": RAW_SETTINGS,
+    } | entries
+    return {name: value for name, value in content.items() if value is not None}
+
+
+def file_with(**entries: Any) -> bytes:
+    """Return a good file with other entries at its top; None leaves one out."""
+    return json.dumps(raw_config(**entries)).encode()
+
+
+def file_with_settings(**settings: Any) -> bytes:
+    """Return a good file with other settings."""
+    return file_with(settings=RAW_SETTINGS | settings)
+
+
+def file_with_objective(number: bytes) -> bytes:
+    """Return a file with a latency objective that no JSON encoder writes."""
+    placeholder = 7
+    file = file_with_settings(Services=[READ_CLASS | {"Aim": placeholder}])
+    return file.replace(b'"Aim": %d' % placeholder, b'"Aim": ' + number)
+
+
+#: Files that can not be taken, each for one reason.
+BAD_FILES: dict[str, bytes] = {
+    "empty": b"",
+    "broken": b"{",
+    "a list": b"[]",
+    "a number": b"7",
+    "null": b"null",
+    "text": b'"x"',
+    "no UTF-8": b'{"name":"\xff\xfe"}',
+    "zero bytes": b"\0" * 64,
+    "deeply nested": b"[" * 100_000,
+    "larger than the limit": b" " * (4 << 20) + file_with(),
+    "no settings": file_with(settings=None),
+    "no limits": file_with(limits=None),
+    "no discovery": file_with(discovery=None),
+    "settings are a list": file_with(settings=[]),
+    "settings are a text": file_with(settings="x"),
+    "address without a port": file_with(discovery="nowhere"),
+    "port over the largest": file_with(discovery=f"{HOST}:99999"),
+    "address is a number": file_with(discovery=7),
+    "seed is no hexadecimal number": file_with(seed="xyz"),
+    "seed is a number": file_with(seed=7),
+    "sockets are a text": file_with(limits={"sockets": "many"}),
+    "sockets over the maximum": file_with(limits={"sockets": 1e308}),
+    "no sockets": file_with(limits={"sockets": 0}),
+    "memory over the maximum": file_with(limits={"sockets": 64, "memory_mb": 1e308}),
+    "version with a blank": file_with(version="a b"),
+    "version is true": file_with(version=True),
+    "version is a list": file_with(version=[1]),
+    "no classes": file_with_settings(Services=[]),
+    "class is a number": file_with_settings(Services=[7]),
+    "classes are a number": file_with_settings(Services=7),
+    "two classes with one name": file_with_settings(Services=[READ_CLASS, READ_CLASS]),
+    "class name is a number": file_with_settings(Services=[READ_CLASS | {"Name": 7}]),
+    "latency objective is a text": file_with_settings(Services=[READ_CLASS | {"Aim": "soon"}]),
+    "latency objective is 0": file_with_settings(Services=[READ_CLASS | {"Aim": 0}]),
+    "latency objective over a float": file_with_objective(b"1e400"),
+    "latency objective is an integer over a float": file_with_objective(b"1" + b"0" * 400),
+    "deadline is not a number": file_with_settings(Services=[READ_CLASS | {"HardLimit": float("nan")}]),
+    "negative priority weight": file_with_settings(Services=[READ_CLASS | {"Credit": -1}]),
+    "deduplication window is true": file_with_settings(Services=[READ_CLASS | {"Window": True}]),
+    "unknown idempotency": file_with_settings(Services=[READ_CLASS | {"Repeat": "maybe"}]),
+    "idempotency is a list": file_with_settings(Services=[READ_CLASS | {"Repeat": []}]),
+    "unknown deduplication scope": file_with_settings(Services=[ONCE_CLASS | {"Group": "rack"}]),
+    "streaming is a text": file_with_settings(Services=[READ_CLASS | {"Streaming": "no"}]),
+    "zone is not listed": file_with_settings(Services=[READ_CLASS | {"AllowedIn": [2]}]),
+    "machine type is not listed": file_with_settings(Services=[READ_CLASS | {"BoundTo": [1]}]),
+    "bound to a name": file_with_settings(Services=[READ_CLASS | {"BoundTo": ["k"]}]),
+    "bound to a number": file_with_settings(Services=[READ_CLASS | {"BoundTo": 7}]),
+    "two tenants with one name": file_with_settings(Orgs=[{"Name": "a"}, {"Name": "a"}]),
+    "tenant share over 1": file_with_settings(Orgs=[{"Name": "a", "Share": 2}]),
+    "negative tenant quota": file_with_settings(Orgs=[{"Name": "a", "AllowancePerS": -1}]),
+    "tenants are a text": file_with_settings(Orgs="acme"),
+    "zones are numbers": file_with_settings(Zones=[1, 2]),
+    "two zones with one name": file_with_settings(Zones=["a", "a"]),
+    "machine types are a text": file_with_settings(HostTypes="k"),
+    "own zone is not listed": file_with_settings(Zone=2),
+    "no attempts": file_with_settings(Bounds={"MaxAttempts": 0}),
+    "cancel is a text": file_with_settings(Bounds={"Cancel": "yes"}),
+    "idle timeout is 0": file_with_settings(Bounds={"ConnIdle": 0}),
+    "idle timeout is a text": file_with_settings(Bounds={"ConnIdle": "nan"}),
+    "negative dial timeout": file_with_settings(Bounds={"DialTimeout": -1}),
+    "dial timeout over the maximum": file_with_settings(Bounds={"DialTimeout": 1e300}),
+    "bounds are a list": file_with_settings(Bounds=[1]),
+    "negative warmup duration": file_with_settings(Rules={"Cold": -1}),
+    "rules are a list": file_with_settings(Rules=[7]),
+    "warmup capacity over 1": file_with_settings(Rules={"ColdFrom": 2}),
+    "empty fleet": file_with_settings(Instances=0),
+    "ordinal outside of the fleet": file_with_settings(Ordinal=1),
+    "fleet over the maximum": file_with_settings(Instances=1e300),
+    "fleet size is true": file_with_settings(Instances=True),
+    "unknown discovery mode": file_with_settings(RegistryMode="asked"),
+    "over-share weight over the maximum": file_with_settings(OverShareWorth=7),
+    "retry mark is a number": file_with_settings(ClientHabits={"MarksRetry": 1}),
+}
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -17,7 +17,7 @@
 from typing import Any, ParamSpec, TypeVar
 
 import pytest
-from proxy_inputs import HOST, MAX_WAIT, NO_DISCOVERY_PORT, endpoint_entry, proxy_config
+from proxy_inputs import HOST, MAX_WAIT, NO_DISCOVERY_PORT, OK_RESPONSE, endpoint_entry, proxy_config
 
 from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
@@ -76,6 +76,12 @@
             assert time.monotonic() < give_up_at, "it did not come"
             await asyncio.sleep(0)
 
+    async def wait_for(self, awaitable: Awaitable[T]) -> T:
+        """Return the result of something that comes without any more time."""
+        future = asyncio.ensure_future(awaitable)
+        await self.wait_until(future.done)
+        return future.result()
+
     async def settle(self) -> None:
         """Let the loop run what is due, and read what is on its way on loopback."""
         for _ in range(SETTLE_TURNS):
@@ -97,6 +103,15 @@
     return head + await reader.readexactly(length)
 
 
+def respond_ok(_request: bytes) -> bytes:
+    """Respond to each request with status 200: a script for a `StubBackend`."""
+    return OK_RESPONSE
+
+
+def stay_silent(_request: bytes) -> None:
+    """Respond to no request: a script for a `StubBackend`."""
+
+
 class StubBackend:
     """A backend that responds by a script.
 
@@ -226,6 +241,11 @@
         return await with_timeout(read_message(self.reader))
 
 
+async def connect(port: int) -> Client:
+    """Open a client's connection to a proxy."""
+    return Client(*await asyncio.open_connection(HOST, port))
+
+
 class ConnectGate:
     """Holds the proxy's connection attempts, all but the first few, until a test releases them.
 
@@ -293,7 +313,7 @@
 
     async def connect(self) -> Client:
         """Open a client's connection to it."""
-        return Client(*await asyncio.open_connection(HOST, self.port))
+        return await connect(self.port)
 
 
 @asynccontextmanager
--- /dev/null
+++ b/tests/test_reload_active_requests.py
@@ -0,0 +1,180 @@
+"""What a configuration that is read again means for active requests: none is lost, run twice or misplaced."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import pytest
+from config_files import BOOK_CLASS, ONCE_CLASS, READ_CLASS
+from loopback import (
+    ConnectGate,
+    ManualClock,
+    in_event_loop,
+    respond_ok,
+    stay_silent,
+    stub_backend,
+    wait_until,
+    with_timeout,
+)
+from proxy_inputs import (
+    NOT_PROCESSED_RESPONSE,
+    OK_RESPONSE,
+    endpoint_entry,
+    get_request,
+    post_request,
+    status_of,
+)
+from proxy_internals import is_receiving_response
+from reloadable_proxy import reloadable_proxy_with_backend, request_of_class
+
+IDEMPOTENT = {"Repeat": "retryable"}
+NON_IDEMPOTENT = {"Repeat": "fragile"}
+ERROR_RESPONSE = b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
+
+
+@pytest.mark.parametrize(
+    "services",
+    [
+        [BOOK_CLASS, READ_CLASS, ONCE_CLASS | {"Name": "new"} | IDEMPOTENT],
+        [READ_CLASS | {"Name": "new"}, READ_CLASS],
+        [READ_CLASS | {"Name": "new"}],
+    ],
+)
+@in_event_loop
+async def test_active_request_is_answered_although_its_class_moves_or_goes(
+    config_path: Path, services: list[dict[str, Any]]
+) -> None:
+    async with reloadable_proxy_with_backend(config_path, stay_silent) as (running, backend):
+        client, other = await running.connect(), await running.connect()
+        client.writer.write(post_request(1))
+        await with_timeout(backend.received.get())
+        running.reload(Services=services)
+        assert status_of(await other.request(request_of_class("once", 2))) == 400  # the class is gone
+        other = await running.connect()
+        other.writer.write(request_of_class("new", 3))
+        assert b"id3" in await with_timeout(backend.received.get())
+        for writer in backend.writers:
+            writer.write(OK_RESPONSE)
+        assert status_of(await client.response()) == 200 == status_of(await other.response())
+        has_book_class = any(service["Name"] == "book" for service in services)
+        backend.script = respond_ok
+        assert status_of(await client.request(post_request(4))) == (200 if has_book_class else 400)
+
+
+@pytest.mark.parametrize(
+    ("make_request", "services"),
+    [
+        (post_request, [READ_CLASS, BOOK_CLASS | IDEMPOTENT]),  # its class allows a retry by now
+        (get_request, [READ_CLASS | NON_IDEMPOTENT, BOOK_CLASS]),  # its class allows no retry any more
+        (post_request, [READ_CLASS]),  # its class is gone
+    ],
+)
+@pytest.mark.parametrize("failure", ["connection closed", "error response"])
+@in_event_loop
+async def test_request_that_may_have_run_is_neither_retried_nor_rejected(
+    config_path: Path,
+    make_request: Callable[[int], bytes],
+    services: list[dict[str, Any]],
+    failure: str,
+) -> None:
+    async with (
+        stub_backend(respond_ok) as other_backend,
+        reloadable_proxy_with_backend(config_path, stay_silent) as (running, backend),
+    ):
+        client = await running.connect()
+        client.writer.write(make_request(1))
+        await with_timeout(backend.received.get())
+        running.notify([endpoint_entry("b", other_backend.address)])
+        running.reload(Services=services)
+        if failure == "connection closed":
+            backend.writers[0].close()
+        else:
+            backend.writers[0].write(ERROR_RESPONSE)
+        assert status_of(await client.response()) == 502
+        assert other_backend.received.empty()
+
+
+@in_event_loop
+async def test_request_that_did_not_run_is_retried_although_its_class_is_gone(config_path: Path) -> None:
+    async with (
+        stub_backend(respond_ok) as other_backend,
+        reloadable_proxy_with_backend(config_path, stay_silent) as (running, backend),
+    ):
+        client = await running.connect()
+        client.writer.write(post_request(1))
+        await with_timeout(backend.received.get())
+        running.notify([endpoint_entry("b", other_backend.address)])
+        running.reload(Services=[READ_CLASS])
+        backend.writers[0].write(NOT_PROCESSED_RESPONSE)
+        assert status_of(await client.response()) == 200
+
+
+@in_event_loop
+async def test_response_that_has_begun_is_awaited_once_no_retry_is_allowed(config_path: Path) -> None:
+    def respond_in_part(_request: bytes) -> bytes:
+        return OK_RESPONSE[:-2]
+
+    clock = ManualClock()
+    async with reloadable_proxy_with_backend(config_path, respond_in_part) as (running, backend):
+        client = await running.connect()
+        client.writer.write(get_request(1))
+        active_requests = running.dispatcher.active_requests
+        await clock.wait_until(lambda: any(map(is_receiving_response, active_requests.values())))
+        running.reload(Services=[READ_CLASS | NON_IDEMPOTENT])
+        await clock.advance(1.0)
+        backend.writers[0].write(OK_RESPONSE[-2:])
+        assert status_of(await client.response()) == 200
+
+
+@in_event_loop
+async def test_queued_request_is_classified_when_it_is_taken_up(config_path: Path) -> None:
+    async with reloadable_proxy_with_backend(config_path, stay_silent) as (running, backend):
+        client = await running.connect()
+        queued = request_of_class("book", 2) + request_of_class("book", 3, "POST")
+        client.writer.write(post_request(1) + queued)
+        await with_timeout(backend.received.get())
+        running.reload(Services=[READ_CLASS, BOOK_CLASS | IDEMPOTENT])
+        backend.script = respond_ok
+        backend.writers[0].write(OK_RESPONSE)
+        assert [status_of(await client.response()) for _ in range(3)] == [200, 200, 400]
+
+
+@in_event_loop
+async def test_active_request_is_answered_although_its_tenant_moves_and_goes(config_path: Path) -> None:
+    new_tenant = {"Name": "new", "AllowancePerS": 9.0}
+    async with reloadable_proxy_with_backend(config_path, stay_silent) as (running, backend):
+        client, other = await running.connect(), await running.connect()
+        client.writer.write(get_request(1))
+        await with_timeout(backend.received.get())
+        running.reload(Orgs=[new_tenant, {"Name": "acme", "AllowancePerS": 5.0}])
+        backend.script = respond_ok
+        assert status_of(await other.request(get_request(2, X_Tenant_Id="new"))) == 200
+        assert status_of(await other.request(get_request(3))) == 200
+        assert [int(tokens) for tokens in running.balancer.tenant_quotas.tokens] == [45, 0]
+        running.reload(Orgs=[new_tenant])
+        assert status_of(await other.request(get_request(4))) == 400
+        backend.writers[0].write(OK_RESPONSE)
+        assert status_of(await client.response()) == 200
+
+
+@in_event_loop
+async def test_unsent_attempt_moves_to_a_backend_that_its_class_may_still_use(
+    config_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async with (
+        stub_backend(respond_ok) as other_backend,
+        reloadable_proxy_with_backend(config_path, respond_ok) as (running, backend),
+    ):
+        client = await running.connect()
+        gate = ConnectGate(monkeypatch)
+        client.writer.write(post_request(1))
+        await wait_until(lambda: gate.held == 1)
+        in_other_zone = endpoint_entry("b", other_backend.address) | {"zone": "there"}
+        running.read_and_notify([in_other_zone])
+        running.reload(Services=[READ_CLASS, BOOK_CLASS | {"AllowedIn": [1]}])
+        gate.release()
+        assert status_of(await client.response()) == 200
+        assert b"id1" in await with_timeout(other_backend.received.get())
+        assert backend.received.empty()
