--- /dev/null
+++ b/tests/test_discovery_deadline.py
@@ -0,0 +1,188 @@
+"""A change of the endpoint list is delivered within 6 s, whatever calls of discovery fail before.
+
+The tests move the clock by hand, on loopback sockets: no sum of the proxy's waits may pass the deadline.
+"""
+
+from __future__ import annotations
+
+from functools import partial
+
+import pytest
+from faulty_discovery import (
+    FAULTS,
+    IMMEDIATE_FAULTS,
+    RESPONSE_HEAD,
+    SNAPSHOT,
+    SNAPSHOT_RESPONSE,
+    SNAPSHOT_TEXT,
+    CallFault,
+    FaultyDiscovery,
+    chunk,
+    faulty_discovery,
+    measure_delivery,
+    updates,
+)
+from loopback import ManualClock, RunningProxy, free_port, in_event_loop, running_proxy
+from proxy_inputs import HOST, RAW_SETTINGS, endpoint_entry
+
+from balancer.balancer import Balancer
+from balancer.endpoints import UpdateKind
+from balancer.events import Action, PollEndpoints, SetTimer
+from balancer.settings import DiscoveryMode, Rules, Settings
+from balancer.settings_reader import read_settings
+
+#: Seconds after discovery had a change, and could be reached, by which the change counts as delivered.
+DELIVERY_DEADLINE = 6.0
+OLD_ENTRIES = [endpoint_entry("a", f"{HOST}:1")]
+
+
+def polled_settings(poll_interval: float) -> Settings:
+    """Return the usual settings, with lists that the proxy polls."""
+    rules = RAW_SETTINGS["Rules"] | {"AskEvery": poll_interval}
+    return read_settings(RAW_SETTINGS | {"RegistryMode": "on_request", "Rules": rules})
+
+
+def backend_ports(running: RunningProxy) -> list[int]:
+    """Return the ports of the backends that a proxy knows."""
+    return [backend.address[1] for backend in running.proxy.endpoint_table.backends.values()]
+
+
+def has_backends(running: RunningProxy) -> bool:
+    """Return whether a proxy knows any backend."""
+    return bool(running.proxy.endpoint_table.backends)
+
+
+def describe(delay: float, discovery: FaultyDiscovery) -> str:
+    """Return the message of a failed test."""
+    return f"delivered after {delay:.2f} s and {discovery.calls} calls"
+
+
+async def check_delivery_after_failed_calls(fault: CallFault, times: int) -> None:
+    """Require that a change is delivered in time although so many calls from the start fail alike."""
+    clock = ManualClock()
+    async with (
+        faulty_discovery([fault] * times) as discovery,
+        running_proxy(OLD_ENTRIES, discovery=discovery.port) as running,
+    ):
+        delay = await measure_delivery(clock, discovery, lambda: backend_ports(running) == [2])
+        assert delay < DELIVERY_DEADLINE, describe(delay, discovery)
+
+
+@pytest.mark.parametrize("times", [1, 2])
+@pytest.mark.parametrize("fault", FAULTS)
+@in_event_loop
+async def test_failed_calls_from_the_start_do_not_delay_a_change_past_the_deadline(
+    fault: str, times: int
+) -> None:
+    await check_delivery_after_failed_calls(FAULTS[fault], times)
+
+
+@pytest.mark.parametrize("fault", IMMEDIATE_FAULTS)
+@in_event_loop
+async def test_backoff_after_calls_that_fail_at_once_stays_within_the_deadline(fault: str) -> None:
+    await check_delivery_after_failed_calls(FAULTS[fault], 10)
+
+
+@pytest.mark.parametrize("ending", ["silent", "a line that trickles", "an object that trickles"])
+@pytest.mark.parametrize("fault", FAULTS)
+@in_event_loop
+async def test_silent_watch_and_a_failed_call_together_stay_within_the_deadline(
+    fault: str, ending: str
+) -> None:
+    empty_list = updates(SNAPSHOT | {"index": 8, "endpoints": []})
+    after_list = FAULTS[ending].response.removeprefix(RESPONSE_HEAD)
+    falls_silent = CallFault(empty_list + after_list, FAULTS[ending].trickle)
+    clock = ManualClock()
+    async with (
+        faulty_discovery([falls_silent, FAULTS[fault]]) as discovery,
+        running_proxy(OLD_ENTRIES, discovery=discovery.port) as running,
+    ):
+        await clock.wait_until(lambda: not has_backends(running))  # the empty list has come
+        delay = await measure_delivery(clock, discovery, partial(has_backends, running))
+        assert delay < DELIVERY_DEADLINE, describe(delay, discovery)
+
+
+@pytest.mark.parametrize("poll_interval", [2.0, 10.0, 60.0])
+@in_event_loop
+async def test_failed_poll_does_not_delay_a_change_past_the_deadline(poll_interval: float) -> None:
+    clock = ManualClock()
+    for seed in range(12):
+        async with (
+            faulty_discovery([FAULTS["silent"]]) as discovery,
+            running_proxy(
+                [], discovery=discovery.port, settings=polled_settings(poll_interval), seed=seed
+            ) as running,
+        ):
+            delay = await measure_delivery(clock, discovery, partial(has_backends, running))
+            assert delay < DELIVERY_DEADLINE, f"{describe(delay, discovery)} with seed {seed}"
+
+
+@in_event_loop
+async def test_discovery_that_is_back_is_polled_soon() -> None:
+    port = free_port()
+    clock = ManualClock()
+    async with running_proxy([], discovery=port, settings=polled_settings(60.0)) as running:
+        for _ in range(60):
+            await clock.advance(0.5)  # nobody listens there
+        async with faulty_discovery(port=port) as discovery:
+            delay = await measure_delivery(clock, discovery, partial(has_backends, running))
+            assert delay < 0.25
+
+
+def next_poll_time(balancer: Balancer, now: float, actions: list[Action]) -> float:
+    """Return when the decisions poll again, and require that the deadline leaves time for another poll."""
+    [timer] = actions
+    assert isinstance(timer, SetTimer)
+    assert timer.at - now <= DELIVERY_DEADLINE / 2.0
+    assert balancer.on_timer(timer.at, timer.token) == [PollEndpoints()]
+    return timer.at
+
+
+@pytest.mark.parametrize("poll_interval", [0.5, 2.0, 10.0, 60.0])
+def test_decisions_poll_twice_in_any_span_as_long_as_the_deadline(poll_interval: float) -> None:
+    for seed in range(50):
+        rules = Rules(poll_interval=poll_interval)
+        balancer = Balancer(Settings(discovery=DiscoveryMode.POLLED, rules=rules), seed)
+        now = next_poll_time(balancer, 100.0, balancer.start(100.0))
+        for _ in range(12):
+            now = next_poll_time(balancer, now, balancer.on_endpoints_updated(now, UpdateKind.FAILED, []))
+
+
+@pytest.mark.parametrize(
+    "response",
+    [
+        b"HTTP/1.1 103 Early Hints\r\n\r\n" + SNAPSHOT_RESPONSE,
+        b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n" + SNAPSHOT_RESPONSE,
+        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b\n" % (len(SNAPSHOT_TEXT) + 1, SNAPSHOT_TEXT),
+        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(SNAPSHOT_TEXT), SNAPSHOT_TEXT),
+        RESPONSE_HEAD + chunk(SNAPSHOT_TEXT[:9]) + chunk(SNAPSHOT_TEXT[9:]) + b"0\r\n\r\n",
+        RESPONSE_HEAD + chunk(SNAPSHOT_TEXT) + b"0\r\nX-A: b\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\n\r\n" + SNAPSHOT_TEXT + b"\n",
+    ],
+)
+@in_event_loop
+async def test_list_may_come_in_any_form_of_http(response: bytes) -> None:
+    clock = ManualClock()
+    async with (
+        faulty_discovery(response=response) as discovery,
+        running_proxy([], discovery=discovery.port) as running,
+    ):
+        delay = await measure_delivery(clock, discovery, partial(has_backends, running))
+        assert delay < DELIVERY_DEADLINE
+
+
+@pytest.mark.parametrize("index", [5, 8, 43])
+@in_event_loop
+async def test_snapshot_on_return_replaces_the_list_and_a_delta_follows_on_it(index: int) -> None:
+    both_entries = [endpoint_entry("a", f"{HOST}:1"), endpoint_entry("b", f"{HOST}:2")]
+    falls_silent = CallFault(updates(SNAPSHOT | {"index": 8, "endpoints": both_entries}))
+    delta = {"index": index + 1, "snapshot": False, "endpoints": [endpoint_entry("c", f"{HOST}:3")]}
+    on_return = updates(SNAPSHOT | {"index": index}, delta)
+    clock = ManualClock()
+    async with (
+        faulty_discovery([falls_silent], on_return) as discovery,
+        running_proxy([], discovery=discovery.port) as running,
+    ):
+        await clock.wait_until(lambda: backend_ports(running) == [1, 2])
+        delay = await measure_delivery(clock, discovery, lambda: backend_ports(running) == [2, 3])
+        assert delay < DELIVERY_DEADLINE
--- /dev/null
+++ b/tests/test_shutdown_races.py
@@ -0,0 +1,150 @@
+"""Graceful shutdown, on loopback sockets with the clock moved by hand: what clients do while it goes on."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from typing import Any
+
+import pytest
+from loopback import (
+    Client,
+    ConnectGate,
+    ManualClock,
+    RunningProxy,
+    connect,
+    in_event_loop,
+    stay_silent,
+    stub_backend,
+)
+from proxy_inputs import OK_RESPONSE, endpoint_entry, get_request, post_request, proxy_config, status_of
+
+from proxy.proxy import Proxy
+
+KILL_DELAY = 3.0 + 0.7  # seconds after SIGTERM at which SIGKILL may come, by the protocol
+MAX_SHUTDOWN_TIME = KILL_DELAY + 1.0  # seconds after which a shutdown is given up
+ACCEPT_TIME = 0.7  # seconds after SIGTERM by which new connections are accepted no more
+CLOCK_STEP = 0.02  # seconds
+UNLIMITED = 1 << 30
+
+
+class EndingProxy(RunningProxy):
+    """A proxy in this process that shuts down as its clock is advanced.
+
+    Attributes:
+        clock: The event loop's clock.
+    """
+
+    def __init__(self, proxy: Proxy, listening_socket: socket.socket, clock: ManualClock) -> None:
+        super().__init__(proxy, listening_socket.getsockname()[1])
+        self.clock = clock
+        self._listening_socket = listening_socket
+        self._began_at = clock.now
+        self._shutdown: asyncio.Task[None] | None = None
+
+    async def connect(self) -> Client:
+        """Open a client's connection to it, without any more time."""
+        return await self.clock.wait_for(connect(self.port))
+
+    async def response(self, client: Client) -> bytes:
+        """Return a client's next response, which comes without any more time."""
+        return await self.clock.wait_for(client.response())
+
+    async def begin_shutdown(self) -> None:
+        """Do what SIGTERM does."""
+        self._began_at = self.clock.now
+        self._shutdown = asyncio.create_task(self.proxy.shutdown.run(self._listening_socket))
+        await self.clock.settle()
+
+    async def advance_to(self, seconds: float) -> None:
+        """Let time pass until so long after SIGTERM."""
+        while self.clock.now < self._began_at + seconds:
+            await self.clock.advance(CLOCK_STEP)
+
+    def has_ended(self) -> bool:
+        """Return whether the shutdown is complete."""
+        assert self._shutdown is not None
+        return self._shutdown.done()
+
+    async def finish_shutdown(self) -> None:
+        """Let time pass until the shutdown is complete."""
+        assert self._shutdown is not None
+        while not self.has_ended():
+            assert self.clock.now < self._began_at + MAX_SHUTDOWN_TIME, "the proxy does not end"
+            await self.clock.advance(CLOCK_STEP)
+        await self._shutdown
+
+
+async def start_proxy(entries: list[dict[str, Any]]) -> EndingProxy:
+    """Start a proxy that knows these entries of the endpoint list."""
+    clock = ManualClock()
+    proxy = Proxy(proxy_config(entries))
+    return EndingProxy(proxy, await proxy.listener.listen(), clock)
+
+
+@in_event_loop
+async def test_request_that_is_complete_late_in_a_shutdown_is_answered_before_sigkill() -> None:
+    async with stub_backend(stay_silent) as backend:
+        running = await start_proxy([endpoint_entry("a", backend.address)])
+        client = await running.connect()
+        client.writer.write(post_request()[:-2])
+        await running.clock.wait_until(lambda: bool(running.listener.connections.reading))
+        await running.begin_shutdown()
+        await running.advance_to(1.5)
+        client.writer.write(post_request()[-2:])
+        await running.clock.wait_until(lambda: backend.received.qsize() == 1)
+        await running.advance_to(KILL_DELAY)
+        assert status_of(await running.response(client)) == 504
+        await running.finish_shutdown()
+
+
+@pytest.mark.parametrize("state", ["connecting", "sent", "response begun", "partly read", "another queued"])
+@in_event_loop
+async def test_shutdown_answers_what_was_taken_and_closes_each_connection(
+    state: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    def script(_request: bytes) -> bytes | None:
+        return OK_RESPONSE[:-2] if state == "response begun" else None
+
+    async with stub_backend(script) as backend:
+        running = await start_proxy([endpoint_entry("a", backend.address)])
+        clock = running.clock
+        client, idle_client = await running.connect(), await running.connect()
+        gate = ConnectGate(monkeypatch, unheld=0 if state == "connecting" else UNLIMITED)
+        request = post_request(1)
+        if state == "partly read":
+            client.writer.write(request[:-2])
+            await clock.wait_until(lambda: bool(running.listener.connections.reading))
+        elif state == "connecting":
+            client.writer.write(request)
+            await clock.wait_until(lambda: bool(running.dispatcher.active_requests))
+        else:
+            client.writer.write(request + (get_request(2) if state == "another queued" else b""))
+            await clock.wait_until(lambda: backend.received.qsize() == 1)
+
+        await running.begin_shutdown()
+        await running.advance_to(ACCEPT_TIME)
+        # Nothing can come on an idle connection any more.
+        assert await clock.wait_for(idle_client.reader.read()) == b""
+        assert not running.has_ended()
+
+        gate.release()
+        if state == "partly read":
+            client.writer.write(request[-2:])
+        await clock.wait_until(lambda: backend.received.qsize() == 1)
+        backend.writers[0].write(OK_RESPONSE[-2:] if state == "response begun" else OK_RESPONSE)
+        response = await running.response(client)
+        if state == "another queued":  # the queued one is due a response too
+            assert status_of(response) == 200
+            assert b"Connection: close\r\n" not in response
+            client.writer.write(get_request(3))  # what comes now is not taken any more
+            await clock.settle()
+            await clock.advance(CLOCK_STEP)  # the connection to the backend may be used again
+            await clock.wait_until(lambda: backend.received.qsize() == 2)
+            backend.writers[0].write(OK_RESPONSE)
+            response = await running.response(client)
+        assert status_of(response) == 200
+        assert b"Connection: close\r\n" in response
+        await running.finish_shutdown()
+        assert not running.dispatcher.active_requests
+        assert backend.received.qsize() == (2 if state == "another queued" else 1)
