--- a/tests/decision_helpers.py
+++ b/tests/decision_helpers.py
@@ -9,7 +9,7 @@
 
 from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, UpdateKind
-from balancer.events import Outcome, StartAttempt
+from balancer.events import Outcome, SetTimer, StartAttempt
 from balancer.settings import Idempotency, RequestClass, Settings
 
 IDEMPOTENT = RequestClass(
@@ -76,3 +76,14 @@
             return False
         heappush(self._in_flight, (now + latency, request_id, latency))
         return True
+
+
+def hedge_due(settings: Settings) -> tuple[Balancer, SetTimer]:
+    """Return a balancer with a late request of class 0 in flight since 130 s, and the timer of its hedge."""
+    balancer = make_balancer(settings)
+    for n in range(20):
+        balancer.on_request(100.0 + n, f"r{n}", 0, 0, 104.0 + n)
+        balancer.on_attempt_finished(100.1 + n, f"r{n}", 0, Outcome.SUCCESS, 0.1, True)
+    _, timer = balancer.on_request(130.0, "late", 0, 0, 134.0)
+    assert isinstance(timer, SetTimer)
+    return balancer, timer
--- /dev/null
+++ b/tests/test_retry_budget.py
@@ -0,0 +1,99 @@
+"""Retry budgets: how many retries may be sent, and what a reload leaves of the budget."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+from decision_helpers import IDEMPOTENT, hedge_due
+from random_events import CLASSES, RULES, WITH_RETRY_BUDGET, fail_attempts
+from rules_checker import RulesChecker
+
+from balancer.endpoints import Endpoint
+from balancer.events import StartAttempt
+from balancer.retry_budget import RetryBudget
+from balancer.settings import Limits, Rules, Settings
+
+MANY_ENDPOINTS = [Endpoint(i) for i in range(40)]
+#: A lower tier admits whatever comes.
+LOWER_TIER = Settings(classes=(IDEMPOTENT,), tier=1, tier_count=2)
+
+
+def retries_in_20_seconds(rules: Rules) -> int:
+    """Return how many retries are sent while no attempt can be delivered."""
+    checker = RulesChecker(Settings(classes=CLASSES, rules=rules), 1, MANY_ENDPOINTS)
+    for _ in range(200):
+        fail_attempts(checker, 0, 3)
+        checker.advance(0.1)
+    return sum(max(0, len(request.attempts) - 1) for request in checker.requests.values())
+
+
+def count_retries(checker: RulesChecker, requests: int) -> int:
+    """Return how many retries so many requests get whose attempts cannot be delivered."""
+    before = len(checker.retry_times)
+    for _ in range(requests):
+        fail_attempts(checker, 0, 3)
+    return len(checker.retry_times) - before
+
+
+def lower_tier_checker(rules: Rules) -> RulesChecker:
+    return RulesChecker(replace(LOWER_TIER, rules=rules), 1, MANY_ENDPOINTS)
+
+
+@pytest.mark.parametrize(("rules", "low", "high"), [(WITH_RETRY_BUDGET, 8, 77), (RULES, 8, 50)])
+def test_retries_stay_within_the_budget(rules: Rules, low: int, high: int) -> None:
+    assert low <= retries_in_20_seconds(rules) <= high
+
+
+def test_a_balancer_that_ignores_the_budget_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(RetryBudget, "allows", lambda _self, _now: True)
+    with pytest.raises(AssertionError, match="beyond the retry budget"):
+        retries_in_20_seconds(WITH_RETRY_BUDGET)
+
+
+def test_a_reload_does_not_refill_the_budget() -> None:
+    rules = replace(
+        WITH_RETRY_BUDGET, retry_budget_floor=6.0, retry_budget_ratio=0.0, retry_budget_window=5.0
+    )
+    checker = lower_tier_checker(rules)
+    assert count_retries(checker, 20) == 6
+    for reload in range(3):
+        checker.reconfigure(replace(LOWER_TIER, rules=replace(rules, warmup_duration=float(reload))))
+        assert count_retries(checker, 5) == 0
+    checker.reconfigure(replace(LOWER_TIER, rules=replace(rules, retry_budget_floor=8.0)))
+    assert count_retries(checker, 5) == 2
+
+
+def test_a_budget_that_is_stated_counts_what_was_spent_before() -> None:
+    checker = lower_tier_checker(RULES)
+    spent = count_retries(checker, 20)
+    assert spent > 5
+    stated = replace(RULES, retry_budget_floor=spent + 1.0, retry_budget_window=9.0)
+    checker.reconfigure(replace(LOWER_TIER, rules=stated))
+    assert count_retries(checker, 5) == 1
+    checker.reconfigure(replace(LOWER_TIER, rules=RULES))  # stated no more
+    budgets = checker.balancer.retry_budgets
+    assert budgets.hedges is not budgets.retries
+    assert not budgets.hedges.allows(checker.now)
+
+
+def test_a_budget_that_is_stated_counts_hedged_requests_from_before() -> None:
+    balancer, timer = hedge_due(Settings(classes=(IDEMPOTENT,), limits=Limits(hedging=True)))
+    [hedge] = balancer.on_timer(timer.at, timer.token)
+    assert isinstance(hedge, StartAttempt)
+    rules = replace(RULES, retry_budget_floor=1.0, retry_budget_window=9.0)
+    balancer.reconfigure(timer.at, replace(balancer.settings, rules=rules))
+    assert not balancer.retry_budgets.retries.allows(timer.at)
+
+
+def test_a_longer_window_counts_the_retries_that_are_forgotten() -> None:
+    short = replace(RULES, retry_budget_floor=2.0, retry_budget_window=1.0)
+    checker = lower_tier_checker(short)
+    assert count_retries(checker, 5) == 2
+    checker.advance(3.0)
+    assert count_retries(checker, 5) == 2
+    longer = replace(short, retry_budget_floor=4.0, retry_budget_window=8.0)
+    checker.reconfigure(replace(LOWER_TIER, rules=longer))
+    assert count_retries(checker, 5) == 0
+    checker.advance(5.5)
+    assert count_retries(checker, 5) == 2  # the first two have left the window
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -2,13 +2,20 @@
 
 from __future__ import annotations
 
+from itertools import pairwise
+from random import Random
+
+import pytest
 from decision_helpers import IDEMPOTENT, make_balancer
+from random_events import CLASSES, RULES
+from rules_checker import RulesChecker
 
 from balancer.balancer import Balancer
 from balancer.endpoint_state import EndpointState
 from balancer.endpoints import Endpoint, UpdateKind
 from balancer.events import Outcome, StartAttempt
 from balancer.settings import Rules, Settings
+from balancer.slow_start import SlowStart
 
 
 def defer(balancer: Balancer, now: float, state: EndpointState) -> bool:
@@ -97,3 +104,52 @@
 
     # one of eight is warming up, and that part still goes by what is offered: 7/8 + 4/8
     assert 0.0 < tokens(3) <= 1.4 * tokens(0)
+
+
+def answer_steadily(checker: RulesChecker, seconds: float, rate: float, rng: Random) -> None:
+    """Send requests at an even rate, three in ten attempts answered after each."""
+    end = checker.now + seconds
+    while checker.now < end:
+        checker.request(0, 3.0)
+        checker.advance(1.0 / rate)
+        for request_id, number in checker.open_attempts():
+            if rng.random() < 0.3:
+                checker.finish_attempt(request_id, number, Outcome.SUCCESS)
+
+
+def assert_restart_gets_its_part(seed: int) -> None:
+    """Restart an endpoint under steady traffic; it must get no more than it can do for certain."""
+    checker = RulesChecker(Settings(classes=CLASSES, rules=RULES), seed, [Endpoint(i) for i in range(10)])
+    rng = Random(seed)
+    answer_steadily(checker, 5.0, 100.0, rng)
+    checker.update_endpoints(UpdateKind.DELTA, [Endpoint(3, started=checker.now)])
+    began = checker.now
+    checker.starts_by_endpoint.clear()
+    answer_steadily(checker, 4.0, 100.0, rng)
+    warming = [at for at in checker.starts_by_endpoint.get(3, []) if at >= began]
+    warm = sum(len(starts) for key, starts in checker.starts_by_endpoint.items() if key != 3) / 9
+    # after 4 s it can do 0.14 + 0.86 * 4 / 20 = 0.31 for certain; three times that would push it over
+    assert len(warming) <= 0.31 * 2 * warm, "a warming endpoint was pushed over"
+    for first, later in pairwise(warming):
+        assert later > first, "two calls to an endpoint that has just started, at the same moment"
+
+
+@pytest.mark.parametrize("seed", range(5))
+def test_a_warming_endpoint_gets_at_most_its_part_of_a_warm_peers_share(seed: int) -> None:
+    assert_restart_gets_its_part(seed)
+
+
+def test_a_balancer_that_ignores_slow_start_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(SlowStart, "defers", lambda _self, _now, _state, _pool, _pools: False)
+    with pytest.raises(AssertionError, match="pushed over"):
+        assert_restart_gets_its_part(0)
+
+
+@pytest.mark.parametrize("seed", range(5))
+def test_where_all_endpoints_warm_up_about_their_certain_part_goes_out(seed: int) -> None:
+    endpoints = [Endpoint(i, started=100.0) for i in range(10)]
+    checker = RulesChecker(Settings(classes=CLASSES, rules=RULES), seed, endpoints)
+    answer_steadily(checker, 3.0, 200.0, Random(seed))
+    sent = sum(len(starts) for starts in checker.starts_by_endpoint.values())
+    # with no warm peer to compare with, about the certain part of the calls goes out
+    assert 0 < sent <= 600 * (0.14 + 0.86 * 3 / 20) * 2
--- a/tests/test_tenant_quota.py
+++ b/tests/test_tenant_quota.py
@@ -2,9 +2,12 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
+
 import pytest
-from decision_helpers import NON_IDEMPOTENT, make_balancer, serve_with_failures
+from decision_helpers import IDEMPOTENT, NON_IDEMPOTENT, make_balancer, serve_with_failures
 
+from balancer.balancer import Balancer
 from balancer.events import Outcome, Reject, StartAttempt
 from balancer.settings import Settings, Tenant
 
@@ -18,3 +21,47 @@
         balancer.on_request(now, f"x{n}", 0, 0, now + 4.0)
     assert isinstance(balancer.on_request(now, "over", 0, 1, now + 4.0)[0], answer)
     assert isinstance(balancer.on_request(now, "within", 0, 0, now + 4.0)[0], StartAttempt)
+
+
+TENANTS = (Tenant("a", 0.5, 10.0), Tenant("b", 0.5, 10.0))
+WITH_TENANTS = Settings(classes=(IDEMPOTENT, NON_IDEMPOTENT), tenants=TENANTS)
+
+
+def take_all_tokens(balancer: Balancer, now: float, tenant: int) -> int:
+    """Return how many requests of a tenant are within its quota at once; they are spent by it."""
+    count = 0
+    while balancer.tenant_quotas.take_token(now, tenant):
+        count += 1
+    return count
+
+
+def test_a_reload_does_not_refill_a_tenants_tokens() -> None:
+    balancer = Balancer(WITH_TENANTS, 1)
+    assert take_all_tokens(balancer, 100.0, 0) == 51
+    swapped = (TENANTS[1], replace(TENANTS[0], quota=20.0))
+    balancer.reconfigure(100.0, replace(WITH_TENANTS, tenants=swapped))
+    assert take_all_tokens(balancer, 100.0, 1) == 0
+    assert take_all_tokens(balancer, 101.0, 1) == 20  # at the new quota, from that instant on
+    assert take_all_tokens(balancer, 101.0, 0) == 51  # the other's were never spent
+
+
+def test_time_before_a_reload_counts_by_the_old_quota() -> None:
+    balancer = Balancer(WITH_TENANTS, 1)
+    take_all_tokens(balancer, 100.0, 0)
+    balancer.reconfigure(101.0, replace(WITH_TENANTS, tenants=(replace(TENANTS[0], quota=40.0),)))
+    assert take_all_tokens(balancer, 101.0, 0) == 10
+    assert take_all_tokens(balancer, 101.5, 0) == 20
+
+
+def test_a_smaller_part_of_a_quota_holds_at_once() -> None:
+    balancer = Balancer(WITH_TENANTS, 1)
+    balancer.reconfigure(100.0, replace(WITH_TENANTS, fleet_size=10))
+    assert take_all_tokens(balancer, 100.0, 0) == 6
+
+
+def test_a_tenants_tokens_go_to_no_other() -> None:
+    balancer = Balancer(WITH_TENANTS, 1)
+    take_all_tokens(balancer, 100.0, 0)
+    renamed = (replace(TENANTS[0], name="c"), TENANTS[1])
+    balancer.reconfigure(100.0, replace(WITH_TENANTS, tenants=renamed))
+    assert take_all_tokens(balancer, 100.0, 0) == 51
