--- /dev/null
+++ b/tests/client_scenarios.py
@@ -0,0 +1,74 @@
+"""What the tests on clients share: requests, ways to disconnect, and clients on plain sockets."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+
+from loopback import Client, RunningProxy, StubBackend, wait_until
+from proxy_inputs import HOST, post_request
+
+from proxy.downstream.connection import DownstreamConnection
+
+#: A request with a chunked body.
+CHUNKED_REQUEST = post_request(
+    Content_Length="", Transfer_Encoding="chunked", body=b"2\r\nro\r\n2\r\nom\r\n0\r\n\r\n"
+)
+
+#: The ways in which a client disconnects.
+DISCONNECTIONS = ["close", "half close", "reset"]
+
+#: A receive buffer so small that a proxy soon can't write any more.
+SLOW_READER_BUFFER_BYTES = 4096
+
+
+def reset_on_close(sock: socket.socket) -> None:
+    """Let the socket's end be a reset."""
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+
+
+def disconnect(client: Client, kind: str) -> None:
+    """Close the connection, or reset it."""
+    if kind == "reset":
+        reset_on_close(client.writer.get_extra_info("socket"))
+        client.writer.transport.abort()
+    else:
+        client.writer.close()
+
+
+class RawClient:
+    """A client whose bytes and whose end reach the proxy's socket before the proxy's loop runs again."""
+
+    def __init__(self, proxy: RunningProxy) -> None:
+        self.sock = socket.create_connection((HOST, proxy.port))
+
+    def disconnect(self, kind: str) -> None:
+        """Close the connection, its sending end alone, or reset it."""
+        if kind == "half close":
+            self.sock.shutdown(socket.SHUT_WR)
+            return
+        if kind == "reset":
+            reset_on_close(self.sock)
+        self.sock.close()
+
+
+async def connect_slow_reader(proxy: RunningProxy) -> tuple[socket.socket, DownstreamConnection]:
+    """Connect a proxy's only client, which reads nothing; returns both ends of the connection."""
+    sock = socket.socket()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_READER_BUFFER_BYTES)
+    sock.setblocking(False)
+    await asyncio.get_running_loop().sock_connect(sock, (HOST, proxy.port))
+    await wait_until(lambda: bool(proxy.listener.connections.open))
+    [connection] = proxy.listener.connections.open
+    return sock, connection
+
+
+def has_no_requests(proxy: RunningProxy) -> bool:
+    """Whether neither the dispatcher nor the decisions hold any request."""
+    return not proxy.dispatcher.active_requests and not proxy.balancer.requests
+
+
+def requests_received(*backends: StubBackend) -> int:
+    """How many requests the backends have received and the test has not taken yet."""
+    return sum(each.received.qsize() for each in backends)
--- /dev/null
+++ b/tests/pool_scenario.py
@@ -0,0 +1,77 @@
+"""What the tests on attempts share: a connection pool with its attempts, scripts and settings."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Any
+
+from loopback import StubBackend, with_timeout
+from proxy_inputs import MAX_WAIT, OK_RESPONSE, RAW_SETTINGS, post_request
+
+from balancer.events import Outcome
+from balancer.settings import Settings
+from balancer.settings_reader import read_settings
+from proxy.config import Address
+from proxy.upstream.attempt import UpstreamAttempt
+from proxy.upstream.backend import Backend as PoolBackend
+from proxy.upstream.connection_pool import ConnectionPool
+from proxy.upstream.response_parser import UpstreamResponse
+
+
+def answer_first_request(response: bytes | None) -> Callable[[bytes], bytes | None]:
+    """A script that several backends share: this response for the first request, then OK."""
+    responses = [response]
+    return lambda _: responses.pop() if responses else OK_RESPONSE
+
+
+def settings_with(**changed: Any) -> Settings:
+    """The usual settings with these changed."""
+    return read_settings(RAW_SETTINGS | changed)
+
+
+class PoolScenario:
+    """A connection pool with one backend, and the outcomes of its attempts.
+
+    Attributes:
+        pool: The connection pool.
+        backend: What the pool knows of the backend that attempts go to.
+        outcomes: The outcomes of the attempts, in the order in which they finished.
+    """
+
+    def __init__(self, stub_backend: StubBackend, max_connections: int = 9) -> None:
+        self.pool = ConnectionPool(max_connections, 60.0, MAX_WAIT, 64 << 20)
+        host, _, port = stub_backend.address.rpartition(":")
+        self._address = Address(host, int(port))
+        self.outcomes: asyncio.Queue[Outcome] = asyncio.Queue()
+        self.use_another_backend()
+
+    def use_another_backend(self) -> None:
+        """Send the attempts from now on to another backend, which has the same address."""
+        self.backend = PoolBackend(self._address)
+        self.pool.update_backend(self.backend, self._address, 0.0, True)
+
+    def start(self, request: bytes = b"", retryable: bool = True) -> UpstreamAttempt:
+        """Start an attempt."""
+
+        def on_finished(
+            _attempt: UpstreamAttempt, outcome: Outcome, _response: UpstreamResponse | None
+        ) -> None:
+            self.outcomes.put_nowait(outcome)
+
+        now = asyncio.get_running_loop().time()
+        deadline = now + 3 * MAX_WAIT
+        attempt = UpstreamAttempt(
+            self.backend, now, deadline, lambda _time_left: request or post_request(), on_finished, retryable
+        )
+        self.pool.start(attempt)
+        return attempt
+
+    async def next_outcome(self) -> Outcome:
+        """Wait for an attempt to finish."""
+        return await with_timeout(self.outcomes.get())
+
+    async def run(self, request: bytes = b"", retryable: bool = True) -> Outcome:
+        """Start an attempt and wait for one to finish."""
+        self.start(request, retryable)
+        return await self.next_outcome()
--- a/tests/proxy_process.py
+++ b/tests/proxy_process.py
@@ -3,27 +3,56 @@
 from __future__ import annotations
 
 import asyncio
+import json
 import os
 import sys
 from asyncio.subprocess import Process
 from pathlib import Path
+from typing import Any
 
+from config_files import raw_config
 from loopback import connect
 from proxy_inputs import HEALTH_REQUEST, MAX_WAIT, status_of
 
 PROJECT_ROOT = Path(__file__).parent.parent
 
 
+def environment_without_proxy() -> dict[str, str]:
+    """Return this process's environment without the variables that a proxy reads."""
+    return {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
+
+
+def write_config(config_path: Path, listen: str, discovery: str, endpoints: list[dict[str, Any]]) -> None:
+    """Write the file of a proxy process that knows these entries of the endpoint list."""
+    content = raw_config(
+        listen=listen,
+        discovery=discovery,
+        seed="8c1f30d27a5be964",
+        limits={"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        known={"index": 3, "snapshot": True, "endpoints": endpoints},
+    )
+    config_path.write_text(json.dumps(content))
+
+
+def environment_with_addresses(config_path: Path, listen: str, discovery: str) -> dict[str, str]:
+    """Return the environment of a proxy process that gives its addresses beside its file."""
+    return {
+        **os.environ,
+        "RELAY_CONFIG": str(config_path),
+        "RELAY_LISTEN": listen,
+        "RELAY_DISCOVERY": discovery,
+    }
+
+
 async def start_proxy_process(config_path: Path) -> Process:
     """Start a proxy that has its configuration from a file alone, and whose log can be read from a pipe."""
-    environ = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "proxy",
         cwd=PROJECT_ROOT,
         stderr=asyncio.subprocess.PIPE,
-        env=environ | {"RELAY_CONFIG": str(config_path)},
+        env=environment_without_proxy() | {"RELAY_CONFIG": str(config_path)},
     )
 
 
--- /dev/null
+++ b/tests/test_shutdown.py
@@ -0,0 +1,167 @@
+"""The proxy as a process: SIGTERM and SIGHUP, invalid configurations, and draining the listener."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import signal
+import socket
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+from config_files import raw_config
+from loopback import (
+    Client,
+    connect,
+    free_port,
+    in_event_loop,
+    respond_ok,
+    stay_silent,
+    stub_backend,
+    stub_discovery,
+    with_timeout,
+)
+from proxy_inputs import (
+    HEALTH_REQUEST,
+    HOST,
+    MAX_WAIT,
+    OK_RESPONSE,
+    endpoint_entry,
+    get_request,
+    post_request,
+    proxy_config,
+    status_of,
+)
+from proxy_process import (
+    PROJECT_ROOT,
+    environment_with_addresses,
+    environment_without_proxy,
+    wait_until_ready,
+    write_config,
+)
+
+from proxy.proxy import Proxy
+
+#: A configuration whose endpoint list is not valid.
+INVALID_LIST = raw_config(limits={"sockets": 64}, known={"index": 1, "endpoints": [{"name": "a"}]})
+
+
+@in_event_loop
+async def test_sigterm_lets_accepted_requests_finish(tmp_path: Path) -> None:
+    async with stub_discovery() as discovery, stub_backend(stay_silent) as backend:
+        port = free_port()
+        path, listen, watched = tmp_path / "c.json", f"{HOST}:{port}", f"{HOST}:{discovery.port}"
+        write_config(path, listen, watched, [endpoint_entry("a", backend.address)])
+        environment = environment_with_addresses(path, listen, watched)
+        process = await asyncio.create_subprocess_exec(
+            sys.executable, "-m", "proxy", cwd=PROJECT_ROOT, env=environment
+        )
+        await wait_until_ready(port)
+        idle, early = await connect(port), await connect(port)
+        early.writer.write(post_request(1, timeout="15"))
+        await with_timeout(backend.received.get())
+        process.send_signal(signal.SIGTERM)
+        late = await connect(port)  # new connections are still accepted for a moment
+        late.writer.write(post_request(2, timeout="15"))
+        await with_timeout(backend.received.get())
+        assert await with_timeout(idle.reader.read()) == b""
+        for writer in backend.writers:
+            writer.write(OK_RESPONSE)
+        for client in (early, late):
+            response = await client.response()
+            assert status_of(response) == 200
+            assert b"Connection: close\r\n" in response
+        assert await with_timeout(process.wait()) == 0
+
+
+@in_event_loop
+async def test_sighup_moves_the_watch_and_loses_nothing(tmp_path: Path) -> None:
+    async with (
+        stub_discovery() as old,
+        stub_discovery() as new,
+        stub_backend(respond_ok) as backend,
+    ):
+        port, path = free_port(), tmp_path / "c.json"
+        listen, old_address, new_address = f"{HOST}:{port}", f"{HOST}:{old.port}", f"{HOST}:{new.port}"
+        write_config(path, listen, old_address, [])
+        environment = environment_with_addresses(path, listen, old_address)
+        process = await asyncio.create_subprocess_exec(
+            sys.executable, "-m", "proxy", cwd=PROJECT_ROOT, env=environment, stderr=asyncio.subprocess.PIPE
+        )
+        assert process.stderr is not None
+        await with_timeout(old.watch_requests.get())
+        old.send_update(4, [endpoint_entry("b", f"{HOST}:9", "terminating")])
+        await wait_until_ready(port)
+        path.write_text("{")
+        process.send_signal(signal.SIGHUP)  # can't be read: one line in the log, and nothing changes
+        assert (await with_timeout(process.stderr.readline())).startswith(b"proxy: reload: ")
+        write_config(path, listen, new_address, [])
+        for _ in range(3):
+            process.send_signal(signal.SIGHUP)
+        assert await with_timeout(new.watch_requests.get()) == "/v1/servers?follow=1&since=0"
+        assert old.disconnects.empty(), "the old watch ended before the new one sent anything"
+        old.send_update(5, [endpoint_entry("a", backend.address)])  # still counts
+        client = await connect(port)
+        number = 0
+        while status_of(await client.request(get_request(number := number + 1))) != 200:
+            await asyncio.sleep(0.01)
+        new.send_update(6, [endpoint_entry("a", backend.address)], snapshot=True)
+        await with_timeout(old.disconnects.get())
+        assert status_of(await client.request(get_request(number + 1))) == 200
+        assert new.watch_requests.empty()
+        assert old.watch_requests.empty()
+        process.send_signal(signal.SIGTERM)
+        process.send_signal(signal.SIGHUP)
+        assert await with_timeout(process.wait()) == 0
+
+
+@in_event_loop
+async def test_draining_proxy_serves_queued_and_arriving_connections() -> None:
+    async with stub_backend(respond_ok) as backend:
+        proxy = Proxy(proxy_config([endpoint_entry("a", backend.address)]))
+        listening_socket = await proxy.listener.listen()
+        port = listening_socket.getsockname()[1]
+        shutdown = asyncio.create_task(proxy.shutdown.run(listening_socket))
+        await asyncio.sleep(0)  # the drain has begun
+        client = await connect(port)
+        assert status_of(await client.request(post_request(1))) == 200
+        assert status_of(await client.request(HEALTH_REQUEST)) == 503
+        await with_timeout(shutdown)
+        assert await with_timeout(client.reader.read()) == b""
+        with pytest.raises(ConnectionRefusedError):
+            await connect(port)
+
+
+@in_event_loop
+async def test_closing_the_listener_loses_no_queued_connection() -> None:
+    async with stub_backend(respond_ok) as backend:
+        listener = Proxy(proxy_config([endpoint_entry("a", backend.address)])).listener
+        listening_socket = await listener.listen()
+        queued = [socket.create_connection(listening_socket.getsockname()) for _ in range(20)]
+        await listener.stop_listening(listening_socket)
+        for sock in queued:
+            client = Client(*await asyncio.open_connection(sock=sock))
+            assert status_of(await client.request(post_request())) == 200
+
+
+@pytest.mark.parametrize("text", ["", "{}", "[]", '{"settings":{}}', json.dumps(INVALID_LIST)])
+def test_invalid_configuration_exits_with_one_plain_line(tmp_path: Path, text: str) -> None:
+    path = tmp_path / "c.json"
+    path.write_text(text)
+    environment = environment_without_proxy()
+    for variables in ({"RELAY_CONFIG": str(path)}, {"RELAY_CONFIG": str(path / "none")}, {}):
+        process = subprocess.run(
+            [sys.executable, "-m", "proxy"],
+            cwd=PROJECT_ROOT,
+            env=environment | variables,
+            timeout=MAX_WAIT,
+            capture_output=True,
+            text=True,
+            check=False,
+        )
+        assert process.returncode == 2
+        assert process.stdout == ""
+        [line] = process.stderr.splitlines()
+        assert line.startswith("proxy: ")
--- /dev/null
+++ b/tests/test_upstream_connection_pool.py
@@ -0,0 +1,168 @@
+"""The connection pool: its limits, its idle connections, and how its attempts finish."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import replace
+from typing import Any
+
+import pytest
+from loopback import (
+    StubBackend,
+    in_event_loop,
+    proxy_with_backends,
+    respond_ok,
+    running_proxy,
+    stay_silent,
+    stub_backend,
+    wait_until,
+    with_timeout,
+)
+from pool_scenario import PoolScenario
+from proxy_inputs import HOST, MAX_WAIT, OK_RESPONSE, RAW_SETTINGS, endpoint_entry, post_request, status_of
+
+from balancer.events import Outcome
+from balancer.settings_reader import read_settings
+from proxy.upstream import connection_pool
+
+
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"since_ms": 5_000},
+        {"status": "terminated"},
+        {"address": f"{HOST}:9"},
+    ],
+)
+@in_event_loop
+async def test_idle_connections_to_a_replaced_process_are_closed(change: dict[str, Any]) -> None:
+    async with proxy_with_backends(respond_ok) as (proxy, [backend]):
+        client = await proxy.connect()
+        assert status_of(await client.request(post_request())) == 200
+        assert backend.disconnects.empty()
+        proxy.notify([endpoint_entry("a", backend.address) | change])
+        await with_timeout(backend.disconnects.get())
+
+
+@in_event_loop
+async def test_cancelled_attempt_closes_its_connection_and_finishes_once() -> None:
+    async with stub_backend(stay_silent) as backend:
+        scenario = PoolScenario(backend)
+        attempt = scenario.start()
+        await with_timeout(backend.received.get())
+        attempt.finish(Outcome.CANCELLED)
+        attempt.finish(Outcome.CANCELLED)
+        await with_timeout(backend.disconnects.get())
+        await wait_until(lambda: scenario.pool._connected == 0)
+        assert [scenario.outcomes.get_nowait(), scenario.outcomes.empty()] == [Outcome.CANCELLED, True]
+
+
+@in_event_loop
+async def test_request_that_was_not_sent_completely_counts_as_not_processed() -> None:
+    async def abort(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.read(1)
+        writer.transport.abort()
+
+    server = await asyncio.start_server(abort, HOST, 0, limit=1)
+    backend = StubBackend(stay_silent)
+    backend.address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
+    scenario = PoolScenario(backend)
+    scenario.start(b"x" * (64 << 20))  # more than the sockets hold
+    assert await scenario.next_outcome() is Outcome.UNREACHABLE
+    server.close()
+
+
+@in_event_loop
+async def test_connection_limit_closes_idle_connections_and_then_fails_attempts() -> None:
+    async with stub_backend(lambda request: OK_RESPONSE if b"id1" in request else None) as backend:
+        scenario = PoolScenario(backend, max_connections=1)
+        assert await scenario.run(post_request(1)) is Outcome.SUCCESS
+        scenario.use_another_backend()
+        scenario.start(post_request(2))  # closes the idle connection to the first backend
+        await with_timeout(backend.disconnects.get())
+        assert await scenario.run(post_request(3)) is Outcome.UNREACHABLE
+
+
+@in_event_loop
+async def test_most_recently_used_connection_is_reused_and_old_ones_are_closed() -> None:
+    async with stub_backend(respond_ok) as backend:
+        scenario = PoolScenario(backend)
+        for _ in range(2):
+            scenario.start()
+        for _ in range(2):
+            assert await scenario.next_outcome() is Outcome.SUCCESS
+        [older, newer] = scenario.backend.idle_connections
+        for connection in (older, newer):
+            connection.idle_since -= connection_pool.REST_AFTER_RESPONSE
+        scenario.start()
+        assert scenario.backend.idle_connections == [older]
+        assert await scenario.next_outcome() is Outcome.SUCCESS
+        assert scenario.backend.idle_connections == [older, newer]
+        assert backend.disconnects.empty()
+        older.idle_since -= 31.0
+        scenario.pool._sweep()
+        await with_timeout(backend.disconnects.get())
+        assert scenario.backend.idle_connections == [newer]
+
+
+@pytest.mark.parametrize(("proxies", "concurrent", "idle_connections"), [(1, 1, 10), (40, 1, 2), (40, 5, 5)])
+@in_event_loop
+async def test_fleet_keeps_few_idle_connections_to_a_backend(
+    proxies: int, concurrent: int, idle_connections: int
+) -> None:
+    async with stub_backend(stay_silent) as backend:
+        scenario = PoolScenario(backend, max_connections=20)
+        scenario.pool.set_idle_quota(10, proxies)
+        for number in range(0, 10, concurrent):
+            for _ in range(number, number + concurrent):  # each to a backend of its own
+                scenario.use_another_backend()
+                scenario.start()
+            for _ in range(concurrent):
+                await with_timeout(backend.received.get())
+            for writer in backend.writers[number:]:  # all are in use by now
+                writer.write(OK_RESPONSE)
+            for _ in range(concurrent):
+                assert await scenario.next_outcome() is Outcome.SUCCESS
+            assert scenario.backend.idle_connections  # the latest stay open
+        assert len(scenario.pool._idle) == idle_connections
+
+
+@in_event_loop
+async def test_idle_quota_follows_the_endpoint_list_and_the_fleet_size() -> None:
+    settings = replace(read_settings(RAW_SETTINGS), fleet_size=4)
+    async with running_proxy(
+        [endpoint_entry("a", f"{HOST}:1"), endpoint_entry("b", f"{HOST}:2")], settings=settings
+    ) as proxy:
+        assert proxy.pool._idle_quota == connection_pool.FLEET_IDLE_PER_BACKEND * 2 / 4
+        proxy.notify([endpoint_entry("b", f"{HOST}:2", "terminated")])
+        assert proxy.pool._idle_quota == connection_pool.FLEET_IDLE_PER_BACKEND / 4
+
+
+@in_event_loop
+async def test_finished_attempt_writes_nothing() -> None:
+    async with stub_backend(respond_ok) as backend:
+        scenario = PoolScenario(backend)
+        assert await scenario.run(post_request(1)) is Outcome.SUCCESS
+        [idle] = scenario.backend.idle_connections
+        finished = scenario.start(post_request(2))
+        assert await scenario.next_outcome() is Outcome.SUCCESS
+        scenario.backend.idle_connections.remove(idle)
+        scenario.pool._send(finished, idle)
+        assert await scenario.run(post_request(3)) is Outcome.SUCCESS
+        assert [b"id%d" % number in backend.received.get_nowait() for number in (1, 2, 3)] == [True] * 3
+
+
+@in_event_loop
+async def test_full_idle_quota_closes_the_oldest_connection_for_one_that_just_answered() -> None:
+    async with stub_backend(respond_ok) as backend:
+        scenario = PoolScenario(backend)
+        for _ in range(2):
+            scenario.start()
+        for _ in range(2):
+            assert await scenario.next_outcome() is Outcome.SUCCESS
+        for connection in scenario.backend.idle_connections:
+            connection.idle_since -= MAX_WAIT
+        for _ in range(3):  # the first finds none that is recent enough, the others find its connection
+            assert await scenario.run(retryable=False) is Outcome.SUCCESS
+        assert len(backend.writers) == 3
+        await wait_until(lambda: backend.disconnects.qsize() == 1)  # no more than two stay idle
