--- a/tests/test_descriptor_limits.py
+++ b/tests/test_descriptor_limits.py
@@ -79,6 +79,16 @@
     return client_sockets, peak
 
 
+def socket_that_refuses() -> socket.socket:
+    """Return a socket that refuses connections until it listens.
+
+    It holds its port: one that is merely free may be taken by another socket before it is needed.
+    """
+    sock = socket.socket()
+    sock.bind((HOST, 0))
+    return sock
+
+
 def processor_seconds(pid: int) -> float:
     """Seconds of processor time that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
@@ -110,10 +120,11 @@
 @in_event_loop
 async def test_idle_clients_leave_descriptors_for_the_watch_and_for_requests(kind: str) -> None:
     async with stub_backend(respond_ok) as backend:
-        port, discovery = free_port(), StubDiscovery()
+        discovery, discovery_socket = StubDiscovery(), socket_that_refuses()
+        discovery_port = discovery_socket.getsockname()[1]
         clock = ManualClock()
         async with running_proxy(
-            [endpoint_entry("a", backend.address)], discovery=port, max_sockets=MAX_SOCKETS
+            [endpoint_entry("a", backend.address)], discovery=discovery_port, max_sockets=MAX_SOCKETS
         ) as proxy:
             client_sockets, peak = await fill_descriptors(clock, proxy, CLIENT_BYTES[kind])
             # As many attempts may be in flight, and all together have to fit.
@@ -121,7 +132,7 @@
             client = await proxy.connect()
             client.writer.write(post_request(1))
             assert status_of(await clock.wait_for(client.response())) == 200
-            server = await asyncio.start_server(discovery.serve, HOST, port)
+            server = await asyncio.start_server(discovery.serve, sock=discovery_socket)
             await clock.advance(0.5)
             await clock.wait_until(lambda: discovery.watch_requests.qsize() == 1)
             server.close()
@@ -134,7 +145,8 @@
 async def test_process_at_its_descriptor_limit_does_not_spin_and_starts_its_watch(
     tmp_path: Path, kind: str
 ) -> None:
-    discovery, port, discovery_port = StubDiscovery(), free_port(), free_port()
+    discovery, discovery_socket = StubDiscovery(), socket_that_refuses()
+    port, discovery_port = free_port(), discovery_socket.getsockname()[1]
     async with stub_backend(respond_ok) as backend:
         path, log = tmp_path / "c.json", tmp_path / "log"
         content = raw_config(
@@ -163,7 +175,7 @@
             used_before = processor_seconds(process.pid)
             await asyncio.sleep(1.0)
             assert processor_seconds(process.pid) - used_before < 0.5, "it spins"
-            server = await asyncio.start_server(discovery.serve, HOST, discovery_port)
+            server = await asyncio.start_server(discovery.serve, sock=discovery_socket)
             assert await with_timeout(discovery.watch_requests.get()) == "/v1/servers?follow=1&since=3"
             client = await connect(port)
             assert status_of(await client.request(post_request(1))) == 200
