--- a/balancer/circuit_breaker.py
+++ b/balancer/circuit_breaker.py
@@ -15,6 +15,8 @@
 LATENCY_ACTIVATION = 3.0  # multiple of the latency baseline where the latency probability leaves 0
 LATENCY_CEILING = 0.95  # part of the timeout where the latency probability is full
 MAX_LATENCY_PROBABILITY = 0.3  # the latency probability where it is full
+RECENT_SAMPLES = 4.0  # samples that a current latency goes over
+FALL_SAMPLES, RISE_SAMPLES = 4.0, 100.0  # samples that a latency baseline goes over as it falls, as it rises
 
 
 @dataclass(slots=True)
@@ -80,9 +82,9 @@
         if self.current_latency <= 0.0:
             self.latency_baseline = self.current_latency = latency
             return
-        weight = 4.0 if latency < self.latency_baseline else 100.0
-        self.latency_baseline += (latency - self.latency_baseline) / weight
-        self.current_latency += (latency - self.current_latency) / 4.0
+        samples = FALL_SAMPLES if latency < self.latency_baseline else RISE_SAMPLES
+        self.latency_baseline += (latency - self.latency_baseline) / samples
+        self.current_latency += (latency - self.current_latency) / RECENT_SAMPLES
 
     def failure_ratio(self, now: float) -> float:
         """Return the part of the calls that failed, of those not rejected locally."""
--- a/balancer/endpoint_selection.py
+++ b/balancer/endpoint_selection.py
@@ -54,7 +54,7 @@
     def _draw(self, now: float, request: RequestState, endpoints: list[EndpointState]) -> list[EndpointState]:
         """Draw two endpoints that the request was not sent to; warming ones come from the subset alone."""
         found: list[EndpointState] = []
-        pool, count = request.pool, len(endpoints)
+        pool, pools, count = request.pool, self.assignment.pools, len(endpoints)
         from_subset = endpoints is pool.subset
         if now >= pool.next_warm_at:
             self.slow_start.measure(now, pool)
@@ -68,9 +68,7 @@
             if state in found or state in tried:
                 continue
             warming = self.slow_start.warm_at(state.endpoint) > now
-            if warming and (
-                not from_subset or self.slow_start.defers(now, state, pool, self.assignment.pools)
-            ):
+            if warming and (not from_subset or self.slow_start.defers(now, state, pool, pools)):
                 continue
             found.append(state)
             if len(found) == CANDIDATES:
--- a/balancer/endpoint_state.py
+++ b/balancer/endpoint_state.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from balancer.circuit_breaker import CircuitBreaker
+from balancer.circuit_breaker import RECENT_SAMPLES, CircuitBreaker
 from balancer.endpoints import Endpoint
 from balancer.events import Outcome
 
@@ -33,7 +33,7 @@
     refilled_at: float = 0.0  # when the tokens were last refilled
 
     def reset(self) -> None:
-        """Forget the process before; tokens from then would be full at all instances, and push it over."""
+        """Forget the process before: its warm-up tokens, full at all instances, would push this one over."""
         self.breaker, self.mean_latency = None, 0.0
         self.warmup_tokens = self.refilled_at = 0.0
 
@@ -81,5 +81,6 @@
         return True
 
     def _record_latency(self, now: float, latency: float) -> None:
-        self.mean_latency += (latency - self.mean_latency) / 4.0 if self.mean_latency > 0.0 else latency
+        gap = latency - self.mean_latency
+        self.mean_latency += gap / RECENT_SAMPLES if self.mean_latency > 0.0 else latency
         self.measured_at = now
--- a/balancer/latency_statistics.py
+++ b/balancer/latency_statistics.py
@@ -1,8 +1,10 @@
 """Latency statistics: of all endpoints, of each class, for each unit of cost; they decide nothing."""
 
+from balancer.circuit_breaker import FALL_SAMPLES, RISE_SAMPLES
+
 MEAN_SPAN = 32  # answers that a mean latency goes over
 MIN_SAMPLES = 16  # answers before a baseline rejects anything: the first may have stood in a queue
-MIN_COST_PART = 0.6  # part of that by cost that work needs at least: costs are hints, endpoints differ
+MIN_COST_PART = 0.6  # part of the cost baseline that work needs at least: costs are hints, endpoints differ
 COST_BASELINE_DECAY = 0.94  # what a rejection leaves of that baseline
 
 
@@ -38,14 +40,16 @@
     def record_answer(self, class_index: int, latency: float, cost: float) -> None:
         """Learn from the successful attempt of a request whose class is in force."""
         gap = latency / cost - self.latency_per_cost
-        self.latency_per_cost += gap / (4.0 if gap < 0.0 else 100.0) if self.sample_count else gap
+        self.latency_per_cost += (
+            gap / (FALL_SAMPLES if gap < 0.0 else RISE_SAMPLES) if self.sample_count else gap
+        )
         self.sample_count += 1
         self.class_samples[class_index] = seen = min(self.class_samples[class_index] + 1, MEAN_SPAN)
         self.class_latency[class_index] += (latency - self.class_latency[class_index]) / seen
         self.answer_latency += (latency - self.answer_latency) / min(self.sample_count, MEAN_SPAN)
         gap = self.answer_latency - self.answer_baseline
-        weight = (4.0 if gap < 0.0 else 100.0) if self.sample_count > MIN_SAMPLES else 1.0
-        self.answer_baseline += gap / weight
+        samples = FALL_SAMPLES if gap < 0.0 else RISE_SAMPLES
+        self.answer_baseline += gap / samples if self.sample_count > MIN_SAMPLES else gap
 
     def min_latency(self, cost: float) -> float:
         """Return the latency that work of this cost needs at least; 0 while too little is known."""
--- a/balancer/subsetting.py
+++ b/balancer/subsetting.py
@@ -67,7 +67,7 @@
 def _fallback_subset(pool: EndpointPool) -> list[EndpointState]:
     """Return the endpoints that stand in for a busy subset: the next ones on the ring.
 
-    If all did, each would get a connection from every proxy of a large fleet: each new one costs it a
+    If any endpoint could, each would get a connection from every proxy of a large fleet: a new one costs a
     handshake and capacity, and one to an endpoint that is seldom called is never used again.
     """
     if not pool.subset:
