--- a/tests/proxy_internals.py
+++ b/tests/proxy_internals.py
@@ -5,7 +5,9 @@
 import asyncio
 
 from proxy.active_request import ActiveRequest
-from proxy.upstream import ConnectionPool
+from proxy.downstream.connection import DownstreamConnection
+from proxy.upstream import ConnectionPool, UpstreamAttempt
+from proxy.upstream.connection import UpstreamConnection
 
 
 def is_receiving_response(request: ActiveRequest) -> bool:
@@ -24,3 +26,64 @@
 def sweep_timer(pool: ConnectionPool) -> asyncio.TimerHandle | None:
     """Return the timer by which the pool closes idle connections."""
     return pool._sweep_timer
+
+
+def max_connections(pool: ConnectionPool) -> int:
+    """Return how many connections the pool may have at once."""
+    return pool._max_connections
+
+
+def dials_in_progress(pool: ConnectionPool) -> int:
+    """Return how many connections are being established."""
+    return pool._dialling
+
+
+def established_connections(pool: ConnectionPool) -> int:
+    """Return how many connections to backends there are, idle ones included."""
+    return pool._connected
+
+
+def all_idle_connections(pool: ConnectionPool) -> list[UpstreamConnection]:
+    """Return the idle connections to all backends, the longest idle one first."""
+    return list(pool._idle)
+
+
+def close_idle_connections(pool: ConnectionPool) -> None:
+    """Close the idle connections to all backends."""
+    for connection in tuple(pool._idle):
+        pool._close_idle(connection)
+
+
+def close_long_idle_connections(pool: ConnectionPool) -> None:
+    """Let the pool close what has been idle for long, as its timer does."""
+    pool._sweep()
+
+
+def send_attempt(pool: ConnectionPool, attempt: UpstreamAttempt, connection: UpstreamConnection) -> None:
+    """Let the pool send an attempt on a connection, whatever has become of the attempt."""
+    pool._send(attempt, connection)
+
+
+def pause_reading(connection: UpstreamConnection) -> None:
+    """Leave unread what comes from now on, as in a busy moment of the event loop."""
+    connection._transport.pause_reading()
+
+
+def has_pipelined_input(connection: DownstreamConnection) -> bool:
+    """Return whether a client has sent a further request, or a part of one, behind the one in progress."""
+    return bool(connection._queue or connection._parser.reading)
+
+
+def discards_input(connection: DownstreamConnection) -> bool:
+    """Return whether a request was rejected so that what the client still sends is discarded."""
+    return connection._input_ended
+
+
+def has_paused_writing(connection: DownstreamConnection) -> bool:
+    """Return whether responses wait until the client reads."""
+    return connection._write_paused
+
+
+def unwritten_bytes(connection: DownstreamConnection) -> int:
+    """Return how many bytes of responses the client's socket has not taken yet."""
+    return connection._transport.get_write_buffer_size()
--- a/tests/test_attempt_races.py
+++ b/tests/test_attempt_races.py
@@ -20,6 +20,7 @@
     with_timeout,
 )
 from proxy_inputs import OK_RESPONSE, endpoint_entry, get_request, post_request, status_of
+from proxy_internals import dials_in_progress, established_connections
 
 LATE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate"
 
@@ -53,7 +54,7 @@
         if change == "drained":
             assert status_of(await client.response()) == 503
         pool = proxy.pool
-        await wait_until(lambda: pool._dialling == pool._connected == 0)
+        await wait_until(lambda: dials_in_progress(pool) == established_connections(pool) == 0)
         assert backend.received.empty()
 
 
@@ -129,7 +130,7 @@
         elif late_event == "close":
             backend.writers[0].close()
         if late_event != "nothing":
-            await clock.wait_until(lambda: proxy.pool._connected == 0)
+            await clock.wait_until(lambda: established_connections(proxy.pool) == 0)
         assert backend.received.qsize() == 1
         await clock.advance(0.01)
         assert (await client.response()).endswith(b"done")
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -43,6 +43,16 @@
     post_request,
     status_of,
 )
+from proxy_internals import (
+    all_idle_connections,
+    close_idle_connections,
+    dials_in_progress,
+    discards_input,
+    established_connections,
+    has_paused_writing,
+    has_pipelined_input,
+    unwritten_bytes,
+)
 
 from balancer.settings import Settings
 from balancer.settings_reader import read_settings
@@ -82,7 +92,7 @@
     """Send requests until the proxy can reuse an idle connection to each backend without a wait."""
     number = 500
     ports = {int(each.address.rpartition(":")[2]) for each in backends}
-    while not ports <= {connection.backend.address[1] for connection in proxy.pool._idle}:
+    while not ports <= {connection.backend.address[1] for connection in all_idle_connections(proxy.pool)}:
         number += 1
         client.writer.write(get_request(number))
         await clock.wait_for(client.response())
@@ -135,16 +145,14 @@
             client.writer.write(sent_behind)
             connections = proxy.listener.connections.open
             await wait_until(
-                lambda: (
-                    any(each._queue or each._parser.reading for each in connections) or sent_behind == b"\r\n"
-                )
+                lambda: any(has_pipelined_input(each) for each in connections) or sent_behind == b"\r\n"
             )
         disconnect(client, kind)
         await wait_until(lambda: has_no_requests(proxy))
         gate.release()
         assert status_of(await other.request(post_request(9))) == 200
         pool = proxy.pool
-        await wait_until(lambda: pool._dialling == 0)
+        await wait_until(lambda: dials_in_progress(pool) == 0)
         assert b"id9" in backend.received.get_nowait()
         assert backend.received.empty()
 
@@ -168,7 +176,7 @@
         disconnect(client, kind)
         await wait_until(lambda: has_no_requests(proxy))
         gate.release()
-        await wait_until(lambda: proxy.pool._dialling == proxy.pool._connected == 0)
+        await wait_until(lambda: dials_in_progress(proxy.pool) == established_connections(proxy.pool) == 0)
         assert requests_received(backend_a, backend_b) == 1
 
 
@@ -225,7 +233,7 @@
         await with_timeout(backend.received.get())
         client.writer.write(b"".join(get_request(number) for number in range(2, 200)) + b"x" * (1 << 20))
         [connection] = proxy.listener.connections.open
-        await wait_until(lambda: connection._input_ended)
+        await wait_until(lambda: discards_input(connection))
         disconnect(client, kind)
         await with_timeout(backend.disconnects.get())
         await wait_until(lambda: not proxy.listener.connections.open and not proxy.dispatcher.active_requests)
@@ -354,19 +362,18 @@
         sock, connection = await connect_slow_reader(proxy)
         number = 0
         active = proxy.dispatcher.active_requests
-        while connection._transport.get_write_buffer_size() < 24 << 10:  # more than the socket's buffers take
+        while unwritten_bytes(connection) < 24 << 10:  # more than the socket's buffers take
             sock.send(get_request(number := number + 1))
             await wait_until(lambda sent=number: backend.received.qsize() == sent and not active)  # type: ignore[misc]
-        assert not connection._write_paused
-        for idle_connection in tuple(proxy.pool._idle):
-            proxy.pool._close_idle(idle_connection)
+        assert not has_paused_writing(connection)
+        close_idle_connections(proxy.pool)
         gate = ConnectGate(monkeypatch)
         sock.send(post_request(9000))
         await wait_until(lambda: gate.held == 1)
         sock.shutdown(socket.SHUT_WR)
         await wait_until(lambda: has_no_requests(proxy))
         gate.release()
-        await wait_until(lambda: proxy.pool._dialling == 0)
+        await wait_until(lambda: dials_in_progress(proxy.pool) == 0)
         assert backend.received.qsize() == number
         sock.close()
 
--- a/tests/test_descriptor_limits.py
+++ b/tests/test_descriptor_limits.py
@@ -34,6 +34,7 @@
     post_request,
     status_of,
 )
+from proxy_internals import max_connections
 from proxy_process import (
     PROJECT_ROOT,
     environment_with_addresses,
@@ -128,7 +129,7 @@
         ) as proxy:
             client_sockets, peak = await fill_descriptors(clock, proxy, CLIENT_BYTES[kind])
             # As many attempts may be in flight, and all together have to fit.
-            assert peak + proxy.pool._max_connections + OWN_DESCRIPTORS <= MAX_SOCKETS
+            assert peak + max_connections(proxy.pool) + OWN_DESCRIPTORS <= MAX_SOCKETS
             client = await proxy.connect()
             client.writer.write(post_request(1))
             assert status_of(await clock.wait_for(client.response())) == 200
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -30,6 +30,7 @@
     post_request,
     status_of,
 )
+from proxy_internals import close_idle_connections
 
 from balancer.events import Reject
 from proxy.active_request import ActiveRequest
@@ -235,8 +236,7 @@
             for number in range(20):
                 client = await proxy.connect()
                 assert status_of(await client.request(get_request(number, Connection="close"))) == 200
-                for connection in tuple(proxy.pool._idle):
-                    proxy.pool._close_idle(connection)
+                close_idle_connections(proxy.pool)
                 malformed = await proxy.connect()
                 assert status_of(await malformed.request(b"nonsense\r\n\r\n")) == 400
                 malformed.writer.close()
--- a/tests/test_downstream_limits.py
+++ b/tests/test_downstream_limits.py
@@ -6,6 +6,7 @@
 from client_scenarios import CHUNKED_REQUEST
 from loopback import in_event_loop, proxy_with_backends, respond_ok, stay_silent, wait_until, with_timeout
 from proxy_inputs import MAX_WAIT, OK_RESPONSE, post_request, status_of
+from proxy_internals import discards_input
 
 MEMORY_LIMIT = 400 << 10  # bytes, of which incomplete and pipelined requests may take 100 KiB
 FOUR_CLIENTS = 48 + 8  # descriptors: 48 are reserved, clients may use half of the others
@@ -112,7 +113,7 @@
         for number in (2, 3):
             client.writer.write(post_request(number, body=b"x" * (60 << 10)))
         [connection] = proxy.listener.connections.open
-        await wait_until(lambda: connection._input_ended)
+        await wait_until(lambda: discards_input(connection))
         assert proxy.listener.buffered_bytes <= 100 << 10
         backend.writers[0].write(OK_RESPONSE)
         assert [status_of(await client.response()) for _ in range(2)] == [200, 503]
--- a/tests/test_downstream_requests.py
+++ b/tests/test_downstream_requests.py
@@ -8,6 +8,7 @@
 from client_scenarios import CHUNKED_REQUEST, connect_slow_reader
 from loopback import in_event_loop, proxy_with_backends, respond_ok, stay_silent, wait_until, with_timeout
 from proxy_inputs import OK_RESPONSE, get_request, post_request, status_of
+from proxy_internals import has_paused_writing, unwritten_bytes
 
 
 @pytest.mark.parametrize(
@@ -125,8 +126,10 @@
     async with proxy_with_backends(lambda _: large_response) as (proxy, [backend]):
         sock, connection = await connect_slow_reader(proxy)
         number = 0
-        while not connection._write_paused:
+        while not has_paused_writing(connection):
             sock.send(get_request(number := number + 1))
-            await wait_until(lambda sent=number: connection._write_paused or backend.received.qsize() == sent)  # type: ignore[misc]
-        assert connection._transport.get_write_buffer_size() < 3 * 65536
+            await wait_until(
+                lambda sent=number: has_paused_writing(connection) or backend.received.qsize() == sent  # type: ignore[misc]
+            )
+        assert unwritten_bytes(connection) < 3 * 65536
         sock.close()
--- a/tests/test_proxy_endpoint_list.py
+++ b/tests/test_proxy_endpoint_list.py
@@ -23,6 +23,7 @@
     proxy_config,
     status_of,
 )
+from proxy_internals import established_connections
 
 from proxy.proxy import Proxy
 
@@ -75,7 +76,7 @@
             proxy.notify([endpoint_entry(f"b{number}", backend.address, "terminated", since_ms=1000)])
         backends = proxy.proxy.endpoint_table.backends
         assert len(backends) == len(proxy.balancer.endpoints.states) == 1
-        await wait_until(lambda: proxy.pool._connected <= 1)
+        await wait_until(lambda: established_connections(proxy.pool) <= 1)
 
 
 @in_event_loop
--- a/tests/test_upstream_connection_pool.py
+++ b/tests/test_upstream_connection_pool.py
@@ -20,6 +20,13 @@
 )
 from pool_scenario import PoolScenario
 from proxy_inputs import HOST, MAX_WAIT, OK_RESPONSE, RAW_SETTINGS, endpoint_entry, post_request, status_of
+from proxy_internals import (
+    all_idle_connections,
+    close_long_idle_connections,
+    established_connections,
+    idle_quota,
+    send_attempt,
+)
 
 from balancer.events import Outcome
 from balancer.settings_reader import read_settings
@@ -53,7 +60,7 @@
         attempt.finish(Outcome.CANCELLED)
         attempt.finish(Outcome.CANCELLED)
         await with_timeout(backend.disconnects.get())
-        await wait_until(lambda: scenario.pool._connected == 0)
+        await wait_until(lambda: established_connections(scenario.pool) == 0)
         assert [scenario.outcomes.get_nowait(), scenario.outcomes.empty()] == [Outcome.CANCELLED, True]
 
 
@@ -100,7 +107,7 @@
         assert scenario.backend.idle_connections == [older, newer]
         assert backend.disconnects.empty()
         older.idle_since -= 31.0
-        scenario.pool._sweep()
+        close_long_idle_connections(scenario.pool)
         await with_timeout(backend.disconnects.get())
         assert scenario.backend.idle_connections == [newer]
 
@@ -124,7 +131,7 @@
             for _ in range(concurrent):
                 assert await scenario.next_outcome() is Outcome.SUCCESS
             assert scenario.backend.idle_connections  # the latest stay open
-        assert len(scenario.pool._idle) == idle_connections
+        assert len(all_idle_connections(scenario.pool)) == idle_connections
 
 
 @in_event_loop
@@ -133,9 +140,9 @@
     async with running_proxy(
         [endpoint_entry("a", f"{HOST}:1"), endpoint_entry("b", f"{HOST}:2")], settings=settings
     ) as proxy:
-        assert proxy.pool._idle_quota == connection_pool.FLEET_IDLE_PER_BACKEND * 2 / 4
+        assert idle_quota(proxy.pool) == connection_pool.FLEET_IDLE_PER_BACKEND * 2 / 4
         proxy.notify([endpoint_entry("b", f"{HOST}:2", "terminated")])
-        assert proxy.pool._idle_quota == connection_pool.FLEET_IDLE_PER_BACKEND / 4
+        assert idle_quota(proxy.pool) == connection_pool.FLEET_IDLE_PER_BACKEND / 4
 
 
 @in_event_loop
@@ -147,7 +154,7 @@
         finished = scenario.start(post_request(2))
         assert await scenario.next_outcome() is Outcome.SUCCESS
         scenario.backend.idle_connections.remove(idle)
-        scenario.pool._send(finished, idle)
+        send_attempt(scenario.pool, finished, idle)
         assert await scenario.run(post_request(3)) is Outcome.SUCCESS
         assert [b"id%d" % number in backend.received.get_nowait() for number in (1, 2, 3)] == [True] * 3
 
--- a/tests/test_upstream_keepalive.py
+++ b/tests/test_upstream_keepalive.py
@@ -6,6 +6,7 @@
 from loopback import CLOSE_CONNECTION, in_event_loop, respond_ok, stub_backend, wait_until
 from pool_scenario import PoolScenario
 from proxy_inputs import MAX_WAIT, OK_RESPONSE, post_request
+from proxy_internals import pause_reading
 
 from balancer.events import Outcome
 from proxy.upstream import keepalive_policy
@@ -118,7 +119,7 @@
         scenario = PoolScenario(backend)
         assert await scenario.run() is Outcome.SUCCESS
         [idle] = scenario.backend.idle_connections
-        idle._transport.pause_reading()  # what comes now stays unread, as in a busy moment
+        pause_reading(idle)
         backend.writers[0].write(OK_RESPONSE)
         await wait_until(lambda: not idle.is_usable())
         assert await scenario.run() is Outcome.SUCCESS
