--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -17,17 +17,24 @@
 from typing import Any, ParamSpec, TypeVar
 
 import pytest
-from proxy_inputs import HOST, MAX_WAIT, NO_DISCOVERY_PORT, OK_RESPONSE, endpoint_entry, proxy_config
+from proxy_inputs import (
+    HOST,
+    MAX_WAIT,
+    NO_DISCOVERY_PORT,
+    OK_RESPONSE,
+    endpoint_entry,
+    proxy_config,
+)
 
 from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
-from proxy.discovery.endpoint_reader import EndpointReader
 from proxy.dispatcher import Dispatcher
 from proxy.downstream.listener import Listener
 from proxy.proxy import Proxy
 from proxy.upstream import ConnectionPool
 
 CLOSE_CONNECTION = b""  # a script's result that closes the connection without a response
+UNLIMITED = 1 << 30  # connection attempts that a `ConnectGate` lets pass
 SETTLE_TURNS = 100  # turns of the event loop in which all that is on its way on loopback arrives
 
 Script = Callable[[bytes], bytes | None]
@@ -308,8 +315,7 @@
 
     def notify(self, entries: list[dict[str, Any]]) -> None:
         """Deliver a delta of the endpoint list to the proxy, as if discovery had sent it."""
-        reader = EndpointReader({"here": 0, "there": 1}, {"k": 0})
-        self.proxy.on_update(UpdateKind.DELTA, reader.endpoints({"endpoints": entries}))
+        self.proxy.on_update(UpdateKind.DELTA, self.proxy.reader.endpoints({"endpoints": entries}))
 
     async def connect(self) -> Client:
         """Open a client's connection to it."""
--- a/tests/reloadable_proxy.py
+++ b/tests/reloadable_proxy.py
@@ -21,7 +21,6 @@
     status_of,
 )
 
-from balancer.endpoints import UpdateKind
 from proxy.config import load
 from proxy.proxy import Proxy
 
@@ -64,10 +63,6 @@
         """Do what SIGHUP does, with the file as it is."""
         self.proxy.reloader.reload(os.environ)
 
-    def read_and_notify(self, entries: list[dict[str, Any]]) -> None:
-        """Deliver a delta that the proxy itself reads, by the zones and machine types now in force."""
-        self.proxy.on_update(UpdateKind.DELTA, self.proxy.reader.endpoints({"endpoints": entries}))
-
     async def health(self) -> tuple[int, list[bytes]]:
         """Return the status and the body's lines of a response to `/healthz`."""
         client = await self.connect()
--- a/tests/test_limits.py
+++ b/tests/test_policy_limits.py
@@ -1,4 +1,4 @@
-"""The modules that decide stay small enough to read: the limits that the users set."""
+"""The modules that decide are those that the deploy file names, and keep to its limits on lines."""
 
 import re
 import tomllib
@@ -6,8 +6,10 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
-POLICY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+MAX_FILLED_LINES = 1200  # lines that are not blank, of all the modules together
+MAX_LINE_LENGTH = 110  # characters
+PROJECT_ROOT = Path(__file__).parent.parent
+POLICY = tomllib.loads((PROJECT_ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 #: The modules that decide, in the order of the deploy file: the way of a request, then what it needs.
 DECIDING = [
     "balancer/balancer.py",
@@ -36,28 +38,32 @@
 ]
 
 
-def faults(text: str) -> list[str]:
-    """What is over the limits: 1,200 lines that are not blank, 110 characters a line."""
+def violations(text: str) -> list[str]:
+    """Return what is over the limits in the text of all the modules that decide."""
     lines = text.splitlines()
-    found = [f"line {n} has {len(line)} characters" for n, line in enumerate(lines, 1) if len(line) > 110]
-    count = sum(1 for line in lines if line.strip())
-    if count > 1200:
-        found.append(f"{count} lines are not blank")
+    found = [
+        f"line {number} has {len(line)} characters"
+        for number, line in enumerate(lines, 1)
+        if len(line) > MAX_LINE_LENGTH
+    ]
+    filled_lines = sum(1 for line in lines if line.strip())
+    if filled_lines > MAX_FILLED_LINES:
+        found.append(f"{filled_lines} lines are not blank")
     return found
 
 
-def test_policy_files_keep_the_limits() -> None:
+def test_modules_that_decide_are_named_and_within_the_limits() -> None:
     assert POLICY == DECIDING
-    modules = {f"balancer/{path.name}" for path in (ROOT / "balancer").glob("*.py")}
+    modules = {f"balancer/{path.name}" for path in (PROJECT_ROOT / "balancer").glob("*.py")}
     assert modules == {*DECIDING, *NOT_DECIDING}, "a module that neither list names"
-    assert faults("\n".join((ROOT / name).read_text() for name in POLICY)) == []
+    assert violations("\n".join((PROJECT_ROOT / name).read_text() for name in POLICY)) == []
 
 
 @pytest.mark.parametrize(("text", "count"), [("x\n\n" * 1200, 0), ("x\n" * 1201, 1), ("x" * 111, 1)])
-def test_the_check_itself_can_fail(text: str, count: int) -> None:
-    assert len(faults(text)) == count
+def test_limits_are_inclusive_and_can_be_violated(text: str, count: int) -> None:
+    assert len(violations(text)) == count
 
 
-def test_the_module_names_its_interface_at_the_top() -> None:
-    head = (ROOT / POLICY[0]).read_text().splitlines()[:5]
+def test_first_module_names_its_interface_at_the_top() -> None:
+    head = (PROJECT_ROOT / POLICY[0]).read_text().splitlines()[:5]
     assert re.search(r"balancer/settings\.py", "\n".join(head))
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's embedding example runs as it is printed."""
+"""The README: its example of embedding the decisions runs as it is printed."""
 
 import re
 from pathlib import Path
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -89,7 +89,7 @@
                 for repetition in range(8):
                     number += 1
                     if repetition == 4:  # an update from now on is read as the list before the reload
-                        running.read_and_notify(entries)
+                        running.notify(entries)
                     assert status_of(await client.request(get_request(number))) == 200
                     assert b"id%d\r\n" % number in await with_timeout(expected_backend.received.get())
                     assert len(running.balancer.assignment.by_class[0].ready) == 1
--- a/tests/test_reload_active_requests.py
+++ b/tests/test_reload_active_requests.py
@@ -172,7 +172,7 @@
         client.writer.write(post_request(1))
         await wait_until(lambda: gate.held == 1)
         in_other_zone = endpoint_entry("b", other_backend.address) | {"zone": "there"}
-        running.read_and_notify([in_other_zone])
+        running.notify([in_other_zone])
         running.reload(Services=[READ_CLASS, BOOK_CLASS | {"AllowedIn": [1]}])
         gate.release()
         assert status_of(await client.response()) == 200
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -8,6 +8,7 @@
 
 import pytest
 from loopback import (
+    UNLIMITED,
     Client,
     ConnectGate,
     ManualClock,
@@ -25,7 +26,6 @@
 MAX_SHUTDOWN_TIME = KILL_DELAY + 1.0  # seconds after which a shutdown is given up
 ACCEPT_TIME = 0.7  # seconds after SIGTERM by which new connections are accepted no more
 CLOCK_STEP = 0.02  # seconds
-UNLIMITED = 1 << 30
 
 
 class EndingProxy(RunningProxy):
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -11,6 +11,7 @@
 
 import pytest
 from loopback import (
+    UNLIMITED,
     ConnectGate,
     ManualClock,
     connect,
@@ -38,7 +39,6 @@
 READY_SHARE = 0.9
 TIER_SIZE = 20  # proxies
 CLOCK_STEP = 0.25  # seconds
-UNLIMITED = 1 << 30
 
 CACHED_ENTRIES: dict[str, list[dict[str, Any]]] = {
     "one backend": [endpoint_entry("a", f"{HOST}:1")],
