--- a/tests/client_scenarios.py
+++ b/tests/client_scenarios.py
@@ -5,10 +5,13 @@
 import asyncio
 import socket
 import struct
+from typing import Any
 
 from loopback import Client, RunningProxy, StubBackend, wait_until
-from proxy_inputs import HOST, post_request
+from proxy_inputs import HOST, RAW_SETTINGS, post_request
 
+from balancer.settings import Settings
+from balancer.settings_reader import read_settings
 from proxy.downstream.connection import DownstreamConnection
 
 #: A request with a chunked body.
@@ -22,6 +25,18 @@
 #: A receive buffer so small that a proxy soon can't write any more.
 SLOW_READER_BUFFER_BYTES = 4096
 
+#: The settings of the first and of a later tier, by test id.
+TIERS = {"first": {"Tier": 0, "Tiers": ["a", "b"]}, "later": {"Tier": 1, "Tiers": ["a", "b"]}}
+
+#: Whether the settings let attempts be cancelled, by test id.
+CANCELLATION = {"cancels": True, "no cancels": False}
+
+
+def disconnect_settings(tier: str, cancellation: str = "cancels", **bounds: Any) -> Settings:
+    """The usual settings, for a tier, with or without cancellation of attempts."""
+    limits = RAW_SETTINGS["Bounds"] | {"Cancel": CANCELLATION[cancellation]} | bounds
+    return read_settings(RAW_SETTINGS | TIERS[tier] | {"Bounds": limits})
+
 
 def reset_on_close(sock: socket.socket) -> None:
     """Let the socket's end be a reset."""
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -118,7 +118,7 @@
 
 
 @in_event_loop
-async def test_broken_idle_connection_does_not_make_a_non_idempotent_request_retried() -> None:
+async def test_broken_idle_connection_causes_no_retry_of_a_non_idempotent_request() -> None:
     responses = [OK_RESPONSE, CLOSE_CONNECTION, OK_RESPONSE]
     async with proxy_with_backends(lambda _: responses.pop(0)) as (proxy, [backend]):
         client = await proxy.connect()
