--- a/tests/test_emulator_result.py
+++ b/tests/test_emulator_result.py
@@ -5,7 +5,7 @@
 import json
 from pathlib import Path
 
-from emulator.result import write_result
+from emulator.result import ROOT, commit, write_result
 
 
 def test_a_result_names_its_seed_machine_and_versions(tmp_path: Path) -> None:
@@ -16,3 +16,8 @@
     assert read["machine"]["cpus"] >= 1
     assert {"cpus", "model", "python"} <= read["machine"].keys()
     assert {"commit", "numpy", "orjson"} <= read["versions"].keys()
+
+
+def test_a_tree_without_a_history_of_its_own_has_no_commit(tmp_path: Path) -> None:
+    assert commit(tmp_path) == "unknown"
+    assert commit(ROOT / "tests") == "unknown"  # not that of the tree around it
