--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -107,8 +107,8 @@
         ],
     )
     drained = [{"m": "Register", "List": 3, "Rows": [{"Backend": 70, "Readiness": "L"}]}]
-    told = [{"m": "Members", "ProxyId": i, "Mode": "patch", "Version": 2, "List": 3} for i in instances]
-    text += batch(10.3, [*drained, *told, *(e for i in instances for e in calls(i, 3, 40))])
+    updates = [{"m": "Members", "ProxyId": i, "Mode": "patch", "Version": 2, "List": 3} for i in instances]
+    text += batch(10.3, [*drained, *updates, *(e for i in instances for e in calls(i, 3, 40))])
     text += batch(10.4, [{"m": "Teardown", "ProxyId": i} for i in instances])
     return text + batch(10.5, [e for i in instances for e in [*opened(i), *calls(i, 90, 2)]])
 
@@ -184,10 +184,10 @@
 def test_a_line_that_the_wire_does_not_allow(text: str, line: int, says: str) -> None:
     done = converse(text)
     assert done.returncode == 2
-    [told] = done.stderr.splitlines()
-    assert f"line {line}" in told
-    assert says in told
-    assert "Traceback" not in told
+    [message] = done.stderr.splitlines()
+    assert f"line {line}" in message
+    assert says in message
+    assert "Traceback" not in message
 
 
 def test_an_exception_in_a_decision_bails_out() -> None:
