--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -30,6 +30,7 @@
 from balancer.endpoints import UpdateKind
 from proxy.dispatcher import Dispatcher
 from proxy.downstream.listener import Listener
+from proxy.endpoint_table import EndpointTable
 from proxy.proxy import Proxy
 from proxy.upstream import ConnectionPool
 
@@ -303,6 +304,11 @@
         """Its active requests."""
         return self.proxy.dispatcher
 
+    @property
+    def endpoint_table(self) -> EndpointTable:
+        """The backends that it knows."""
+        return self.proxy.endpoint_table
+
     @property
     def listener(self) -> Listener:
         """Its clients' connections."""
--- a/tests/proxy_internals.py
+++ b/tests/proxy_internals.py
@@ -19,7 +19,7 @@
 
 
 def idle_quota(pool: ConnectionPool) -> float:
-    """Return how many idle connections the pool may have to each backend."""
+    """Return how many idle connections to all backends together the pool may keep as this proxy's part."""
     return pool._idle_quota
 
 
--- a/tests/proxy_process.py
+++ b/tests/proxy_process.py
@@ -7,6 +7,8 @@
 import os
 import sys
 from asyncio.subprocess import Process
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
 from pathlib import Path
 from typing import Any
 
@@ -44,9 +46,13 @@
     }
 
 
-async def start_proxy_process(config_path: Path) -> Process:
-    """Start a proxy that has its configuration from a file alone, and whose log can be read from a pipe."""
-    return await asyncio.create_subprocess_exec(
+@asynccontextmanager
+async def proxy_process(config_path: Path) -> AsyncIterator[Process]:
+    """Run a proxy that has its configuration from a file alone, and whose log can be read from a pipe.
+
+    A process that has not ended by the end of the context is killed.
+    """
+    process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "proxy",
@@ -54,6 +60,12 @@
         stderr=asyncio.subprocess.PIPE,
         env=environment_without_proxy() | {"RELAY_CONFIG": str(config_path)},
     )
+    try:
+        yield process
+    finally:
+        if process.returncode is None:
+            process.kill()
+            await process.wait()
 
 
 async def wait_until_ready(port: int) -> None:
--- a/tests/reloadable_proxy.py
+++ b/tests/reloadable_proxy.py
@@ -92,8 +92,8 @@
 ) -> AsyncIterator[tuple[ReloadableProxy, StubBackend]]:
     """Run a backend, and a proxy that knows it as "a" from its file."""
     async with stub_backend(script) as backend:
-        async with reloadable_proxy(config_path, [endpoint_entry("a", backend.address)]) as running:
-            yield running, backend
+        async with reloadable_proxy(config_path, [endpoint_entry("a", backend.address)]) as proxy:
+            yield proxy, backend
 
 
 def request_of_class(class_name: str, number: int, method: str = "GET") -> bytes:
--- a/tests/test_discovery_deadline.py
+++ b/tests/test_discovery_deadline.py
@@ -42,14 +42,14 @@
     return read_settings(RAW_SETTINGS | {"RegistryMode": "on_request", "Rules": rules})
 
 
-def backend_ports(running: RunningProxy) -> list[int]:
+def backend_ports(proxy: RunningProxy) -> list[int]:
     """Return the ports of the backends that a proxy knows."""
-    return [backend.address[1] for backend in running.proxy.endpoint_table.backends.values()]
+    return [backend.address[1] for backend in proxy.endpoint_table.backends.values()]
 
 
-def has_backends(running: RunningProxy) -> bool:
+def has_backends(proxy: RunningProxy) -> bool:
     """Return whether a proxy knows any backend."""
-    return bool(running.proxy.endpoint_table.backends)
+    return bool(proxy.endpoint_table.backends)
 
 
 def describe(delay: float, discovery: FaultyDiscovery) -> str:
@@ -62,9 +62,9 @@
     clock = ManualClock()
     async with (
         faulty_discovery([fault] * times) as discovery,
-        running_proxy(OLD_ENTRIES, discovery=discovery.port) as running,
+        running_proxy(OLD_ENTRIES, discovery=discovery.port) as proxy,
     ):
-        delay = await measure_delivery(clock, discovery, lambda: backend_ports(running) == [2])
+        delay = await measure_delivery(clock, discovery, lambda: backend_ports(proxy) == [2])
         assert delay < DELIVERY_DEADLINE, describe(delay, discovery)
 
 
@@ -95,10 +95,10 @@
     clock = ManualClock()
     async with (
         faulty_discovery([falls_silent, FAULTS[fault]]) as discovery,
-        running_proxy(OLD_ENTRIES, discovery=discovery.port) as running,
+        running_proxy(OLD_ENTRIES, discovery=discovery.port) as proxy,
     ):
-        await clock.wait_until(lambda: not has_backends(running))  # the empty list has come
-        delay = await measure_delivery(clock, discovery, partial(has_backends, running))
+        await clock.wait_until(lambda: not has_backends(proxy))  # the empty list has come
+        delay = await measure_delivery(clock, discovery, partial(has_backends, proxy))
         assert delay < DELIVERY_DEADLINE, describe(delay, discovery)
 
 
@@ -111,9 +111,9 @@
             faulty_discovery([FAULTS["silent"]]) as discovery,
             running_proxy(
                 [], discovery=discovery.port, settings=polled_settings(poll_interval), seed=seed
-            ) as running,
+            ) as proxy,
         ):
-            delay = await measure_delivery(clock, discovery, partial(has_backends, running))
+            delay = await measure_delivery(clock, discovery, partial(has_backends, proxy))
             assert delay < DELIVERY_DEADLINE, f"{describe(delay, discovery)} with seed {seed}"
 
 
@@ -121,11 +121,11 @@
 async def test_discovery_that_is_back_is_polled_soon() -> None:
     port = free_port()
     clock = ManualClock()
-    async with running_proxy([], discovery=port, settings=polled_settings(60.0)) as running:
+    async with running_proxy([], discovery=port, settings=polled_settings(60.0)) as proxy:
         for _ in range(60):
             await clock.advance(0.5)  # nobody listens there
         async with faulty_discovery(port=port) as discovery:
-            delay = await measure_delivery(clock, discovery, partial(has_backends, running))
+            delay = await measure_delivery(clock, discovery, partial(has_backends, proxy))
             assert delay < 0.25
 
 
@@ -165,9 +165,9 @@
     clock = ManualClock()
     async with (
         faulty_discovery(response=response) as discovery,
-        running_proxy([], discovery=discovery.port) as running,
+        running_proxy([], discovery=discovery.port) as proxy,
     ):
-        delay = await measure_delivery(clock, discovery, partial(has_backends, running))
+        delay = await measure_delivery(clock, discovery, partial(has_backends, proxy))
         assert delay < DELIVERY_DEADLINE
 
 
@@ -181,8 +181,8 @@
     clock = ManualClock()
     async with (
         faulty_discovery([falls_silent], on_return) as discovery,
-        running_proxy([], discovery=discovery.port) as running,
+        running_proxy([], discovery=discovery.port) as proxy,
     ):
-        await clock.wait_until(lambda: backend_ports(running) == [1, 2])
-        delay = await measure_delivery(clock, discovery, lambda: backend_ports(running) == [2, 3])
+        await clock.wait_until(lambda: backend_ports(proxy) == [1, 2])
+        delay = await measure_delivery(clock, discovery, lambda: backend_ports(proxy) == [2, 3])
         assert delay < DELIVERY_DEADLINE
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -24,10 +24,10 @@
 async def test_silent_watch_is_reopened_in_half_of_the_deadline() -> None:
     async with stub_discovery() as discovery:
         clock = ManualClock()
-        async with running_proxy([], discovery=discovery.port) as running:
+        async with running_proxy([], discovery=discovery.port) as proxy:
             await clock.wait_until(lambda: discovery.watch_requests.qsize() == 1)
             discovery.send_update(8, [endpoint_entry("a", f"{HOST}:1")])
-            await clock.wait_until(lambda: running.listener.ready)
+            await clock.wait_until(lambda: proxy.listener.ready)
             await clock.advance(HEARTBEAT_INTERVAL)
             assert discovery.disconnects.empty()  # a heartbeat is due only now
             await clock.advance(DELIVERY_DEADLINE / 2.0 - HEARTBEAT_INTERVAL)
@@ -53,25 +53,25 @@
 @pytest.mark.parametrize("indent", [None, 0, 2])
 @in_event_loop
 async def test_updates_may_be_indented(indent: int | None) -> None:
-    async with stub_discovery() as discovery, running_proxy([], discovery=discovery.port) as running:
+    async with stub_discovery() as discovery, running_proxy([], discovery=discovery.port) as proxy:
         await with_timeout(discovery.watch_requests.get())
         discovery.send_bytes(b"\n")
         entries = [endpoint_entry("a", f"{HOST}:1"), endpoint_entry("b", f"{HOST}:2")]
         discovery.send_update(8, entries, snapshot=True, indent=indent)
-        await wait_until(lambda: len(running.proxy.endpoint_table.backends) == 2)
+        await wait_until(lambda: len(proxy.endpoint_table.backends) == 2)
         discovery.send_bytes(b"\n")
         discovery.send_update(9, [], indent=indent)
         discovery.send_update(10, [endpoint_entry("a", f"{HOST}:1", "terminated")], indent=indent)
-        await wait_until(lambda: len(running.proxy.endpoint_table.backends) == 1)
+        await wait_until(lambda: len(proxy.endpoint_table.backends) == 1)
         assert discovery.disconnects.empty()
 
 
 @pytest.mark.parametrize("line", [b"nonsense\n", b'{"index":9,\n{"index":10}\n', b'{"index":9,\n\n', b"[]\n"])
 @in_event_loop
 async def test_update_that_can_not_be_read_reopens_the_watch_after_the_last_good_one(line: bytes) -> None:
-    async with stub_discovery() as discovery, running_proxy([], discovery=discovery.port) as running:
+    async with stub_discovery() as discovery, running_proxy([], discovery=discovery.port) as proxy:
         await with_timeout(discovery.watch_requests.get())
         discovery.send_update(8, [endpoint_entry("a", f"{HOST}:1")])
         discovery.send_bytes(line)
         assert await with_timeout(discovery.watch_requests.get()) == "/v1/servers?follow=1&since=8"
-        assert len(running.proxy.endpoint_table.backends) == 1
+        assert len(proxy.endpoint_table.backends) == 1
--- a/tests/test_reload_active_requests.py
+++ b/tests/test_reload_active_requests.py
@@ -46,13 +46,13 @@
 async def test_active_request_is_answered_although_its_class_moves_or_goes(
     config_path: Path, services: list[dict[str, Any]]
 ) -> None:
-    async with reloadable_proxy_with_backend(config_path, stay_silent) as (running, backend):
-        client, other = await running.connect(), await running.connect()
+    async with reloadable_proxy_with_backend(config_path, stay_silent) as (proxy, backend):
+        client, other = await proxy.connect(), await proxy.connect()
         client.writer.write(post_request(1))
         await with_timeout(backend.received.get())
-        running.reload(Services=services)
+        proxy.reload(Services=services)
         assert status_of(await other.request(request_of_class("once", 2))) == 400  # the class is gone
-        other = await running.connect()
+        other = await proxy.connect()
         other.writer.write(request_of_class("new", 3))
         assert b"id3" in await with_timeout(backend.received.get())
         for writer in backend.writers:
@@ -81,13 +81,13 @@
 ) -> None:
     async with (
         stub_backend(respond_ok) as other_backend,
-        reloadable_proxy_with_backend(config_path, stay_silent) as (running, backend),
+        reloadable_proxy_with_backend(config_path, stay_silent) as (proxy, backend),
     ):
-        client = await running.connect()
+        client = await proxy.connect()
         client.writer.write(make_request(1))
         await with_timeout(backend.received.get())
-        running.notify([endpoint_entry("b", other_backend.address)])
-        running.reload(Services=services)
+        proxy.notify([endpoint_entry("b", other_backend.address)])
+        proxy.reload(Services=services)
         if failure == "connection closed":
             backend.writers[0].close()
         else:
@@ -100,13 +100,13 @@
 async def test_request_that_did_not_run_is_retried_although_its_class_is_gone(config_path: Path) -> None:
     async with (
         stub_backend(respond_ok) as other_backend,
-        reloadable_proxy_with_backend(config_path, stay_silent) as (running, backend),
+        reloadable_proxy_with_backend(config_path, stay_silent) as (proxy, backend),
     ):
-        client = await running.connect()
+        client = await proxy.connect()
         client.writer.write(post_request(1))
         await with_timeout(backend.received.get())
-        running.notify([endpoint_entry("b", other_backend.address)])
-        running.reload(Services=[READ_CLASS])
+        proxy.notify([endpoint_entry("b", other_backend.address)])
+        proxy.reload(Services=[READ_CLASS])
         backend.writers[0].write(NOT_PROCESSED_RESPONSE)
         assert status_of(await client.response()) == 200
 
@@ -117,12 +117,12 @@
         return OK_RESPONSE[:-2]
 
     clock = ManualClock()
-    async with reloadable_proxy_with_backend(config_path, respond_in_part) as (running, backend):
-        client = await running.connect()
+    async with reloadable_proxy_with_backend(config_path, respond_in_part) as (proxy, backend):
+        client = await proxy.connect()
         client.writer.write(get_request(1))
-        active_requests = running.dispatcher.active_requests
+        active_requests = proxy.dispatcher.active_requests
         await clock.wait_until(lambda: any(map(is_receiving_response, active_requests.values())))
-        running.reload(Services=[READ_CLASS | NON_IDEMPOTENT])
+        proxy.reload(Services=[READ_CLASS | NON_IDEMPOTENT])
         await clock.advance(1.0)
         backend.writers[0].write(OK_RESPONSE[-2:])
         assert status_of(await client.response()) == 200
@@ -130,12 +130,12 @@
 
 @in_event_loop
 async def test_queued_request_is_classified_when_it_is_taken_up(config_path: Path) -> None:
-    async with reloadable_proxy_with_backend(config_path, stay_silent) as (running, backend):
-        client = await running.connect()
+    async with reloadable_proxy_with_backend(config_path, stay_silent) as (proxy, backend):
+        client = await proxy.connect()
         queued = request_of_class("book", 2) + request_of_class("book", 3, "POST")
         client.writer.write(post_request(1) + queued)
         await with_timeout(backend.received.get())
-        running.reload(Services=[READ_CLASS, BOOK_CLASS | IDEMPOTENT])
+        proxy.reload(Services=[READ_CLASS, BOOK_CLASS | IDEMPOTENT])
         backend.script = respond_ok
         backend.writers[0].write(OK_RESPONSE)
         assert [status_of(await client.response()) for _ in range(3)] == [200, 200, 400]
@@ -144,16 +144,16 @@
 @in_event_loop
 async def test_active_request_is_answered_although_its_tenant_moves_and_goes(config_path: Path) -> None:
     new_tenant = {"Name": "new", "AllowancePerS": 9.0}
-    async with reloadable_proxy_with_backend(config_path, stay_silent) as (running, backend):
-        client, other = await running.connect(), await running.connect()
+    async with reloadable_proxy_with_backend(config_path, stay_silent) as (proxy, backend):
+        client, other = await proxy.connect(), await proxy.connect()
         client.writer.write(get_request(1))
         await with_timeout(backend.received.get())
-        running.reload(Orgs=[new_tenant, {"Name": "acme", "AllowancePerS": 5.0}])
+        proxy.reload(Orgs=[new_tenant, {"Name": "acme", "AllowancePerS": 5.0}])
         backend.script = respond_ok
         assert status_of(await other.request(get_request(2, X_Tenant_Id="new"))) == 200
         assert status_of(await other.request(get_request(3))) == 200
-        assert [int(tokens) for tokens in running.balancer.tenant_quotas.tokens] == [45, 0]
-        running.reload(Orgs=[new_tenant])
+        assert [int(tokens) for tokens in proxy.balancer.tenant_quotas.tokens] == [45, 0]
+        proxy.reload(Orgs=[new_tenant])
         assert status_of(await other.request(get_request(4))) == 400
         backend.writers[0].write(OK_RESPONSE)
         assert status_of(await client.response()) == 200
@@ -165,15 +165,15 @@
 ) -> None:
     async with (
         stub_backend(respond_ok) as other_backend,
-        reloadable_proxy_with_backend(config_path, respond_ok) as (running, backend),
+        reloadable_proxy_with_backend(config_path, respond_ok) as (proxy, backend),
     ):
-        client = await running.connect()
+        client = await proxy.connect()
         gate = ConnectGate(monkeypatch)
         client.writer.write(post_request(1))
         await wait_until(lambda: gate.held == 1)
         in_other_zone = endpoint_entry("b", other_backend.address) | {"zone": "there"}
-        running.notify([in_other_zone])
-        running.reload(Services=[READ_CLASS, BOOK_CLASS | {"AllowedIn": [1]}])
+        proxy.notify([in_other_zone])
+        proxy.reload(Services=[READ_CLASS, BOOK_CLASS | {"AllowedIn": [1]}])
         gate.release()
         assert status_of(await client.response()) == 200
         assert b"id1" in await with_timeout(other_backend.received.get())
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -85,17 +85,17 @@
 @in_event_loop
 async def test_request_that_is_complete_late_in_a_shutdown_is_answered_before_sigkill() -> None:
     async with stub_backend(stay_silent) as backend:
-        running = await start_proxy([endpoint_entry("a", backend.address)])
-        client = await running.connect()
+        proxy = await start_proxy([endpoint_entry("a", backend.address)])
+        client = await proxy.connect()
         client.writer.write(post_request()[:-2])
-        await running.clock.wait_until(lambda: bool(running.listener.connections.reading))
-        await running.begin_shutdown()
-        await running.advance_to(1.5)
+        await proxy.clock.wait_until(lambda: bool(proxy.listener.connections.reading))
+        await proxy.begin_shutdown()
+        await proxy.advance_to(1.5)
         client.writer.write(post_request()[-2:])
-        await running.clock.wait_until(lambda: backend.received.qsize() == 1)
-        await running.advance_to(KILL_DELAY)
-        assert status_of(await running.response(client)) == 504
-        await running.finish_shutdown()
+        await proxy.clock.wait_until(lambda: backend.received.qsize() == 1)
+        await proxy.advance_to(KILL_DELAY)
+        assert status_of(await proxy.response(client)) == 504
+        await proxy.finish_shutdown()
 
 
 @pytest.mark.parametrize("state", ["connecting", "sent", "response begun", "partly read", "another queued"])
@@ -107,33 +107,33 @@
         return OK_RESPONSE[:-2] if state == "response begun" else None
 
     async with stub_backend(script) as backend:
-        running = await start_proxy([endpoint_entry("a", backend.address)])
-        clock = running.clock
-        client, idle_client = await running.connect(), await running.connect()
+        proxy = await start_proxy([endpoint_entry("a", backend.address)])
+        clock = proxy.clock
+        client, idle_client = await proxy.connect(), await proxy.connect()
         gate = ConnectGate(monkeypatch, unheld=0 if state == "connecting" else UNLIMITED)
         request = post_request(1)
         if state == "partly read":
             client.writer.write(request[:-2])
-            await clock.wait_until(lambda: bool(running.listener.connections.reading))
+            await clock.wait_until(lambda: bool(proxy.listener.connections.reading))
         elif state == "connecting":
             client.writer.write(request)
-            await clock.wait_until(lambda: bool(running.dispatcher.active_requests))
+            await clock.wait_until(lambda: bool(proxy.dispatcher.active_requests))
         else:
             client.writer.write(request + (get_request(2) if state == "another queued" else b""))
             await clock.wait_until(lambda: backend.received.qsize() == 1)
 
-        await running.begin_shutdown()
-        await running.advance_to(ACCEPT_TIME)
+        await proxy.begin_shutdown()
+        await proxy.advance_to(ACCEPT_TIME)
         # Nothing can come on an idle connection any more.
         assert await clock.wait_for(idle_client.reader.read()) == b""
-        assert not running.has_ended()
+        assert not proxy.has_ended()
 
         gate.release()
         if state == "partly read":
             client.writer.write(request[-2:])
         await clock.wait_until(lambda: backend.received.qsize() == 1)
         backend.writers[0].write(OK_RESPONSE[-2:] if state == "response begun" else OK_RESPONSE)
-        response = await running.response(client)
+        response = await proxy.response(client)
         if state == "another queued":  # the queued one is due a response too
             assert status_of(response) == 200
             assert b"Connection: close\r\n" not in response
@@ -142,9 +142,9 @@
             await clock.advance(CLOCK_STEP)  # the connection to the backend may be used again
             await clock.wait_until(lambda: backend.received.qsize() == 2)
             backend.writers[0].write(OK_RESPONSE)
-            response = await running.response(client)
+            response = await proxy.response(client)
         assert status_of(response) == 200
         assert b"Connection: close\r\n" in response
-        await running.finish_shutdown()
-        assert not running.dispatcher.active_requests
+        await proxy.finish_shutdown()
+        assert not proxy.dispatcher.active_requests
         assert backend.received.qsize() == (2 if state == "another queued" else 1)
