--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -214,7 +214,7 @@
 
     def _answer(self, now: float, request: RequestState) -> list[Action]:
         """Give the final answer: rejected where it may be repeated without harm, else failed."""
-        # Admission goes by failures from load alone, not by spoilt answers or an endpoint's own faults:
+        # Admission goes by failures from load alone, not by malformed answers or an endpoint's own faults:
         # rejecting work does not cure them. It can do harm: an overloaded tier that fails fast, as proxies
         # that reject make it, shows in the requests pending alone.
         if any(attempt.overloaded for attempt in request.attempts):
--- a/balancer/simulator/__main__.py
+++ b/balancer/simulator/__main__.py
@@ -105,7 +105,7 @@
     try:
         return serve(sys.stdin.buffer, sys.stdout.buffer, sys.stderr)
     except BrokenPipeError:
-        # The reader is gone: nothing is owed to it, and the flush at exit must not complain either.
+        # The reader has gone. The flush at exit must not complain of that either.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
 
--- a/emulator/__init__.py
+++ b/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in fleet on one machine: discovery, hollow proxies, and runs that measure what the size costs."""
+"""A simulated fleet on one machine: discovery, proxies, and runs that measure what the size costs."""
--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -269,6 +269,10 @@
                 if attempt.connection is None:
                     attempt.finish(Outcome.NOT_SENT)
 
+    def limit_deadlines(self, answer_by: float) -> None:
+        """Answer all requests that are taken up from now on by this time of the event loop."""
+        self.answer_by = answer_by
+
     # ---- new settings --------------------------------------------------------------------------
 
     def narrow_classes(self, request_classes: Iterable[RequestClass]) -> None:
--- a/proxy/downstream/listener.py
+++ b/proxy/downstream/listener.py
@@ -62,6 +62,19 @@
         self._socket: socket.socket | None = None
         self._loop = asyncio.get_running_loop()
 
+    def apply_config(self, config: Config, version: str) -> None:
+        """Put a configuration in force: requests that come from now on are classified by it."""
+        self.config = config
+        self.version = version
+
+    def mark_ready(self) -> None:
+        """Report the endpoint list as loaded: from now on the health check may succeed."""
+        self.ready = True
+
+    def begin_draining(self) -> None:
+        """Fail the health check from now on; what still comes is served."""
+        self.serving = False
+
     def healthy(self) -> bool:
         """Return whether clients should send requests here."""
         return self.ready and self.serving
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -104,5 +104,5 @@
         self.dispatcher.on_endpoints_updated(kind, [discovered.endpoint for discovered in endpoints])
 
     def _mark_loaded(self) -> None:
-        self.listener.ready = True
+        self.listener.mark_ready()
         self.endpoints_loaded.set()
--- a/proxy/reload.py
+++ b/proxy/reload.py
@@ -89,18 +89,19 @@
         ]
         only_moved = replace(in_force, discovery=proposed.discovery)
         config = replace(proposed, **identity)
+        version = self._listener.version
         if config != only_moved and self._is_shutting_down():
             # The shutdown goes by the settings that it began with; the endpoint list still counts.
-            lines.append(f"the process is ending: version {self._listener.version} stays")
+            lines.append(f"the process is ending: version {version} stays")
             config = only_moved
         elif config != only_moved:
             self._apply_settings(config)
             self._config_count += 1
-            self._listener.version = config.version(self._config_count)
-            lines.append(f"version {self._listener.version} is in force")
+            version = config.version(self._config_count)
+            lines.append(f"version {version} is in force")
         if config.discovery != in_force.discovery:
             lines.append(f"discovery is at {config.discovery}")
-        self._listener.config = config
+        self._listener.apply_config(config, version)
         self._discovery.move(config.discovery)
         return lines
 
--- a/proxy/shutdown.py
+++ b/proxy/shutdown.py
@@ -39,7 +39,7 @@
         """Shut down, and return once no client's connection is left."""
         loop = asyncio.get_running_loop()
         self._has_begun = True
-        self._listener.serving = False
+        self._listener.begin_draining()
         began_at = loop.time()
         await self._accept_late_connections(began_at)
         await self._listener.stop_listening(listening_socket)
@@ -47,7 +47,7 @@
         # A request may become complete only from here on. SIGKILL may come before its own time is up.
         longest_deadline = max(row.deadline for row in self._listener.config.settings.classes)
         killed_at = began_at + min(longest_deadline, MAX_DEADLINE) + KILL_DELAY
-        self._dispatcher.answer_by = killed_at - KILL_MARGIN
+        self._dispatcher.limit_deadlines(killed_at - KILL_MARGIN)
         self._listener.stop_keepalive()
         while self._listener.connections.open:
             await asyncio.sleep(CONNECTION_POLL_INTERVAL)
