--- a/emulator/runs/hollow.py
+++ b/emulator/runs/hollow.py
@@ -42,7 +42,7 @@
 POLL_INTERVAL = 0.05  # seconds between two checks
 REAL, SIMULATED = "real", "hollow"  # the two groups' endpoints
 NOTE = (
-    "a hollow proxy has no connections of callers and backends, so it does not sweep them, keeps no "
+    "a hollow (simulated) proxy has no connections of clients and backends: it does not sweep them, keeps no "
     "addresses of backends, and shares its interpreter's memory with the others of its process"
 )
 
@@ -172,7 +172,7 @@
 
 
 def run(options: RunOptions) -> RunResult:
-    """Changes of one row, whole lists and empty lines at both groups; writes hollow.json."""
+    """Changes of one row, snapshots and keepalive lines at both groups; writes hollow.json."""
     started = time.monotonic()
     with running_comparison(options.seed) as comparison:
         report_progress("hollow", f"{PROXIES} real and {PROXIES} hollow proxies watch")
--- a/emulator/runs/settings_reload.py
+++ b/emulator/runs/settings_reload.py
@@ -56,9 +56,9 @@
 BACKEND_MARGIN = 60.0  # seconds that the backend lives beyond the series of changes
 NOTE = (
     "an age runs from before the first file of a change is written until a proxy's health check names "
-    "it; a reload is one SIGHUP with other settings, reading the file and its known list included; a "
-    "reread one with the same settings; their difference is the swap; what a proxy spends idle is taken "
-    "off"
+    "it; a reload is one SIGHUP with other settings, reading the file and its cached list included; a "
+    "reread one with the same settings; their difference is the swap; what a proxy spends idle is left "
+    "out"
 )
 
 
--- a/emulator/runs/slopes_proxy.py
+++ b/emulator/runs/slopes_proxy.py
@@ -82,14 +82,14 @@
     def wait_until_applied(self) -> None:
         """Wait until the proxies have applied every change; RuntimeError where that takes too long."""
         if not self._host.call("wait_until_applied", self._latest, APPLY_TIMEOUT):
-            raise RuntimeError(f"a change was not taken in within {APPLY_TIMEOUT:g} s")
+            raise RuntimeError(f"a change was not applied within {APPLY_TIMEOUT:g} s")
 
     def send_snapshot(self) -> None:
         """Send the proxies a complete list and wait for it; RuntimeError where that takes too long."""
         self._snapshots += 1
         self._registry.call("reset_connections", [ENDPOINT], True)
         if not self._host.call("wait_for_snapshots", self._snapshots, APPLY_TIMEOUT):
-            raise RuntimeError(f"a whole list was not taken in within {APPLY_TIMEOUT:g} s")
+            raise RuntimeError(f"a snapshot was not applied within {APPLY_TIMEOUT:g} s")
 
     def set_call_rate(self, rate: float) -> None:
         """Feed each proxy calls at a rate a second from now on."""
