--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -23,7 +23,7 @@
     SetTimer,
     StartAttempt,
 )
-from balancer.settings import RequestClass
+from balancer.settings import RequestClass, Settings
 from proxy.active_request import ActiveRequest
 from proxy.clock import EpochClock
 from proxy.downstream.classification import ClassifiedRequest
@@ -275,8 +275,17 @@
 
     # ---- new settings --------------------------------------------------------------------------
 
-    def narrow_classes(self, request_classes: Iterable[RequestClass]) -> None:
-        """Allow the active requests only what both their own class and the one of new settings allow."""
+    def reconfigure(self, settings: Settings, request_classes: Iterable[RequestClass]) -> None:
+        """Put settings in force in the decisions, and allow the active requests only what both allow.
+
+        Args:
+            settings: The settings, with the decisions' numbers of zones and machine types.
+            request_classes: The classes as the configuration states them.
+
+        Raises:
+            InvalidValueError: The decisions can not go on with these settings; nothing has changed.
+        """
+        self.perform(self._balancer.reconfigure(self._clock.now(), settings))
         by_name = {request_class.name: request_class for request_class in request_classes}
         for active in self.active_requests.values():
             active.narrow_class(by_name.get(active.request_class.name, active.request_class))
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -66,8 +66,6 @@
         self.listener = Listener(config, max_clients, self.dispatcher.on_request)
         self.shutdown = GracefulShutdown(self.listener, self.dispatcher)
         self.reloader = ConfigReloader(
-            self.balancer,
-            self.clock,
             self.reader,
             self.listener,
             self.dispatcher,
--- a/proxy/reload.py
+++ b/proxy/reload.py
@@ -9,8 +9,6 @@
 from collections.abc import Callable, Mapping
 from dataclasses import replace
 
-from balancer.balancer import Balancer
-from proxy.clock import EpochClock
 from proxy.config import Config, ConfigError, load
 from proxy.discovery.endpoint_reader import EndpointReader
 from proxy.discovery.watch import DiscoveryClient
@@ -36,8 +34,6 @@
 
     def __init__(
         self,
-        balancer: Balancer,
-        clock: EpochClock,
         reader: EndpointReader,
         listener: Listener,
         dispatcher: Dispatcher,
@@ -46,8 +42,6 @@
         discovery: DiscoveryClient,
         is_shutting_down: Callable[[], bool],
     ) -> None:
-        self._balancer = balancer
-        self._clock = clock
         self._reader = reader
         self._listener = listener
         self._dispatcher = dispatcher
@@ -107,13 +101,10 @@
 
     def _apply_settings(self, config: Config) -> None:
         """Put settings in force; ConfigError, with nothing changed, where they need a restart."""
-        now = self._clock.now()
         try:
-            actions = self._balancer.reconfigure(now, self._reader.settings_of(config))
+            self._dispatcher.reconfigure(self._reader.settings_of(config), config.settings.classes)
         except ValueError as fault:
             raise ConfigError(str(fault)) from fault
-        self._dispatcher.perform(actions)
-        self._dispatcher.narrow_classes(config.settings.classes)
         self._pool.reconfigure(config.backend_idle_timeout, config.dial_timeout)
         self._endpoint_table.update_idle_quota(config.settings.fleet_size)
         self._dispatcher.end_misplaced_attempts()
