--- a/emulator/cli.py
+++ b/emulator/cli.py
@@ -81,7 +81,7 @@
     @click.command(name, help=(run.__doc__ or name).partition("\n")[0])
     @run_options
     def command(seed: int, out: Path, quick: bool, program: Path = ROOT) -> None:
-        """Do the run; exits 1 where a budget that is said to be held is over."""
+        """Do the run; exits 1 where an enforced budget is violated."""
         result = _run_within_limit(run, RunOptions(seed, out, quick, program))
         report_progress(name, f"result in {result.path}")
         sys.exit(_report_verdict(result.figures))
@@ -125,7 +125,7 @@
 @cli.command("all", help="All runs that feed the budgets, one after the other.")
 @run_options
 def all_command(seed: int, out: Path, quick: bool) -> None:
-    """Do every run; exits 1 where a budget that is said to be held is over."""
+    """Do every run; exits 1 where an enforced budget is violated."""
     options = RunOptions(seed, out, quick)
     figures: dict[str, float] = {}
     for name, run in RUNS.items():
--- a/emulator/control_cost.py
+++ b/emulator/control_cost.py
@@ -1,4 +1,4 @@
-"""What control costs a simulated proxy beside a real one, for one kind of event.
+"""What control costs a proxy, and a simulated one beside a real one for one kind of event.
 
 It owns the arithmetic and the form of the comparison in a result; the events happen in `runs.hollow`.
 """
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProxyCost:
-    """What one event costs one proxy.
+    """What one event, or one second, costs one proxy.
 
     Attributes:
         processor: Processor time in seconds.
@@ -93,9 +93,9 @@
     processor: float
     sent_bytes: int
 
-    def cost_since(self, before: GroupReading, events: int, proxies: int) -> ProxyCost:
-        """Return the cost of one event for one proxy since an earlier reading."""
+    def cost_since(self, before: GroupReading, divisor: float, proxies: int) -> ProxyCost:
+        """Return the cost of one of `divisor` events or seconds for one proxy, since an earlier reading."""
         return ProxyCost(
-            (self.processor - before.processor) / events / proxies,
-            (self.sent_bytes - before.sent_bytes) / events / proxies,
+            (self.processor - before.processor) / divisor / proxies,
+            (self.sent_bytes - before.sent_bytes) / divisor / proxies,
         )
--- a/emulator/real_proxies.py
+++ b/emulator/real_proxies.py
@@ -12,8 +12,9 @@
 from tempfile import TemporaryDirectory
 
 from emulator.fleet_settings import proxy_settings
-from emulator.processes import inherited_environment, python_command
+from emulator.processes import inherited_environment
 from emulator.proxy_config import ProxyConfig
+from emulator.proxy_program import ProxyProgram
 from emulator.result import ROOT
 from emulator.topology import Topology
 
@@ -23,13 +24,14 @@
 @contextmanager
 def real_proxies(topology: Topology, ports: list[int], discovery_port: int) -> Iterator[list[int]]:
     """Run one real proxy for each port; yields their process ids, and kills them after the block."""
+    program = ProxyProgram.of_tree(ROOT)
     running: list[subprocess.Popen[bytes]] = []
     with TemporaryDirectory() as folder:
         try:
             for position, port in enumerate(ports):
                 file = Path(folder) / f"{position}.json"
                 _config(topology, position, port, discovery_port).write(file)
-                running.append(_start(file))
+                running.append(_start(program, file))
             yield [process.pid for process in running]
         finally:
             for process in running:
@@ -49,10 +51,10 @@
     )
 
 
-def _start(configuration: Path) -> subprocess.Popen[bytes]:
+def _start(program: ProxyProgram, configuration: Path) -> subprocess.Popen[bytes]:
     return subprocess.Popen(
-        python_command("-m", "proxy"),
-        cwd=ROOT,
+        program.command,
+        cwd=program.root,
         env=inherited_environment() | {"RELAY_CONFIG": str(configuration)},
         stdin=subprocess.DEVNULL,
         stdout=subprocess.DEVNULL,
--- a/emulator/runs/slopes_proxy.py
+++ b/emulator/runs/slopes_proxy.py
@@ -6,13 +6,13 @@
 from __future__ import annotations
 
 import time
-from dataclasses import dataclass
 from types import TracebackType
 
 import numpy as np
 
 from emulator import topology
 from emulator.child import ChildProcess
+from emulator.control_cost import GroupReading
 from emulator.meter import MB, Usage
 from emulator.registry import Registry
 from emulator.runs.common import RunOptions
@@ -33,29 +33,6 @@
 ENDPOINT = "all"
 
 
-@dataclass(slots=True, frozen=True)
-class WatchReading:
-    """What a few proxies have spent so far: processor time in seconds, and bytes sent to them."""
-
-    processor: float
-    sent_bytes: int
-
-    def per_proxy(self, before: WatchReading, proxies: int, divisor: float) -> WatchCost:
-        """Return what a proxy has spent since an earlier reading, for each of `divisor` events or seconds."""
-        return WatchCost(
-            (self.processor - before.processor) / divisor / proxies,
-            (self.sent_bytes - before.sent_bytes) / divisor / proxies,
-        )
-
-
-@dataclass(slots=True, frozen=True)
-class WatchCost:
-    """A proxy's processor time in seconds and bytes, for an event or a second."""
-
-    processor: float
-    sent_bytes: float
-
-
 class WatchBench:
     """A control machine and a process of simulated proxies that watch it; both end with the block."""
 
@@ -100,10 +77,10 @@
         usage: Usage = self._host.call("usage")
         return usage
 
-    def reading(self) -> WatchReading:
+    def reading(self) -> GroupReading:
         """Read what the proxies have spent so far."""
         processor = self.host_usage().processor
-        return WatchReading(processor, self._registry.call("endpoint_traffic", ENDPOINT).sent_bytes)
+        return GroupReading(processor, self._registry.call("endpoint_traffic", ENDPOINT).sent_bytes)
 
     def __enter__(self) -> WatchBench:
         return self
@@ -134,8 +111,8 @@
         for _ in range(snapshots):
             bench.send_snapshot()
         after = bench.reading()
-        change = between.per_proxy(before, PROXIES, changes)
-        snapshot = after.per_proxy(between, PROXIES, snapshots)
+        change = between.cost_since(before, changes, PROXIES)
+        snapshot = after.cost_since(between, snapshots, PROXIES)
         return {
             "rows": backends,
             "change": change.processor,
@@ -166,7 +143,7 @@
     else:
         time.sleep(seconds)  # heartbeats alone
     after, elapsed = bench.reading(), time.monotonic() - started
-    cost = after.per_proxy(before, bench.proxies, elapsed)
+    cost = after.cost_since(before, elapsed, bench.proxies)
     return {
         "changes": changes
         / elapsed,  # the rate that was reached, not the one wanted: settling takes time too
@@ -194,6 +171,6 @@
     after, elapsed = bench.reading(), time.monotonic() - started
     return {
         "calls": rate,
-        "processor": after.per_proxy(before, bench.proxies, elapsed).processor,
+        "processor": after.cost_since(before, elapsed, bench.proxies).processor,
         "memory_mb": bench.host_usage().memory / MB,
     }
