--- a/proxy/downstream/listener.py
+++ b/proxy/downstream/listener.py
@@ -17,8 +17,8 @@
 from proxy.downstream.connection import DownstreamConnection
 from proxy.downstream.eviction import ConnectionRegistry
 from proxy.downstream.request_parser import ClientRequest
+from proxy.http_common import READ_BUFFER_BYTES
 
-READ_BUFFER_BYTES = 64 << 10  # read in one go, into one buffer that all connections share
 BUFFERED_MEMORY_SHARE = 0.25  # of the memory limit, for incomplete bodies and requests that wait
 LISTEN_BACKLOG = 1024  # connections that may wait to be accepted
 MAX_ACCEPTS_PER_TURN = 8  # with no descriptor left the loop logs one error for each of them, every second
--- a/proxy/downstream/request_parser.py
+++ b/proxy/downstream/request_parser.py
@@ -12,11 +12,16 @@
 import httptools
 
 from proxy.downstream.errors import HttpError
-from proxy.http_common import HOP_BY_HOP_HEADERS, MAX_BODY_BYTES
+from proxy.http_common import (
+    HEADER_OVERHEAD_BYTES,
+    HOP_BY_HOP_HEADERS,
+    MAX_BODY_BYTES,
+    connection_options,
+    without_headers,
+)
 
 MAX_HEAD_BYTES = 16 << 10  # bytes of a request's head: what backends commonly read
 MAX_WIRE_BYTES = 8 * MAX_BODY_BYTES  # bytes of a request as sent: the smallest chunks take six times the body
-HEADER_OVERHEAD_BYTES = 4  # bytes of a header line beside name and value: `: ` and the line end
 SUPPORTED_VERSIONS = ("1.1", "1.0")
 
 #: Headers (in lower case) whose values the proxy reads itself.
@@ -170,7 +175,7 @@
         elif version == "1.1" and b"host" not in self._headers:
             self._fail(400, "no host")
         elif self._connection_options:
-            self._drop_headers({option.strip() for option in self._connection_options.split(b",")})
+            self._drop_headers(connection_options(self._connection_options))
 
     def _drop_headers(self, names: set[bytes]) -> None:
         """Drop the headers that `Connection` names: they end here, as hop-by-hop ones do.
@@ -179,9 +184,7 @@
         """
         if not names.isdisjoint(INTERPRETED_HEADERS):
             self._fail(400, "a header can't be dropped")
-        self._forwarded_headers = [
-            line for line in self._forwarded_headers if line.partition(b":")[0].lower() not in names
-        ]
+        self._forwarded_headers = without_headers(self._forwarded_headers, names)
 
     def on_body(self, body: bytes) -> None:
         """Parser callback: a piece of the body."""
--- a/proxy/upstream/response_parser.py
+++ b/proxy/upstream/response_parser.py
@@ -12,7 +12,13 @@
 import httptools
 
 from balancer.events import Outcome
-from proxy.http_common import HOP_BY_HOP_HEADERS
+from proxy.http_common import (
+    HEADER_OVERHEAD_BYTES,
+    HOP_BY_HOP_HEADERS,
+    READ_BUFFER_BYTES,
+    connection_options,
+    without_headers,
+)
 from proxy.upstream.memory_budget import MemoryBudget
 
 #: Bytes of one response's body: not all keep to the protocol's 64 KiB, 350 KB were seen.
@@ -21,7 +27,6 @@
 #: Bytes of a response's head, those of interim responses included: what HTTP clients commonly read.
 MAX_RESPONSE_HEAD_BYTES = 16 << 10
 
-READ_BUFFER_BYTES = 64 << 10  # bytes that are read and fed in one go
 MAX_INTERIM_RESPONSES = 16  # 1xx responses ahead of the final one
 
 
@@ -131,7 +136,7 @@
         """Parser callback: one header or trailer."""
         if self.state is not HEAD:  # trailers must not count as headers
             return
-        self._header_bytes += len(name) + len(value) + 4
+        self._header_bytes += len(name) + len(value) + HEADER_OVERHEAD_BYTES
         lower = name.lower()
         if lower == b"x-not-processed":
             self._not_processed = value == b"1"
@@ -162,10 +167,8 @@
             return
         self.state = BODY
         if self._connection_options:
-            named = {token.strip() for token in self._connection_options.split(b",")}
-            self._header_lines = [
-                line for line in self._header_lines if line.partition(b":")[0].lower() not in named
-            ]
+            named = connection_options(self._connection_options)
+            self._header_lines = without_headers(self._header_lines, named)
 
     def on_body(self, body: bytes) -> None:
         """Parser callback: a piece of the body."""
--- a/tests/pool_scenario.py
+++ b/tests/pool_scenario.py
@@ -71,6 +71,13 @@
         """Wait for an attempt to finish."""
         return await with_timeout(self.outcomes.get())
 
+    async def run_side_by_side(self, count: int) -> None:
+        """Start so many attempts at once, and wait until all of them have succeeded."""
+        for _ in range(count):
+            self.start()
+        for _ in range(count):
+            assert await self.next_outcome() is Outcome.SUCCESS
+
     async def run(self, request: bytes = b"", retryable: bool = True) -> Outcome:
         """Start an attempt and wait for one to finish."""
         self.start(request, retryable)
--- a/tests/test_upstream_connection_pool.py
+++ b/tests/test_upstream_connection_pool.py
@@ -94,10 +94,7 @@
 async def test_most_recently_used_connection_is_reused_and_old_ones_are_closed() -> None:
     async with stub_backend(respond_ok) as backend:
         scenario = PoolScenario(backend)
-        for _ in range(2):
-            scenario.start()
-        for _ in range(2):
-            assert await scenario.next_outcome() is Outcome.SUCCESS
+        await scenario.run_side_by_side(2)
         [older, newer] = scenario.backend.idle_connections
         for connection in (older, newer):
             connection.idle_since -= connection_pool.REST_AFTER_RESPONSE
@@ -163,10 +160,7 @@
 async def test_full_idle_quota_closes_the_oldest_connection_for_one_that_just_answered() -> None:
     async with stub_backend(respond_ok) as backend:
         scenario = PoolScenario(backend)
-        for _ in range(2):
-            scenario.start()
-        for _ in range(2):
-            assert await scenario.next_outcome() is Outcome.SUCCESS
+        await scenario.run_side_by_side(2)
         for connection in scenario.backend.idle_connections:
             connection.idle_since -= MAX_WAIT
         for _ in range(3):  # the first finds none that is recent enough, the others find its connection
