--- a/tests/test_admission_control.py
+++ b/tests/balancer/test_admission_control.py
@@ -6,7 +6,11 @@
 from random import Random
 
 import pytest
-from decision_helpers import (
+
+from balancer.endpoints import Endpoint, UpdateKind
+from balancer.events import Outcome, Reject, StartAttempt
+from balancer.settings import Idempotency, Limits, RequestClass, Settings
+from tests.support.decision_helpers import (
     ENDPOINTS,
     IDEMPOTENT,
     NON_IDEMPOTENT,
@@ -15,11 +19,7 @@
     send_steadily,
     serve_with_failures,
 )
-from rules_checker import RulesChecker
-
-from balancer.endpoints import Endpoint, UpdateKind
-from balancer.events import Outcome, Reject, StartAttempt
-from balancer.settings import Idempotency, Limits, RequestClass, Settings
+from tests.support.rules_checker import RulesChecker
 
 PATIENT_CLASSES = tuple(replace(row, latency_objective=4.0) for row in (IDEMPOTENT, NON_IDEMPOTENT))
 
--- a/tests/test_client_timeouts.py
+++ b/tests/balancer/test_client_timeouts.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 import pytest
-from decision_helpers import IDEMPOTENT, NON_IDEMPOTENT, make_balancer
 
 from balancer.balancer import Balancer
 from balancer.events import Fail, Outcome, Reject, StartAttempt
 from balancer.settings import Idempotency, Limits, RequestClass, Settings
+from tests.support.decision_helpers import IDEMPOTENT, NON_IDEMPOTENT, make_balancer
 
 
 def test_attempts_end_at_the_latency_objective_where_late_answers_have_no_weight() -> None:
--- a/tests/test_endpoint_selection.py
+++ b/tests/balancer/test_endpoint_selection.py
@@ -5,11 +5,11 @@
 from collections import Counter
 
 import pytest
-from decision_helpers import IDEMPOTENT, make_balancer
 
 from balancer.endpoints import Endpoint
 from balancer.events import Outcome, StartAttempt
 from balancer.settings import Limits, Settings
+from tests.support.decision_helpers import IDEMPOTENT, make_balancer
 
 
 def test_all_other_endpoints_stand_in_for_a_dead_subset() -> None:
--- a/tests/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-from decision_helpers import IDEMPOTENT, make_balancer, serve_sequentially
-
 from balancer.balancer import Balancer
 from balancer.events import CancelAttempt, Outcome, SetTimer, StartAttempt
 from balancer.settings import Idempotency, Limits, RequestClass, Settings
+from tests.support.decision_helpers import IDEMPOTENT, make_balancer, serve_sequentially
 
 
 def hedging_balancer(request_class: RequestClass = IDEMPOTENT, hedging: bool = True) -> Balancer:
--- a/tests/test_policy_limits.py
+++ b/tests/balancer/test_policy_limits.py
@@ -2,13 +2,13 @@
 
 import re
 import tomllib
-from pathlib import Path
 
 import pytest
 
+from tests.support.paths import PROJECT_ROOT
+
 MAX_FILLED_LINES = 300  # lines that are not blank, of one module
 MAX_LINE_LENGTH = 110  # characters
-PROJECT_ROOT = Path(__file__).parent.parent
 POLICY = tomllib.loads((PROJECT_ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 #: The modules that decide, in the order of the deploy file: the way of a request, then what it needs.
 DECIDING = [
--- a/tests/test_reconfigure.py
+++ b/tests/balancer/test_reconfigure.py
@@ -6,20 +6,8 @@
 from typing import Any, NamedTuple
 
 import pytest
-from decision_helpers import hedge_due
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from random_events import (
-    CLASSES,
-    RULES,
-    STEPS,
-    WITH_RETRY_BUDGET,
-    Step,
-    play_step,
-    random_settings,
-    spread_endpoints,
-)
-from rules_checker import RulesChecker
 
 from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
@@ -33,6 +21,18 @@
     Settings,
     Tenant,
 )
+from tests.support.decision_helpers import hedge_due
+from tests.support.random_events import (
+    CLASSES,
+    RULES,
+    STEPS,
+    WITH_RETRY_BUDGET,
+    Step,
+    play_step,
+    random_settings,
+    spread_endpoints,
+)
+from tests.support.rules_checker import RulesChecker
 
 IDEMPOTENT = RequestClass("idempotent", 1.0, 4.0, Idempotency.IDEMPOTENT)
 NON_IDEMPOTENT = RequestClass("non-idempotent", 1.0, 4.0, Idempotency.NON_IDEMPOTENT, priority_weight=5.0)
--- a/tests/test_retry_budget.py
+++ b/tests/balancer/test_retry_budget.py
@@ -5,14 +5,14 @@
 from dataclasses import replace
 
 import pytest
-from decision_helpers import IDEMPOTENT, hedge_due
-from random_events import CLASSES, RULES, WITH_RETRY_BUDGET, fail_attempts
-from rules_checker import RulesChecker
 
 from balancer.endpoints import Endpoint
 from balancer.events import StartAttempt
 from balancer.retry_budget import RetryBudget
 from balancer.settings import Limits, Rules, Settings
+from tests.support.decision_helpers import IDEMPOTENT, hedge_due
+from tests.support.random_events import CLASSES, RULES, WITH_RETRY_BUDGET, fail_attempts
+from tests.support.rules_checker import RulesChecker
 
 MANY_ENDPOINTS = [Endpoint(i) for i in range(40)]
 #: A lower tier admits whatever comes.
--- a/tests/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -7,7 +7,14 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from random_events import (
+
+from balancer.attempts import RequestState
+from balancer.balancer import Balancer
+from balancer.endpoint_pool import EndpointPool
+from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
+from balancer.events import StartAttempt
+from balancer.settings import Limits, Settings, Tenant
+from tests.support.random_events import (
     CLASSES,
     RULES,
     STEPS,
@@ -18,14 +25,7 @@
     random_settings,
     spread_endpoints,
 )
-from rules_checker import RulesChecker
-
-from balancer.attempts import RequestState
-from balancer.balancer import Balancer
-from balancer.endpoint_pool import EndpointPool
-from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
-from balancer.events import StartAttempt
-from balancer.settings import Limits, Settings, Tenant
+from tests.support.rules_checker import RulesChecker
 
 
 @settings(derandomize=True, max_examples=250, deadline=None, suppress_health_check=list(HealthCheck))
--- a/tests/test_simulator.py
+++ b/tests/balancer/test_simulator.py
@@ -6,7 +6,6 @@
 import os
 import subprocess
 import sys
-from pathlib import Path
 from typing import Any
 
 import pytest
@@ -16,8 +15,8 @@
 from balancer.settings import DiscoveryMode, Idempotency
 from balancer.settings_reader import read_settings
 from balancer.simulator.session import Session
+from tests.support.paths import PROJECT_ROOT
 
-ROOT = Path(__file__).parent.parent
 Message = dict[str, Any]
 
 SETTINGS: Message = {
@@ -60,7 +59,7 @@
         input=text,
         capture_output=True,
         text=True,
-        cwd=ROOT,
+        cwd=PROJECT_ROOT,
         env={**os.environ, **env},
         timeout=60,
         check=False,
@@ -200,7 +199,7 @@
 def test_a_reader_that_is_gone_ends_it_quietly() -> None:
     process = subprocess.Popen(
         [sys.executable, "-m", "balancer.simulator"],
-        cwd=ROOT,
+        cwd=PROJECT_ROOT,
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
--- a/tests/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -6,9 +6,6 @@
 from random import Random
 
 import pytest
-from decision_helpers import IDEMPOTENT, make_balancer
-from random_events import CLASSES, RULES
-from rules_checker import RulesChecker
 
 from balancer.balancer import Balancer
 from balancer.endpoint_state import EndpointState
@@ -16,6 +13,9 @@
 from balancer.events import Outcome, StartAttempt
 from balancer.settings import Rules, Settings
 from balancer.slow_start import SlowStart
+from tests.support.decision_helpers import IDEMPOTENT, make_balancer
+from tests.support.random_events import CLASSES, RULES
+from tests.support.rules_checker import RulesChecker
 
 
 def defer(balancer: Balancer, now: float, state: EndpointState) -> bool:
--- a/tests/test_slow_start_fleet.py
+++ b/tests/balancer/test_slow_start_fleet.py
@@ -3,10 +3,18 @@
 from __future__ import annotations
 
 import pytest
-from warming_fleet import EARLY_OVERLOAD, LATE_OVERLOAD, START_TIME, Case, Fleet, assert_holds, play
 
 from balancer.settings import Rules
 from balancer.slow_start import SlowStart
+from tests.support.warming_fleet import (
+    EARLY_OVERLOAD,
+    LATE_OVERLOAD,
+    START_TIME,
+    Case,
+    Fleet,
+    assert_holds,
+    play,
+)
 
 DELIVERIES = ["at once", "one after another", "some restart"]
 INSTANCES = pytest.mark.parametrize("instances", [20, 30, 200])
--- a/tests/test_subsetting.py
+++ b/tests/balancer/test_subsetting.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 import pytest
-from decision_helpers import IDEMPOTENT, send_steadily
-from rules_checker import RulesChecker
 
 from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, UpdateKind
 from balancer.settings import Settings
+from tests.support.decision_helpers import IDEMPOTENT, send_steadily
+from tests.support.rules_checker import RulesChecker
 
 
 def subset_shares(fleet_size: int, endpoint_count: int) -> list[float]:
--- a/tests/test_tenant_quota.py
+++ b/tests/balancer/test_tenant_quota.py
@@ -5,11 +5,11 @@
 from dataclasses import replace
 
 import pytest
-from decision_helpers import IDEMPOTENT, NON_IDEMPOTENT, make_balancer, serve_with_failures
 
 from balancer.balancer import Balancer
 from balancer.events import Outcome, Reject, StartAttempt
 from balancer.settings import Settings, Tenant
+from tests.support.decision_helpers import IDEMPOTENT, NON_IDEMPOTENT, make_balancer, serve_with_failures
 
 
 @pytest.mark.parametrize(("quota", "answer"), [(1.0, Reject), (1000.0, StartAttempt), (0.0, StartAttempt)])
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,9 +5,10 @@
 from collections.abc import Callable
 from pathlib import Path
 
-import known_red
 import pytest
 
+from tests.support import known_red
+
 KNOWN_RED = known_red.load()
 
 
--- /dev/null
+++ b/tests/emulator/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the emulator."""
--- a/tests/test_emulator_load_generator.py
+++ b/tests/emulator/test_load_generator.py
@@ -6,12 +6,12 @@
 import time
 
 import numpy as np
-from loopback import read_message, with_timeout
 
 from emulator.backend_stub import RESPONSE, listen
 from emulator.load_generator import LOST, OpenLoopGenerator
 from emulator.load_plan import LoadPlan, Stream, poisson_times, schedule_calls
 from emulator.loopback import HOST, free_ports, port_of
+from tests.support.loopback import read_message, with_timeout
 
 
 def test_arrivals_are_drawn_ahead_ascending_and_the_same_for_a_seed() -> None:
--- a/tests/test_emulator_registry.py
+++ b/tests/emulator/test_registry.py
@@ -7,12 +7,12 @@
 
 import orjson
 import pytest
-from emulator_fixtures import ENDPOINT, FLEET, NAMES, changed, running_registry
-from loopback import ManualClock, with_timeout
-from proxy_inputs import HOST
 
 from emulator.control_endpoint import HEARTBEAT_INTERVAL
 from emulator.watch_load import WatchLoad
+from tests.support.loopback import ManualClock, with_timeout
+from tests.support.proxy_inputs import HOST
+from tests.support.small_fleet import ENDPOINT, FLEET, NAMES, changed, running_registry
 
 
 class WatchClient:
--- a/tests/test_emulator_registry_state.py
+++ b/tests/emulator/test_registry_state.py
@@ -4,9 +4,9 @@
 
 import orjson
 import pytest
-from emulator_fixtures import FLEET, changed
 
 from emulator.registry_state import RegistryState
+from tests.support.small_fleet import FLEET, changed
 
 
 def test_the_log_bounds_what_can_be_resumed(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_emulator_simulated_host.py
+++ b/tests/emulator/test_simulated_host.py
@@ -5,11 +5,11 @@
 import asyncio
 
 import pytest
-from emulator_fixtures import BACKENDS, ENDPOINT, NAMES, SEED, SERVICES, changed, running_registry
-from loopback import ManualClock, wait_until, with_timeout
 
 from emulator.change_ages import Publication
 from emulator.simulated_host import ProxyPlacement, SimulatedHost
+from tests.support.loopback import ManualClock, wait_until, with_timeout
+from tests.support.small_fleet import BACKENDS, ENDPOINT, NAMES, SEED, SERVICES, changed, running_registry
 
 PARTITION_SECONDS = 4.0  # in which the watches notice
 
--- /dev/null
+++ b/tests/proxy/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the proxy on loopback sockets."""
--- /dev/null
+++ b/tests/proxy/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the endpoint list and of the watch that brings it."""
--- a/tests/test_proxy_endpoint_list.py
+++ b/tests/proxy/discovery/test_endpoint_list.py
@@ -4,7 +4,8 @@
 
 import time
 
-from loopback import (
+from proxy.proxy import Proxy
+from tests.support.loopback import (
     in_event_loop,
     proxy_with_backends,
     respond_ok,
@@ -14,7 +15,7 @@
     wait_until,
     with_timeout,
 )
-from proxy_inputs import (
+from tests.support.proxy_inputs import (
     HEALTH_REQUEST,
     HOST,
     endpoint_entry,
@@ -23,9 +24,7 @@
     proxy_config,
     status_of,
 )
-from proxy_internals import established_connections
-
-from proxy.proxy import Proxy
+from tests.support.proxy_internals import established_connections
 
 
 @in_event_loop
--- a/tests/test_discovery_deadline.py
+++ b/tests/proxy/discovery/test_notification_deadline.py
@@ -8,7 +8,13 @@
 from functools import partial
 
 import pytest
-from faulty_discovery import (
+
+from balancer.balancer import Balancer
+from balancer.endpoints import UpdateKind
+from balancer.events import Action, PollEndpoints, SetTimer
+from balancer.settings import DiscoveryMode, Rules, Settings
+from balancer.settings_reader import read_settings
+from tests.support.faulty_discovery import (
     FAULTS,
     IMMEDIATE_FAULTS,
     RESPONSE_HEAD,
@@ -22,14 +28,8 @@
     measure_delivery,
     updates,
 )
-from loopback import ManualClock, RunningProxy, free_port, in_event_loop, running_proxy
-from proxy_inputs import HOST, RAW_SETTINGS, endpoint_entry
-
-from balancer.balancer import Balancer
-from balancer.endpoints import UpdateKind
-from balancer.events import Action, PollEndpoints, SetTimer
-from balancer.settings import DiscoveryMode, Rules, Settings
-from balancer.settings_reader import read_settings
+from tests.support.loopback import ManualClock, RunningProxy, free_port, in_event_loop, running_proxy
+from tests.support.proxy_inputs import HOST, RAW_SETTINGS, endpoint_entry
 
 #: Seconds after discovery had a change, and could be reached, by which the change counts as delivered.
 DELIVERY_DEADLINE = 6.0
--- a/tests/test_discovery_watch.py
+++ b/tests/proxy/discovery/test_watch.py
@@ -9,8 +9,9 @@
 from typing import Any
 
 import pytest
-from faulty_discovery import faulty_discovery, updates
-from loopback import (
+
+from tests.support.faulty_discovery import faulty_discovery, updates
+from tests.support.loopback import (
     ManualClock,
     in_event_loop,
     running_proxy,
@@ -18,7 +19,7 @@
     wait_until,
     with_timeout,
 )
-from proxy_inputs import HOST, endpoint_entry
+from tests.support.proxy_inputs import HOST, endpoint_entry
 
 HEARTBEAT_INTERVAL = 2.0  # seconds between two empty lines, by the protocol
 DELIVERY_DEADLINE = 6.0  # seconds after a watch fell silent by which what it misses counts as delivered
--- /dev/null
+++ b/tests/proxy/downstream/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the clients' side of the proxy."""
--- a/tests/test_accept_failures.py
+++ b/tests/proxy/downstream/test_accept_failures.py
@@ -10,8 +10,10 @@
 from typing import Any
 
 import pytest
-from client_scenarios import RawClient
-from loopback import (
+
+from proxy.proxy import Proxy
+from tests.support.client_scenarios import RawClient
+from tests.support.loopback import (
     ManualClock,
     RunningProxy,
     in_event_loop,
@@ -19,9 +21,7 @@
     respond_ok,
     stub_backend,
 )
-from proxy_inputs import endpoint_entry, post_request, proxy_config
-
-from proxy.proxy import Proxy
+from tests.support.proxy_inputs import endpoint_entry, post_request, proxy_config
 
 RESOURCE_ERRORS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM]  # of the system or the process
 ACCEPT_ERRORS = [errno.ECONNABORTED, errno.EPROTO, *RESOURCE_ERRORS]  # and of one connection
--- a/tests/test_client_disconnect.py
+++ b/tests/proxy/downstream/test_client_disconnect.py
@@ -5,7 +5,8 @@
 import socket
 
 import pytest
-from client_scenarios import (
+
+from tests.support.client_scenarios import (
     CANCELLATION,
     TIERS,
     connect_slow_reader,
@@ -14,7 +15,7 @@
     has_no_requests,
     requests_received,
 )
-from loopback import (
+from tests.support.loopback import (
     CLOSE_CONNECTION,
     ConnectGate,
     ManualClock,
@@ -25,8 +26,8 @@
     wait_until,
     with_timeout,
 )
-from proxy_inputs import MAX_WAIT, OK_RESPONSE, get_request, post_request, status_of
-from proxy_internals import (
+from tests.support.proxy_inputs import MAX_WAIT, OK_RESPONSE, get_request, post_request, status_of
+from tests.support.proxy_internals import (
     close_idle_connections,
     dials_in_progress,
     discards_input,
--- a/tests/test_client_disconnect_races.py
+++ b/tests/proxy/downstream/test_client_disconnect_races.py
@@ -6,7 +6,8 @@
 from typing import Any
 
 import pytest
-from client_scenarios import (
+
+from tests.support.client_scenarios import (
     CANCELLATION,
     DISCONNECTIONS,
     TIERS,
@@ -15,7 +16,7 @@
     has_no_requests,
     requests_received,
 )
-from loopback import (
+from tests.support.loopback import (
     Client,
     ManualClock,
     RunningProxy,
@@ -26,7 +27,7 @@
     running_proxy,
     stub_backend,
 )
-from proxy_inputs import (
+from tests.support.proxy_inputs import (
     HOST,
     MAYBE_PROCESSED_RESPONSE,
     NOT_PROCESSED_RESPONSE,
@@ -36,7 +37,7 @@
     post_request,
     status_of,
 )
-from proxy_internals import all_idle_connections
+from tests.support.proxy_internals import all_idle_connections
 
 REUSABLE_AFTER = 0.02  # seconds after a response in which its connection can be reused without a wait
 LONG_LIST_LENGTH = 910  # entries
--- a/tests/test_descriptor_limits.py
+++ b/tests/proxy/downstream/test_descriptor_limits.py
@@ -11,8 +11,9 @@
 from pathlib import Path
 
 import pytest
-from config_files import raw_config
-from loopback import (
+
+from tests.support.config_files import raw_config
+from tests.support.loopback import (
     ManualClock,
     RunningProxy,
     StubDiscovery,
@@ -25,7 +26,8 @@
     wait_until,
     with_timeout,
 )
-from proxy_inputs import (
+from tests.support.paths import PROJECT_ROOT
+from tests.support.proxy_inputs import (
     HEALTH_REQUEST,
     HOST,
     MAX_WAIT,
@@ -34,9 +36,8 @@
     post_request,
     status_of,
 )
-from proxy_internals import max_connections
-from proxy_process import (
-    PROJECT_ROOT,
+from tests.support.proxy_internals import max_connections
+from tests.support.proxy_process import (
     environment_with_addresses,
     environment_without_proxy,
     wait_until_ready,
--- a/tests/test_downstream_limits.py
+++ b/tests/proxy/downstream/test_limits.py
@@ -3,10 +3,18 @@
 from __future__ import annotations
 
 import pytest
-from client_scenarios import CHUNKED_REQUEST
-from loopback import in_event_loop, proxy_with_backends, respond_ok, stay_silent, wait_until, with_timeout
-from proxy_inputs import MAX_WAIT, OK_RESPONSE, post_request, status_of
-from proxy_internals import discards_input
+
+from tests.support.client_scenarios import CHUNKED_REQUEST
+from tests.support.loopback import (
+    in_event_loop,
+    proxy_with_backends,
+    respond_ok,
+    stay_silent,
+    wait_until,
+    with_timeout,
+)
+from tests.support.proxy_inputs import MAX_WAIT, OK_RESPONSE, post_request, status_of
+from tests.support.proxy_internals import discards_input
 
 MEMORY_LIMIT = 400 << 10  # bytes, of which incomplete and pipelined requests may take 100 KiB
 FOUR_CLIENTS = 48 + 8  # descriptors: 48 are reserved, clients may use half of the others
--- a/tests/test_downstream_requests.py
+++ b/tests/proxy/downstream/test_requests.py
@@ -5,10 +5,18 @@
 import asyncio
 
 import pytest
-from client_scenarios import CHUNKED_REQUEST, connect_slow_reader
-from loopback import in_event_loop, proxy_with_backends, respond_ok, stay_silent, wait_until, with_timeout
-from proxy_inputs import OK_RESPONSE, get_request, post_request, status_of
-from proxy_internals import has_paused_writing, unwritten_bytes
+
+from tests.support.client_scenarios import CHUNKED_REQUEST, connect_slow_reader
+from tests.support.loopback import (
+    in_event_loop,
+    proxy_with_backends,
+    respond_ok,
+    stay_silent,
+    wait_until,
+    with_timeout,
+)
+from tests.support.proxy_inputs import OK_RESPONSE, get_request, post_request, status_of
+from tests.support.proxy_internals import has_paused_writing, unwritten_bytes
 
 
 @pytest.mark.parametrize(
--- a/tests/test_unread_responses.py
+++ b/tests/proxy/downstream/test_unread_responses.py
@@ -6,13 +6,20 @@
 import socket
 
 import pytest
-from client_scenarios import connect_slow_reader
-from loopback import ManualClock, RunningProxy, in_event_loop, proxy_with_backends, wait_until, with_timeout
-from proxy_inputs import OK_RESPONSE, get_request, post_request
-from proxy_internals import unwritten_bytes
 
 from proxy.downstream.connection import DownstreamConnection
 from proxy.downstream.eviction import CLOSING_TIMEOUT, IDLE_TIMEOUT
+from tests.support.client_scenarios import connect_slow_reader
+from tests.support.loopback import (
+    ManualClock,
+    RunningProxy,
+    in_event_loop,
+    proxy_with_backends,
+    wait_until,
+    with_timeout,
+)
+from tests.support.proxy_inputs import OK_RESPONSE, get_request, post_request
+from tests.support.proxy_internals import unwritten_bytes
 
 FOUR_CLIENTS = 48 + 8  # descriptors: 48 are reserved, clients may use half of the others
 NEWCOMERS = 12  # clients that come while a response is read
--- a/tests/test_config.py
+++ b/tests/proxy/test_config.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 
 import pytest
-from config_files import BAD_FILES, file_with, file_with_settings, raw_config
-from proxy_inputs import HOST
 
 from proxy.config import ConfigError, load
 from proxy.process import run
+from tests.support.config_files import BAD_FILES, file_with, file_with_settings, raw_config
+from tests.support.proxy_inputs import HOST
 
 
 @pytest.mark.parametrize("content", BAD_FILES.values(), ids=BAD_FILES)
--- a/tests/test_dispatcher.py
+++ b/tests/proxy/test_dispatcher.py
@@ -8,7 +8,15 @@
 from typing import Any
 
 import pytest
-from loopback import (
+
+from balancer.events import Reject
+from proxy.active_request import ActiveRequest
+from proxy.downstream.connection import DownstreamConnection
+from proxy.downstream.request_parser import RequestParser
+from proxy.upstream.attempt import UpstreamAttempt
+from proxy.upstream.connection import UpstreamConnection
+from proxy.upstream.response_parser import ResponseParser
+from tests.support.loopback import (
     CLOSE_CONNECTION,
     in_event_loop,
     proxy_with_backends,
@@ -19,8 +27,8 @@
     wait_until,
     with_timeout,
 )
-from pool_scenario import answer_first_request, settings_with
-from proxy_inputs import (
+from tests.support.pool_scenario import answer_first_request, settings_with
+from tests.support.proxy_inputs import (
     MAYBE_PROCESSED_RESPONSE,
     NOT_PROCESSED_RESPONSE,
     OK_RESPONSE,
@@ -30,15 +38,7 @@
     post_request,
     status_of,
 )
-from proxy_internals import close_idle_connections
-
-from balancer.events import Reject
-from proxy.active_request import ActiveRequest
-from proxy.downstream.connection import DownstreamConnection
-from proxy.downstream.request_parser import RequestParser
-from proxy.upstream.attempt import UpstreamAttempt
-from proxy.upstream.connection import UpstreamConnection
-from proxy.upstream.response_parser import ResponseParser
+from tests.support.proxy_internals import close_idle_connections
 
 
 @in_event_loop
--- a/tests/test_event_log.py
+++ b/tests/proxy/test_event_log.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 import orjson
-from loopback import RunningProxy, in_event_loop, respond_ok, stub_backend
-from proxy_inputs import endpoint_entry, get_request, proxy_config, status_of
 
 from proxy.event_log import VARIABLE, Event, EventLog
 from proxy.proxy import Proxy
+from tests.support.loopback import RunningProxy, in_event_loop, respond_ok, stub_backend
+from tests.support.proxy_inputs import endpoint_entry, get_request, proxy_config, status_of
 
 
 def read_events(path: Path) -> list[dict[str, Any]]:
--- a/tests/test_invariants.py
+++ b/tests/proxy/test_invariants.py
@@ -5,7 +5,13 @@
 from typing import Any
 
 import pytest
-from loopback import (
+
+from balancer.attempts import RequestState
+from balancer.balancer import Balancer
+from proxy.active_request import ActiveRequest
+from proxy.downstream.connection_state import CloseReason
+from proxy.invariants import Invariant
+from tests.support.loopback import (
     ConnectGate,
     ManualClock,
     in_event_loop,
@@ -15,7 +21,7 @@
     wait_until,
     with_timeout,
 )
-from proxy_inputs import (
+from tests.support.proxy_inputs import (
     MAYBE_PROCESSED_RESPONSE,
     OK_RESPONSE,
     endpoint_entry,
@@ -24,12 +30,6 @@
     status_of,
 )
 
-from balancer.attempts import RequestState
-from balancer.balancer import Balancer
-from proxy.active_request import ActiveRequest
-from proxy.downstream.connection_state import CloseReason
-from proxy.invariants import Invariant
-
 
 def allow_everything(*_args: Any) -> None:
     """Refuse no attempt: a broken `Balancer.send_refusal`."""
--- a/tests/test_log.py
+++ b/tests/proxy/test_log.py
@@ -11,11 +11,11 @@
 from contextlib import suppress
 
 import pytest
-from loopback import in_event_loop
 
 from proxy.discovery.watch_connection import WatchConnection
 from proxy.log import TracebackLog, log_without_blocking
 from proxy.process import report_exception
+from tests.support.loopback import in_event_loop
 
 LONG_TEXT = "x" * 100_000  # more than a pipe takes
 
--- a/tests/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -17,8 +17,11 @@
 from typing import Any
 
 import pytest
-from config_files import BAD_FILES, READ_CLASS, file_with_settings
-from loopback import (
+
+from balancer.balancer import Balancer
+from proxy.upstream import connection_pool
+from tests.support.config_files import BAD_FILES, READ_CLASS, file_with_settings
+from tests.support.loopback import (
     Client,
     ConnectGate,
     ManualClock,
@@ -32,7 +35,7 @@
     stub_discovery,
     with_timeout,
 )
-from proxy_inputs import (
+from tests.support.proxy_inputs import (
     HEALTH_REQUEST,
     HOST,
     MAX_WAIT,
@@ -43,9 +46,9 @@
     post_request,
     status_of,
 )
-from proxy_internals import idle_quota, sweep_timer
-from proxy_process import proxy_process, wait_until_ready
-from reloadable_proxy import (
+from tests.support.proxy_internals import idle_quota, sweep_timer
+from tests.support.proxy_process import proxy_process, wait_until_ready
+from tests.support.reloadable_proxy import (
     ConfigFile,
     ReloadableProxy,
     reloadable_proxy,
@@ -53,9 +56,6 @@
     request_of_class,
 )
 
-from balancer.balancer import Balancer
-from proxy.upstream import connection_pool
-
 MAX_LOG_LINE = 600  # characters
 BACKENDS_AT_SIZE = 910
 
--- a/tests/test_reload_active_requests.py
+++ b/tests/proxy/test_reload_active_requests.py
@@ -7,8 +7,9 @@
 from typing import Any
 
 import pytest
-from config_files import BOOK_CLASS, ONCE_CLASS, READ_CLASS
-from loopback import (
+
+from tests.support.config_files import BOOK_CLASS, ONCE_CLASS, READ_CLASS
+from tests.support.loopback import (
     ConnectGate,
     ManualClock,
     in_event_loop,
@@ -18,7 +19,7 @@
     wait_until,
     with_timeout,
 )
-from proxy_inputs import (
+from tests.support.proxy_inputs import (
     NOT_PROCESSED_RESPONSE,
     OK_RESPONSE,
     endpoint_entry,
@@ -26,8 +27,8 @@
     post_request,
     status_of,
 )
-from proxy_internals import is_receiving_response
-from reloadable_proxy import reloadable_proxy_with_backend, request_of_class
+from tests.support.proxy_internals import is_receiving_response
+from tests.support.reloadable_proxy import reloadable_proxy_with_backend, request_of_class
 
 IDEMPOTENT = {"Repeat": "retryable"}
 NON_IDEMPOTENT = {"Repeat": "fragile"}
--- a/tests/test_retry_races.py
+++ b/tests/proxy/test_retry_races.py
@@ -10,7 +10,11 @@
 from typing import Any
 
 import pytest
-from loopback import (
+
+from balancer.settings import Settings
+from balancer.settings_reader import read_settings
+from proxy.upstream.keepalive_policy import REST_AFTER_RESPONSE
+from tests.support.loopback import (
     ConnectGate,
     ManualClock,
     RunningProxy,
@@ -19,11 +23,7 @@
     proxy_with_backends,
     respond_ok,
 )
-from proxy_inputs import OK_RESPONSE, RAW_SETTINGS, endpoint_entry, post_request, status_of
-
-from balancer.settings import Settings
-from balancer.settings_reader import read_settings
-from proxy.upstream.keepalive_policy import REST_AFTER_RESPONSE
+from tests.support.proxy_inputs import OK_RESPONSE, RAW_SETTINGS, endpoint_entry, post_request, status_of
 
 ERROR_RESPONSE = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
 WINDOW = 1.0  # seconds in which backends discard the repeat of a keyed request
--- a/tests/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -11,8 +11,10 @@
 from pathlib import Path
 
 import pytest
-from config_files import raw_config
-from loopback import (
+
+from proxy.proxy import Proxy
+from tests.support.config_files import raw_config
+from tests.support.loopback import (
     Client,
     connect,
     free_port,
@@ -23,7 +25,8 @@
     stub_discovery,
     with_timeout,
 )
-from proxy_inputs import (
+from tests.support.paths import PROJECT_ROOT
+from tests.support.proxy_inputs import (
     HEALTH_REQUEST,
     HOST,
     MAX_WAIT,
@@ -34,16 +37,13 @@
     proxy_config,
     status_of,
 )
-from proxy_process import (
-    PROJECT_ROOT,
+from tests.support.proxy_process import (
     environment_with_addresses,
     environment_without_proxy,
     wait_until_ready,
     write_config,
 )
 
-from proxy.proxy import Proxy
-
 #: A configuration whose endpoint list is not valid.
 INVALID_LIST = raw_config(limits={"sockets": 64}, known={"index": 1, "endpoints": [{"name": "a"}]})
 
--- a/tests/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -7,7 +7,9 @@
 from typing import Any
 
 import pytest
-from loopback import (
+
+from proxy.proxy import Proxy
+from tests.support.loopback import (
     UNLIMITED,
     Client,
     ConnectGate,
@@ -18,9 +20,14 @@
     stay_silent,
     stub_backend,
 )
-from proxy_inputs import OK_RESPONSE, endpoint_entry, get_request, post_request, proxy_config, status_of
-
-from proxy.proxy import Proxy
+from tests.support.proxy_inputs import (
+    OK_RESPONSE,
+    endpoint_entry,
+    get_request,
+    post_request,
+    proxy_config,
+    status_of,
+)
 
 KILL_DELAY = 3.0 + 0.7  # seconds after SIGTERM at which SIGKILL may come, by the protocol
 MAX_SHUTDOWN_TIME = KILL_DELAY + 1.0  # seconds after which a shutdown is given up
--- a/tests/test_start_signals.py
+++ b/tests/proxy/test_start_signals.py
@@ -19,13 +19,18 @@
 from pathlib import Path
 
 import pytest
-from config_files import raw_config
-from loopback import Client, connect, free_port, in_event_loop, with_timeout
-from proxy_inputs import HEALTH_REQUEST, HOST, MAX_WAIT, endpoint_entry
-from proxy_process import PROJECT_ROOT, environment_without_proxy, killed_at_the_end, wait_until_ready
 
 from proxy.process import TERMINATION_SIGNALS, ignore_signals
 from soak.proxies import survives_hangup
+from tests.support.config_files import raw_config
+from tests.support.loopback import Client, connect, free_port, in_event_loop, with_timeout
+from tests.support.paths import PROJECT_ROOT
+from tests.support.proxy_inputs import HEALTH_REQUEST, HOST, MAX_WAIT, endpoint_entry
+from tests.support.proxy_process import (
+    environment_without_proxy,
+    killed_at_the_end,
+    wait_until_ready,
+)
 
 RUN_COMMAND = tomllib.loads((PROJECT_ROOT / "deploy" / "balancer.toml").read_text())["run"]
 DEPLOYED_INTERPRETER = ".venv/bin/python"
--- a/tests/test_startup.py
+++ b/tests/proxy/test_startup.py
@@ -10,7 +10,11 @@
 from typing import Any
 
 import pytest
-from loopback import (
+
+from balancer.settings_reader import read_settings
+from proxy.config import Address
+from proxy.process import serve
+from tests.support.loopback import (
     UNLIMITED,
     ConnectGate,
     ManualClock,
@@ -21,7 +25,7 @@
     stub_backend,
     stub_discovery,
 )
-from proxy_inputs import (
+from tests.support.proxy_inputs import (
     HEALTH_REQUEST,
     HOST,
     RAW_SETTINGS,
@@ -31,10 +35,6 @@
     status_of,
 )
 
-from balancer.settings_reader import read_settings
-from proxy.config import Address
-from proxy.process import serve
-
 READINESS_DEADLINE = 10.0  # seconds in which nine in ten proxies have to be ready
 READY_SHARE = 0.9
 TIER_SIZE = 20  # proxies
--- /dev/null
+++ b/tests/proxy/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the backends' side of the proxy."""
--- a/tests/test_attempt_races.py
+++ b/tests/proxy/upstream/test_attempt_races.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 import pytest
-from loopback import (
+
+from tests.support.loopback import (
     ConnectGate,
     ManualClock,
     in_event_loop,
@@ -19,8 +20,8 @@
     wait_until,
     with_timeout,
 )
-from proxy_inputs import OK_RESPONSE, endpoint_entry, get_request, post_request, status_of
-from proxy_internals import dials_in_progress, established_connections
+from tests.support.proxy_inputs import OK_RESPONSE, endpoint_entry, get_request, post_request, status_of
+from tests.support.proxy_internals import dials_in_progress, established_connections
 
 LATE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate"
 
--- a/tests/test_upstream_connection_pool.py
+++ b/tests/proxy/upstream/test_connection_pool.py
@@ -7,7 +7,11 @@
 from typing import Any
 
 import pytest
-from loopback import (
+
+from balancer.events import Outcome
+from balancer.settings_reader import read_settings
+from proxy.upstream import connection_pool, keepalive_policy
+from tests.support.loopback import (
     ManualClock,
     StubBackend,
     in_event_loop,
@@ -19,9 +23,17 @@
     wait_until,
     with_timeout,
 )
-from pool_scenario import PoolScenario
-from proxy_inputs import HOST, MAX_WAIT, OK_RESPONSE, RAW_SETTINGS, endpoint_entry, post_request, status_of
-from proxy_internals import (
+from tests.support.pool_scenario import PoolScenario
+from tests.support.proxy_inputs import (
+    HOST,
+    MAX_WAIT,
+    OK_RESPONSE,
+    RAW_SETTINGS,
+    endpoint_entry,
+    post_request,
+    status_of,
+)
+from tests.support.proxy_internals import (
     all_idle_connections,
     close_long_idle_connections,
     established_connections,
@@ -29,10 +41,6 @@
     send_attempt,
 )
 
-from balancer.events import Outcome
-from balancer.settings_reader import read_settings
-from proxy.upstream import connection_pool, keepalive_policy
-
 
 @pytest.mark.parametrize(
     "change",
--- a/tests/test_upstream_keepalive.py
+++ b/tests/proxy/upstream/test_keepalive_policy.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 import pytest
-from loopback import CLOSE_CONNECTION, in_event_loop, respond_ok, stub_backend, wait_until
-from pool_scenario import PoolScenario
-from proxy_inputs import MAX_WAIT, OK_RESPONSE, post_request
-from proxy_internals import pause_reading
 
 from balancer.events import Outcome
 from proxy.upstream import keepalive_policy
+from tests.support.loopback import CLOSE_CONNECTION, in_event_loop, respond_ok, stub_backend, wait_until
+from tests.support.pool_scenario import PoolScenario
+from tests.support.proxy_inputs import MAX_WAIT, OK_RESPONSE, post_request
+from tests.support.proxy_internals import pause_reading
 
 
 @pytest.mark.parametrize(("idle_time", "dials"), [(0.0, 1), (MAX_WAIT, 4)])
--- a/tests/test_upstream_responses.py
+++ b/tests/proxy/upstream/test_responses.py
@@ -5,13 +5,13 @@
 import asyncio
 
 import pytest
-from client_scenarios import reset_on_close
-from loopback import in_event_loop, proxy_with_backends, stay_silent, wait_until, with_timeout
-from pool_scenario import answer_first_request, settings_with
-from proxy_inputs import OK_RESPONSE, RAW_SETTINGS, get_request, post_request, status_of
-from proxy_internals import is_receiving_response
 
 from proxy.upstream.attempt import MAX_RESPONSE_STALL
+from tests.support.client_scenarios import reset_on_close
+from tests.support.loopback import in_event_loop, proxy_with_backends, stay_silent, wait_until, with_timeout
+from tests.support.pool_scenario import answer_first_request, settings_with
+from tests.support.proxy_inputs import OK_RESPONSE, RAW_SETTINGS, get_request, post_request, status_of
+from tests.support.proxy_internals import is_receiving_response
 
 
 @in_event_loop
--- /dev/null
+++ b/tests/soak/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the soak test's own checks."""
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Fakes, scripted peers and helpers that several test modules use."""
--- a/tests/client_scenarios.py
+++ b/tests/support/client_scenarios.py
@@ -7,12 +7,11 @@
 import struct
 from typing import Any
 
-from loopback import Client, RunningProxy, StubBackend, wait_until
-from proxy_inputs import HOST, RAW_SETTINGS, post_request
-
 from balancer.settings import Settings
 from balancer.settings_reader import read_settings
 from proxy.downstream.connection import DownstreamConnection
+from tests.support.loopback import Client, RunningProxy, StubBackend, wait_until
+from tests.support.proxy_inputs import HOST, RAW_SETTINGS, post_request
 
 #: A request with a chunked body.
 CHUNKED_REQUEST = post_request(
--- a/tests/config_files.py
+++ b/tests/support/config_files.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from proxy_inputs import HOST, NO_DISCOVERY_PORT, RAW_SETTINGS
+from tests.support.proxy_inputs import HOST, NO_DISCOVERY_PORT, RAW_SETTINGS
 
 READ_CLASS, BOOK_CLASS, ONCE_CLASS = RAW_SETTINGS["Services"]
 
--- a/tests/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from loopback import ManualClock
-from proxy_inputs import HOST, endpoint_entry
+from tests.support.loopback import ManualClock
+from tests.support.proxy_inputs import HOST, endpoint_entry
 
 TRICKLE_INTERVAL = 0.5  # seconds between two pieces of what trickles
 CLOCK_STEP = 0.05  # seconds
--- a/tests/known_red.py
+++ b/tests/support/known_red.py
@@ -9,10 +9,12 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from tests.support.paths import PROJECT_ROOT
+
 MAX_ENTRIES = 3
 FIELD_COUNT = 3
 SEPARATOR = "|"
-KNOWN_RED_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
+KNOWN_RED_FILE = PROJECT_ROOT / "KNOWN-RED.txt"
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/loopback.py
+++ b/tests/support/loopback.py
@@ -17,14 +17,6 @@
 from typing import Any, ParamSpec, TypeVar
 
 import pytest
-from proxy_inputs import (
-    HOST,
-    MAX_WAIT,
-    NO_DISCOVERY_PORT,
-    OK_RESPONSE,
-    endpoint_entry,
-    proxy_config,
-)
 
 from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
@@ -33,6 +25,14 @@
 from proxy.endpoint_table import EndpointTable
 from proxy.proxy import Proxy
 from proxy.upstream import ConnectionPool
+from tests.support.proxy_inputs import (
+    HOST,
+    MAX_WAIT,
+    NO_DISCOVERY_PORT,
+    OK_RESPONSE,
+    endpoint_entry,
+    proxy_config,
+)
 
 CLOSE_CONNECTION = b""  # a script's result that closes the connection without a response
 UNLIMITED = 1 << 30  # connection attempts that a `ConnectGate` lets pass
--- a/tests/pool_scenario.py
+++ b/tests/support/pool_scenario.py
@@ -6,9 +6,6 @@
 from collections.abc import Callable
 from typing import Any
 
-from loopback import StubBackend, with_timeout
-from proxy_inputs import MAX_WAIT, OK_RESPONSE, RAW_SETTINGS, post_request
-
 from balancer.events import Outcome
 from balancer.settings import Settings
 from balancer.settings_reader import read_settings
@@ -17,6 +14,8 @@
 from proxy.upstream.backend import Backend as PoolBackend
 from proxy.upstream.connection_pool import ConnectionPool
 from proxy.upstream.response_parser import UpstreamResponse
+from tests.support.loopback import StubBackend, with_timeout
+from tests.support.proxy_inputs import MAX_WAIT, OK_RESPONSE, RAW_SETTINGS, post_request
 
 
 def answer_first_request(response: bytes | None) -> Callable[[bytes], bytes | None]:
--- a/tests/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -12,11 +12,10 @@
 from pathlib import Path
 from typing import Any
 
-from config_files import raw_config
-from loopback import connect
-from proxy_inputs import HEALTH_REQUEST, MAX_WAIT, status_of
-
-PROJECT_ROOT = Path(__file__).parent.parent
+from tests.support.config_files import raw_config
+from tests.support.loopback import connect
+from tests.support.paths import PROJECT_ROOT
+from tests.support.proxy_inputs import HEALTH_REQUEST, MAX_WAIT, status_of
 
 
 def environment_without_proxy() -> dict[str, str]:
--- a/tests/random_events.py
+++ b/tests/support/random_events.py
@@ -7,7 +7,6 @@
 from typing import NamedTuple
 
 from hypothesis import strategies as st
-from rules_checker import RulesChecker
 
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
 from balancer.events import Outcome
@@ -21,6 +20,7 @@
     Settings,
     Tenant,
 )
+from tests.support.rules_checker import RulesChecker
 
 RULES = Rules(
     answer_slack=0.02,
--- a/tests/reloadable_proxy.py
+++ b/tests/support/reloadable_proxy.py
@@ -9,9 +9,11 @@
 from pathlib import Path
 from typing import Any
 
-from config_files import raw_config
-from loopback import RunningProxy, Script, StubBackend, stub_backend
-from proxy_inputs import (
+from proxy.config import load
+from proxy.proxy import Proxy
+from tests.support.config_files import raw_config
+from tests.support.loopback import RunningProxy, Script, StubBackend, stub_backend
+from tests.support.proxy_inputs import (
     HEALTH_REQUEST,
     HOST,
     NO_DISCOVERY_PORT,
@@ -21,9 +23,6 @@
     status_of,
 )
 
-from proxy.config import load
-from proxy.proxy import Proxy
-
 
 class ConfigFile:
     """The configuration file of a proxy.
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,8 +1,9 @@
 """The list of tests that are known to fail: its form, its limit, and which tests an entry names."""
 
-import known_red
 import pytest
 
+from tests.support import known_red
+
 LINE = "tests/test_a.py::test_b | a cause | issue 1"
 
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,11 +1,12 @@
 """The README: its example of embedding the decisions runs as it is printed."""
 
 import re
-from pathlib import Path
+
+from tests.support.paths import PROJECT_ROOT
 
 
 def test_embedding_example_runs() -> None:
-    text = (Path(__file__).parent.parent / "README.md").read_text()
+    text = (PROJECT_ROOT / "README.md").read_text()
     blocks = re.findall(r"```python\n(.*?)```", text, re.S)
     assert len(blocks) == 1
     exec(compile(blocks[0], "README.md", "exec"), {})
