--- a/balancer/__init__.py
+++ b/balancer/__init__.py
@@ -16,7 +16,7 @@
     PollEndpoints,
     Reject,
     RejectReason,
-    SendRefusal,
+    SendRejection,
     SetTimer,
     StartAttempt,
 )
@@ -51,7 +51,7 @@
     "RequestClass",
     "RowandealError",
     "Rules",
-    "SendRefusal",
+    "SendRejection",
     "SetTimer",
     "Settings",
     "StartAttempt",
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -26,14 +26,14 @@
     Reject,
     RejectReason,
     RequestId,
-    SendRefusal,
+    SendRejection,
     StartAttempt,
 )
 from balancer.hedging import Hedging
 from balancer.latency_statistics import LatencyStatistics
 from balancer.pool_assignment import PoolAssignment
 from balancer.retry_budget import RetryBudgets
-from balancer.send_permission import send_refusal
+from balancer.send_rejection import send_rejection
 from balancer.settings import Settings, narrow_class, narrow_limits
 from balancer.slow_start import SlowStart
 from balancer.subsetting import Subsetting, ready_ring
@@ -154,18 +154,18 @@
         hedge = self.hedging.schedule(now, request, attempt) if request.open_attempts == 1 else []
         return [StartAttempt(request.id, target.endpoint.id, timeout), *hedge]
 
-    def send_refusal(
-        self, now: float, request_id: RequestId, number: int, client_gone: bool = False
-    ) -> SendRefusal | None:
+    def send_rejection(
+        self, now: float, request_id: RequestId, number: int, client_disconnected: bool = False
+    ) -> SendRejection | None:
         """Return why an attempt may not be written to its endpoint now; None if it may.
 
         Call this just before the first byte, after whatever the attempt had to wait for, and report a refused
         attempt as finished with `Outcome.NOT_SENT`.
         """
-        if client_gone:
-            return SendRefusal.CLIENT_GONE
+        if client_disconnected:
+            return SendRejection.CLIENT_DISCONNECTED
         request = self.requests.get(request_id)
-        return SendRefusal.REQUEST_ENDED if request is None else send_refusal(now, request, number)
+        return SendRejection.REQUEST_ENDED if request is None else send_rejection(now, request, number)
 
     def on_response_started(self, _now: float, request_id: RequestId, number: int) -> list[Action]:
         """Bind a request of a streamed class to the attempt whose response has begun."""
--- a/balancer/events.py
+++ b/balancer/events.py
@@ -35,10 +35,10 @@
 NEVER_RAN = frozenset({Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NOT_SENT})
 
 
-class SendRefusal(Enum):
+class SendRejection(Enum):
     """Why an attempt that was started may not be written to its endpoint any more."""
 
-    CLIENT_GONE = "client_gone"
+    CLIENT_DISCONNECTED = "client_disconnected"
     REQUEST_ENDED = "request_ended"
     DEADLINE_PASSED = "deadline_passed"
     ENDPOINT_NOT_IN_SERVICE = "endpoint_not_in_service"
--- a/balancer/send_permission.py
+++ b/balancer/send_rejection.py
@@ -1,4 +1,4 @@
-"""Send permission: whether an attempt may still be written to its endpoint, asked just before its first byte.
+"""Send rejection: why an attempt may no longer be written to its endpoint, asked just before its first byte.
 
 An attempt may wait for a connection after it was decided. What allowed it then may have changed since: this
 is the one place that says whether all of it still holds. What follows from a refusal `balancer` decides.
@@ -6,10 +6,10 @@
 
 from balancer.attempts import RequestState
 from balancer.endpoints import EndpointStatus
-from balancer.events import SendRefusal
+from balancer.events import SendRejection
 
 
-def send_refusal(now: float, request: RequestState, number: int) -> SendRefusal | None:
+def send_rejection(now: float, request: RequestState, number: int) -> SendRejection | None:
     """Return why an attempt may not be written now; None if it may.
 
     Args:
@@ -20,17 +20,17 @@
     attempt = request.attempts[number]
     current = attempt.target.endpoint
     if request.answered or not attempt.is_open:
-        return SendRefusal.REQUEST_ENDED
+        return SendRejection.REQUEST_ENDED
     if now >= request.deadline:
-        return SendRefusal.DEADLINE_PASSED
+        return SendRejection.DEADLINE_PASSED
     if current.status is not EndpointStatus.UP:
-        return SendRefusal.ENDPOINT_NOT_IN_SERVICE
+        return SendRejection.ENDPOINT_NOT_IN_SERVICE
     if current.started != attempt.endpoint.started:
-        return SendRefusal.ENDPOINT_RESTARTED
+        return SendRejection.ENDPOINT_RESTARTED
     if not request.pool.allows(current):
-        return SendRefusal.MISPLACED
+        return SendRejection.MISPLACED
     if len(request.attempts) == 1:
         return None
     if request.has_other_open_attempt(number) and not request.limits.hedging:
-        return SendRefusal.HEDGING_FORBIDDEN
-    return None if request.allows_repeat(now, current, number) else SendRefusal.REPEAT_FORBIDDEN
+        return SendRejection.HEDGING_FORBIDDEN
+    return None if request.allows_repeat(now, current, number) else SendRejection.REPEAT_FORBIDDEN
--- a/emulator/child.py
+++ b/emulator/child.py
@@ -60,8 +60,8 @@
         """
         try:
             self._pipe.send(_Call(method, args, kwargs))
-        except OSError as fault:
-            raise ChildError(f"{method}: the process is gone") from fault
+        except OSError as error:
+            raise ChildError(f"{method}: the process is gone") from error
 
     def result(self, timeout: float = CALL_TIMEOUT) -> Any:
         """Wait for the result of the oldest call that was started.
@@ -73,8 +73,8 @@
             if not self._pipe.poll(timeout):
                 raise ChildError(f"no answer within {timeout:g} s")
             reply: _Reply = self._pipe.recv()
-        except (EOFError, OSError) as fault:
-            raise ChildError("the process is gone") from fault
+        except (EOFError, OSError) as error:
+            raise ChildError("the process is gone") from error
         if reply.error is not None:
             raise ChildError(reply.error)
         return reply.value
--- a/emulator/processes.py
+++ b/emulator/processes.py
@@ -91,8 +91,8 @@
             times = process.cpu_times()
             preemptions = process.num_ctx_switches().involuntary
             return ProcessUsage(times.user + times.system, process.memory_info().rss, preemptions)
-        except psutil.Error as fault:
-            raise ProcessError(str(fault)) from fault
+        except psutil.Error as error:
+            raise ProcessError(str(error)) from error
 
     async def stop(self) -> None:
         """Kill the process, and wait until it is gone."""
--- a/proxy/config.py
+++ b/proxy/config.py
@@ -126,11 +126,11 @@
         raise ConfigError("RELAY_CONFIG is not set")
     try:
         return _read_config(environ, orjson.loads(_read_file(path)))
-    except KeyError as fault:
-        raise ConfigError(f"{fault} is missing", path) from fault
+    except KeyError as error:
+        raise ConfigError(f"{error} is missing", path) from error
     # A value of the wrong type fails wherever it is used first, and not always with an error of ours.
-    except (OSError, ValueError, TypeError, AttributeError, ArithmeticError) as fault:
-        raise ConfigError(" ".join(str(fault).split())[:MAX_PROBLEM_LENGTH], path) from fault
+    except (OSError, ValueError, TypeError, AttributeError, ArithmeticError) as error:
+        raise ConfigError(" ".join(str(error).split())[:MAX_PROBLEM_LENGTH], path) from error
 
 
 def read_address(text: str) -> Address:
--- a/proxy/discovery/endpoint_reader.py
+++ b/proxy/discovery/endpoint_reader.py
@@ -107,8 +107,8 @@
         try:
             int(message["index"])
             self.endpoints(message)
-        except (KeyError, TypeError, ValueError, AttributeError) as fault:
-            raise ConfigError(f"the known list can't be read: {fault!r}") from fault
+        except (KeyError, TypeError, ValueError, AttributeError) as error:
+            raise ConfigError(f"the known list can't be read: {error!r}") from error
 
     def settings_of(self, config: Config) -> Settings:
         """Return a configuration's settings with the numbers that zones and machine types have here."""
--- a/proxy/discovery/watch.py
+++ b/proxy/discovery/watch.py
@@ -107,10 +107,10 @@
                 address.host.encode(),
             )
             connection = WatchConnection(self.on_message, request)
-            self._event_log.record(Event.WATCH_BEGUN, address=str(address), index=index)
+            self._event_log.record(Event.WATCH_OPENED, address=str(address), index=index)
             failed_here = await self._follow(address, connection)
             self._event_log.record(
-                Event.WATCH_ENDED,
+                Event.WATCH_CLOSED,
                 address=str(address),
                 responded=connection.has_responded,
                 listed=connection.has_listed,
--- a/proxy/discovery/watch_connection.py
+++ b/proxy/discovery/watch_connection.py
@@ -69,8 +69,8 @@
             return  # It can not be complete. To parse it after each line would cost much: a list has many.
         try:
             message = orjson.loads(self._object)
-        except orjson.JSONDecodeError as fault:
-            if fault.pos < len(self._object.decode().rstrip()):
+        except orjson.JSONDecodeError as error:
+            if error.pos < len(self._object.decode().rstrip()):
                 raise  # no further line mends it
             return
         self._object = b""
@@ -121,8 +121,8 @@
         try:
             self._parser.feed_data(data)
             self._deliver()
-        except Exception as fault:  # noqa: BLE001 - whatever is wrong with a list, the last good one stays
-            write_line(f"proxy: discovery: {fault!r}")
+        except Exception as error:  # noqa: BLE001 - whatever is wrong with a list, the last good one stays
+            write_line(f"proxy: discovery: {error!r}")
             self.close()
 
     def close(self) -> None:
--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -20,7 +20,7 @@
     Outcome,
     PollEndpoints,
     Reject,
-    SendRefusal,
+    SendRejection,
     SetTimer,
     StartAttempt,
 )
@@ -119,7 +119,7 @@
         )
         if self._event_log.enabled:
             name = classified.request_class.name
-            self._log(Event.REQUEST_TAKEN, active, class_name=name, deadline=deadline)
+            self._log(Event.REQUEST_RECEIVED, active, class_name=name, deadline=deadline)
         self.active_requests[request_id] = active
         connection.on_disconnect = partial(self._on_client_disconnected, active)
         active.deadline_timer = self._loop.call_at(deadline, self._on_deadline, active)
@@ -138,7 +138,7 @@
 
     def _on_client_disconnected(self, active: ActiveRequest) -> None:
         """End a request whose client has disconnected: no answer is due any more."""
-        self._log(Event.CLIENT_LEFT, active)
+        self._log(Event.CLIENT_DISCONNECTED, active)
         self._settle(active)
         self.perform(self._decide(self._balancer.on_client_disconnected, active.request_id, about=active))
         self._end_unsent_attempts(active)
@@ -240,7 +240,7 @@
             active.serialize,
             partial(self._on_attempt_finished, active, len(active.attempts)),
             active.is_retryable,
-            partial(self._send_refusal, active, len(active.attempts)),
+            partial(self._send_rejection, active, len(active.attempts)),
             partial(self._on_written, active),
         )
         if self._event_log.enabled:
@@ -252,16 +252,18 @@
         else:
             self._on_client_disconnected(active)
 
-    def _send_refusal(self, active: ActiveRequest, number: int) -> SendRefusal | None:
+    def _send_rejection(self, active: ActiveRequest, number: int) -> SendRejection | None:
         """Return why an attempt may not be written now; a defect of the decisions counts as a refusal."""
-        client_gone = not active.is_awaited()
+        client_disconnected = not active.is_awaited()
         try:
-            refusal = self._balancer.send_refusal(self._clock.now(), active.request_id, number, client_gone)
+            refusal = self._balancer.send_rejection(
+                self._clock.now(), active.request_id, number, client_disconnected
+            )
         except Exception:  # noqa: BLE001 - a defect of the decisions must not end the other requests
             self._traceback_log.write(self._loop.time())
-            refusal = SendRefusal.REQUEST_ENDED
+            refusal = SendRejection.REQUEST_ENDED
         if refusal is not None:
-            self._log(Event.ATTEMPT_REFUSED, active, attempt=number, reason=refusal.value)
+            self._log(Event.ATTEMPT_REJECTED, active, attempt=number, reason=refusal.value)
         return refusal
 
     def _on_written(self, active: ActiveRequest, attempt: UpstreamAttempt, timeout: float) -> None:
@@ -283,7 +285,7 @@
         if connection is not None:
             self._monitor.on_answered(active, status)
             if self._event_log.enabled:
-                self._log(Event.ANSWERED, active, status=status, reason=reason)
+                self._log(Event.RESPONSE_SENT, active, status=status, reason=reason)
         self._settle(active)
         if connection is not None:
             connection.send_response(status, head, body)
--- a/proxy/downstream/acceptor.py
+++ b/proxy/downstream/acceptor.py
@@ -57,9 +57,9 @@
                 accepted, _ = self._socket.accept()
             except BlockingIOError:
                 return
-            except OSError as fault:
+            except OSError as error:
                 failures += 1
-                self._log(fault)
+                self._log(error)
                 if failures > MAX_IMMEDIATE_RETRIES:
                     await asyncio.sleep(MIN_RETRY_DELAY)
                 continue
@@ -73,9 +73,9 @@
                 accepted, _ = self._socket.accept()
             except BlockingIOError:
                 return
-            except OSError as fault:
-                self._log(fault)
-                if fault.errno in RESOURCE_ERRORS:
+            except OSError as error:
+                self._log(error)
+                if error.errno in RESOURCE_ERRORS:
                     self._pause()
                     return
                 continue
@@ -95,8 +95,8 @@
         try:
             accepted.setblocking(False)
             await self._loop.connect_accepted_socket(self._make_protocol, accepted)
-        except OSError as fault:  # it has ended already
-            self._log(fault)
+        except OSError as error:  # it has ended already
+            self._log(error)
             accepted.close()
 
     def _log(self, fault: OSError) -> None:
--- a/proxy/downstream/connection.py
+++ b/proxy/downstream/connection.py
@@ -158,7 +158,7 @@
                 unwritten=unwritten,
                 peer=str(self._transport.get_extra_info("peername")),
             )
-        if reason is CloseReason.CLIENT_LEFT:
+        if reason is CloseReason.CLIENT_DISCONNECTED:
             return
         for request in self._queue.requests():
             request_id = request.headers.get(b"x-request-id", b"")
--- a/proxy/downstream/connection_state.py
+++ b/proxy/downstream/connection_state.py
@@ -34,9 +34,9 @@
     """Why the proxy closes a client's connection."""
 
     EVICTED = "evicted"  # there are too many
-    TOO_LATE = "too_late"  # its state has a time limit
+    TIMED_OUT = "timed_out"  # its state has a time limit
     REJECTED = "rejected"  # its request is malformed or can't be taken
     LAST_RESPONSE = "last_response"  # the client, or a shutdown, wants no further request on it
     SHUTDOWN = "shutdown"  # it rested as the proxy began to close
     FLOOD = "flood"  # it sends on and on behind a rejection
-    CLIENT_LEFT = "client_left"  # seen where nothing is read any more
+    CLIENT_DISCONNECTED = "client_disconnected"  # seen where nothing is read any more
--- a/proxy/downstream/eviction.py
+++ b/proxy/downstream/eviction.py
@@ -116,7 +116,7 @@
                 if connection.is_read_on():
                     deadlines[connection] = now + advance + WRITING_TIMEOUT
                 else:
-                    connection.abort(CloseReason.TOO_LATE)
+                    connection.abort(CloseReason.TIMED_OUT)
         for connection in _overdue(self.reading, now):
             connection.reject(HttpError(408, "the request took too long"))
 
--- a/proxy/downstream/listener.py
+++ b/proxy/downstream/listener.py
@@ -124,4 +124,4 @@
         """Close the connections of clients that have left while nothing was read from them any more."""
         for connection in tuple(self.connections.open):
             if connection.is_abandoned():
-                connection.abort(CloseReason.CLIENT_LEFT)
+                connection.abort(CloseReason.CLIENT_DISCONNECTED)
--- a/proxy/event_log.py
+++ b/proxy/event_log.py
@@ -24,17 +24,17 @@
 class Event(StrEnum):
     """What happened."""
 
-    REQUEST_TAKEN = "request_taken"
+    REQUEST_RECEIVED = "request_received"
     ATTEMPT_STARTED = "attempt_started"
-    ATTEMPT_REFUSED = "attempt_refused"  # it may not be written any more
+    ATTEMPT_REJECTED = "attempt_rejected"  # it may not be written any more
     ATTEMPT_WRITTEN = "attempt_written"
     ATTEMPT_FINISHED = "attempt_finished"
-    ANSWERED = "answered"
-    CLIENT_LEFT = "client_left"
+    RESPONSE_SENT = "response_sent"
+    CLIENT_DISCONNECTED = "client_disconnected"
     CONNECTION_CLOSED = "connection_closed"
     ENDPOINTS_UPDATED = "endpoints_updated"
-    WATCH_BEGUN = "watch_begun"
-    WATCH_ENDED = "watch_ended"
+    WATCH_OPENED = "watch_opened"
+    WATCH_CLOSED = "watch_closed"
     SHUTDOWN = "shutdown"
     VIOLATION = "violation"
     DROPPED = "dropped"  # lines of this log
--- a/proxy/process.py
+++ b/proxy/process.py
@@ -86,13 +86,13 @@
     try:
         config = load(os.environ)
         EndpointReader(config.zone_indices, config.machine_type_indices).check(config.cached_list)
-    except ConfigError as fault:
-        print(f"proxy: {fault}", file=sys.stderr)
+    except ConfigError as error:
+        print(f"proxy: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIG
     log_without_blocking()
     try:
         asyncio.run(_serve_to_the_end(config, hangup))
-    except OSError as fault:
-        print(f"proxy: {config.listen}: {fault}", file=sys.stderr)
+    except OSError as error:
+        print(f"proxy: {config.listen}: {error}", file=sys.stderr)
         return EXIT_CAN_NOT_LISTEN
     return EXIT_OK
--- a/proxy/reload.py
+++ b/proxy/reload.py
@@ -60,8 +60,8 @@
         environ = {name: value for name, value in environ.items() if name != "RELAY_DISCOVERY"}
         try:
             lines = self.apply(load(environ))
-        except ConfigError as fault:
-            lines = [f"refused, version {self._listener.version} stays: {fault}"]
+        except ConfigError as error:
+            lines = [f"refused, version {self._listener.version} stays: {error}"]
         for line in lines:
             write_line(f"proxy: reload: {line}")
 
@@ -103,8 +103,8 @@
         """Put settings in force; ConfigError, with nothing changed, where they need a restart."""
         try:
             self._dispatcher.reconfigure(self._reader.settings_of(config), config.settings.classes)
-        except ValueError as fault:
-            raise ConfigError(str(fault)) from fault
+        except ValueError as error:
+            raise ConfigError(str(error)) from error
         self._pool.reconfigure(config.backend_idle_timeout, config.dial_timeout)
         self._endpoint_table.update_idle_quota(config.settings.fleet_size)
         self._dispatcher.end_misplaced_attempts()
--- a/proxy/upstream/attempt.py
+++ b/proxy/upstream/attempt.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from balancer.events import Outcome, SendRefusal
+from balancer.events import Outcome, SendRejection
 from proxy.upstream.backend import Backend
 from proxy.upstream.response_parser import UpstreamResponse
 
@@ -34,7 +34,7 @@
         deadline: The loop's time until which its response is waited for.
         build_request: Gives the request's bytes, from the seconds that are left for it.
         retryable: Whether the request may be sent again if this attempt fails.
-        send_refusal: Tells why the request may not be written any more; asked just before its first byte.
+        send_rejection: Tells why the request may not be written any more; asked just before its first byte.
         on_written: Called once the request is written, with the seconds that the backend was told.
         written_at: The loop's time at which that began; None before.
         finished: Whether the outcome has been reported.
@@ -55,7 +55,7 @@
         "on_written",
         "outcome",
         "retryable",
-        "send_refusal",
+        "send_rejection",
         "started_at",
         "written_at",
     )
@@ -68,7 +68,7 @@
         build_request: Callable[[float], bytes],
         on_finished: FinishCallback,
         retryable: bool = True,
-        send_refusal: Callable[[], SendRefusal | None] = lambda: None,
+        send_rejection: Callable[[], SendRejection | None] = lambda: None,
         on_written: Callable[[UpstreamAttempt, float], None] = lambda _attempt, _timeout: None,
     ) -> None:
         self.backend = backend
@@ -76,7 +76,7 @@
         self.deadline = deadline
         self.build_request = build_request
         self.retryable = retryable
-        self.send_refusal = send_refusal
+        self.send_rejection = send_rejection
         self.on_written = on_written
         self.written_at: float | None = None
         self.finished = False
--- a/proxy/upstream/connection_pool.py
+++ b/proxy/upstream/connection_pool.py
@@ -173,7 +173,7 @@
         time_left = attempt.deadline - self._loop.time()
         backend = attempt.backend
         stale = time_left <= 0.0 or not backend.in_service or connection.incarnation != backend.incarnation
-        if attempt.finished or stale or attempt.send_refusal() is not None:
+        if attempt.finished or stale or attempt.send_rejection() is not None:
             self.release(connection)
             self._loop.call_soon(attempt.finish, Outcome.NOT_SENT)
             return
--- a/tests/balancer/test_policy_limits.py
+++ b/tests/balancer/test_policy_limits.py
@@ -18,7 +18,7 @@
     "balancer/client_timeouts.py",
     "balancer/latency_statistics.py",
     "balancer/attempts.py",
-    "balancer/send_permission.py",
+    "balancer/send_rejection.py",
     "balancer/endpoint_selection.py",
     "balancer/subsetting.py",
     "balancer/slow_start.py",
--- a/tests/proxy/test_event_log.py
+++ b/tests/proxy/test_event_log.py
@@ -32,11 +32,11 @@
         log.flush()
         events = [event for event in read_events(path) if event.get("id") == "id1"]
         assert [event["event"] for event in events] == [
-            Event.REQUEST_TAKEN,
+            Event.REQUEST_RECEIVED,
             Event.ATTEMPT_STARTED,
             Event.ATTEMPT_WRITTEN,
             Event.ATTEMPT_FINISHED,
-            Event.ANSWERED,
+            Event.RESPONSE_SENT,
         ]
         assert events[1]["endpoint"] == backend.address
         assert events[-1]["status"] == 200
--- a/tests/proxy/test_invariants.py
+++ b/tests/proxy/test_invariants.py
@@ -32,7 +32,7 @@
 
 
 def allow_everything(*_args: Any) -> None:
-    """Refuse no attempt: a broken `Balancer.send_refusal`."""
+    """Refuse no attempt: a broken `Balancer.send_rejection`."""
 
 
 @in_event_loop
@@ -46,7 +46,7 @@
 
 @in_event_loop
 async def test_second_run_of_a_non_idempotent_request_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "send_refusal", allow_everything)
+    monkeypatch.setattr(Balancer, "send_rejection", allow_everything)
     monkeypatch.setattr(RequestState, "retry_endpoints", lambda self, _now: self.pool.ready)
     responses = [OK_RESPONSE, MAYBE_PROCESSED_RESPONSE]
     async with proxy_with_backends(lambda _: responses.pop(), stay_silent) as (proxy, backends):
--- a/tests/proxy/test_start_signals.py
+++ b/tests/proxy/test_start_signals.py
@@ -66,8 +66,8 @@
             while True:
                 try:
                     return os.open(self.path, os.O_WRONLY | os.O_NONBLOCK)
-                except OSError as fault:
-                    if fault.errno != errno.ENXIO:  # ENXIO: nobody reads it yet
+                except OSError as error:
+                    if error.errno != errno.ENXIO:  # ENXIO: nobody reads it yet
                         raise
                     await asyncio.sleep(0.001)
 
