--- a/balancer/events.py
+++ b/balancer/events.py
@@ -7,8 +7,10 @@
 
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import TYPE_CHECKING
 
-from balancer.endpoints import EndpointId
+if TYPE_CHECKING:
+    from balancer.endpoints import EndpointId
 
 RequestId = str
 
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -8,14 +8,16 @@
 
 import math
 import sys
-from collections.abc import Mapping
 from dataclasses import dataclass, field, fields, replace
 from enum import Enum
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from balancer.errors import InvalidValueError
 from balancer.validation import check_flag, check_index, check_number, check_text
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
 MAX_COUNT = 1 << 20  # instances, tiers or zones: one part of so many must not vanish among the figures
 
 
--- a/balancer/simulator/session.py
+++ b/balancer/simulator/session.py
@@ -4,15 +4,17 @@
 
 from collections.abc import Callable
 from functools import partial
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, UpdateKind
 from balancer.events import Action
-from balancer.settings import Settings
 from balancer.settings_reader import read_settings
 from balancer.simulator.messages import OUTCOMES, UPDATE_KINDS, WireError, read_endpoint
 
+if TYPE_CHECKING:
+    from balancer.settings import Settings
+
 Message = dict[str, Any]
 Call = Callable[[float], list[Action]]  # takes the time and returns the instance's actions
 
--- a/emulator/budgets.py
+++ b/emulator/budgets.py
@@ -5,8 +5,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Mapping
 
 
 @dataclass(slots=True, frozen=True)
--- a/emulator/child.py
+++ b/emulator/child.py
@@ -10,14 +10,16 @@
 import inspect
 import multiprocessing
 import traceback
-from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from multiprocessing.connection import Connection
-from types import TracebackType
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from emulator.meter import Usage, process_usage
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+    from multiprocessing.connection import Connection
+    from types import TracebackType
+
 CALL_TIMEOUT = 120.0  # seconds that one call may take
 EXIT_TIMEOUT = 5.0  # seconds in which a child ends by itself
 
--- a/emulator/fit.py
+++ b/emulator/fit.py
@@ -5,12 +5,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
 from dataclasses import asdict, dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import numpy as np
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
 MIN_POINTS = 4  # through fewer almost anything fits
 LINE, N_LOG_N = "line", "n log n"  # what results call the two models
 
--- a/emulator/latency.py
+++ b/emulator/latency.py
@@ -5,12 +5,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from dataclasses import asdict, dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from hdrh.histogram import HdrHistogram
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
 LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS = 1, 60_000_000, 3  # of every histogram
 TICKS_PER_HALF_DISTANCE = 10  # points of a percentile curve for each halving of the distance to 100
 
--- a/emulator/load_generator.py
+++ b/emulator/load_generator.py
@@ -14,13 +14,16 @@
 import sys
 import time
 from collections import Counter
-from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from emulator.latency import encode, histogram_of, to_microseconds
 from emulator.load_plan import SERVED, LoadPlan, LoadReport, ScheduledCall, StreamReport, schedule_calls
 from emulator.loopback import HOST
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 CALL_TIMEOUT = 5.0  # seconds that a call may take, as its X-Timeout says
 READ_SIZE = 64 << 10  # bytes
 EVENTS_PER_POLL = 32  # few, so that calls that fall due do not wait behind hundreds of responses
--- a/emulator/load_plan.py
+++ b/emulator/load_plan.py
@@ -6,11 +6,15 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Mapping, Sequence
 from dataclasses import asdict, dataclass
+from typing import TYPE_CHECKING
 
 import numpy as np
-from numpy.typing import NDArray
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping, Sequence
+
+    from numpy.typing import NDArray
 
 SERVED = "200"  # the status of a call that counts as served
 
--- a/emulator/loopback.py
+++ b/emulator/loopback.py
@@ -5,11 +5,14 @@
 
 from __future__ import annotations
 
-import asyncio
 import socket
+from typing import TYPE_CHECKING
 
 import numpy as np
 
+if TYPE_CHECKING:
+    import asyncio
+
 HOST = "127.0.0.1"
 
 #: Below the ephemeral ports: a client that dials a closed port must not be connected to itself.
--- a/emulator/meter.py
+++ b/emulator/meter.py
@@ -6,12 +6,15 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import psutil
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Sequence
+
 WORST_WINDOW = 10.0  # seconds that a worst case is taken over
 MB = 1 << 20
 
--- a/emulator/placement.py
+++ b/emulator/placement.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
 
 MIN_SEPARATE_CORES = 3  # fewer are shared by all
 
--- a/emulator/processes.py
+++ b/emulator/processes.py
@@ -8,16 +8,19 @@
 import asyncio
 import os
 import sys
-from asyncio.subprocess import Process
-from collections.abc import Mapping, Sequence
-from contextlib import AsyncExitStack
 from dataclasses import dataclass
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import psutil
 
 from emulator.result import ROOT
 
+if TYPE_CHECKING:
+    from asyncio.subprocess import Process
+    from collections.abc import Mapping, Sequence
+    from contextlib import AsyncExitStack
+    from pathlib import Path
+
 STARTUP_TIMEOUT = 10.0  # seconds in which a process has to be up
 LINE_LIMIT = 16 << 20  # bytes of one line that a process prints
 CONFIGURATION_PREFIX = (
--- a/emulator/proxy_config.py
+++ b/emulator/proxy_config.py
@@ -3,13 +3,15 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import orjson
 
 from emulator.loopback import HOST
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 
 
--- a/emulator/proxy_program.py
+++ b/emulator/proxy_program.py
@@ -8,13 +8,16 @@
 
 import shlex
 import tomllib
-from contextlib import AsyncExitStack
 from dataclasses import dataclass
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 from emulator.processes import ManagedProcess, python_command, start_process
 from emulator.result import ROOT
 
+if TYPE_CHECKING:
+    from contextlib import AsyncExitStack
+
 DEPLOY_FILE = Path("deploy", "balancer.toml")
 
 
--- a/emulator/real_proxies.py
+++ b/emulator/real_proxies.py
@@ -6,17 +6,21 @@
 from __future__ import annotations
 
 import subprocess
-from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
 from tempfile import TemporaryDirectory
+from typing import TYPE_CHECKING
 
 from emulator.fleet_settings import proxy_settings
 from emulator.processes import inherited_environment
 from emulator.proxy_config import ProxyConfig
 from emulator.proxy_program import ProxyProgram
 from emulator.result import ROOT
-from emulator.topology import Topology
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from emulator.topology import Topology
 
 EMPTY_SNAPSHOT = {"index": 0, "snapshot": True, "endpoints": []}
 
--- a/emulator/registry.py
+++ b/emulator/registry.py
@@ -7,12 +7,16 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Iterable
 from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
 
 from emulator.control_endpoint import ControlEndpoint, TrafficCounts
 from emulator.registry_state import RegistryState
-from emulator.topology import Entry
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from emulator.topology import Entry
 
 
 @dataclass(slots=True, frozen=True)
--- a/emulator/registry_state.py
+++ b/emulator/registry_state.py
@@ -7,12 +7,15 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 import orjson
 
-from emulator.topology import Entry
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from emulator.topology import Entry
 
 MAX_LOG_ENTRIES = 4096  # changed entries that a watch can resume over
 View = frozenset[str] | None  # the names of the backends that a client sees; None: all of them
--- a/emulator/role_processes.py
+++ b/emulator/role_processes.py
@@ -3,11 +3,14 @@
 from __future__ import annotations
 
 import json
-from contextlib import AsyncExitStack
+from typing import TYPE_CHECKING
 
 from emulator.load_plan import LoadPlan, LoadReport
 from emulator.processes import STARTUP_TIMEOUT, ManagedProcess, python_command, start_process
 
+if TYPE_CHECKING:
+    from contextlib import AsyncExitStack
+
 MAX_BACKEND_PORTS = 36  # longer endpoint lists name each port more than once
 
 
--- a/emulator/runs/added_latency.py
+++ b/emulator/runs/added_latency.py
@@ -10,10 +10,10 @@
 import asyncio
 import os
 import time
-from collections.abc import Sequence
 from contextlib import AsyncExitStack
 from pathlib import Path
 from tempfile import TemporaryDirectory
+from typing import TYPE_CHECKING
 
 import click
 import numpy as np
@@ -33,6 +33,9 @@
 from emulator.stub_fleet import endpoint_snapshot, stub_proxy_settings
 from emulator.watch_stub import serve_snapshot
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
 NAME = "added"
 
 
--- a/emulator/runs/common.py
+++ b/emulator/runs/common.py
@@ -8,13 +8,16 @@
 
 import signal
 import sys
-from collections.abc import Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 from emulator.result import ROOT
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+    from pathlib import Path
+
 #: The target's rate of configuration changes.
 CHANGES_PER_DAY, SECONDS_PER_DAY = 2900, 86400.0
 
--- a/emulator/runs/endpoint_changes.py
+++ b/emulator/runs/endpoint_changes.py
@@ -6,12 +6,14 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Sequence
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-import numpy as np
+if TYPE_CHECKING:
+    from collections.abc import Sequence
 
-from emulator.topology import Entry
+    import numpy as np
+
+    from emulator.topology import Entry
 
 
 class EndpointChanges:
--- a/emulator/runs/fleet.py
+++ b/emulator/runs/fleet.py
@@ -9,16 +9,18 @@
 import time
 from contextlib import ExitStack
 from dataclasses import asdict, dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from emulator.result import write_result
 from emulator.runs.common import RunOptions, RunResult, report_progress
 from emulator.runs.fleet_events import EVENTS
-from emulator.runs.fleet_figures import EventMeasurement
 from emulator.runs.fleet_measurement import measure
 from emulator.runs.fleet_plans import PLANS, QUICK_PLANS, Plan
 from emulator.runs.simulated_fleet import FleetStart, SimulatedFleet
 
+if TYPE_CHECKING:
+    from emulator.runs.fleet_figures import EventMeasurement
+
 
 @dataclass(slots=True, frozen=True)
 class PlanResult:
--- a/emulator/runs/fleet_figures.py
+++ b/emulator/runs/fleet_figures.py
@@ -6,12 +6,14 @@
 from __future__ import annotations
 
 from dataclasses import asdict, dataclass
-from typing import Any
-
-from hdrh.histogram import HdrHistogram
+from typing import TYPE_CHECKING, Any
 
 from emulator.change_ages import MICROSECONDS, AgeReport, age_histogram, record_age
-from emulator.registry import RegistryUsage
+
+if TYPE_CHECKING:
+    from hdrh.histogram import HdrHistogram
+
+    from emulator.registry import RegistryUsage
 
 
 @dataclass(slots=True, frozen=True)
--- a/emulator/runs/fleet_layout.py
+++ b/emulator/runs/fleet_layout.py
@@ -5,11 +5,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from emulator.topology import REGION_OF, Topology
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
 MACHINES = 3  # for control
 TAKEOVER_GROUPS = MACHINES - 1  # parts of a machine's watches, one for each machine that takes over
 
--- a/emulator/runs/hollow.py
+++ b/emulator/runs/hollow.py
@@ -8,10 +8,9 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Callable, Iterator
 from contextlib import ExitStack, contextmanager
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import numpy as np
 
@@ -34,6 +33,9 @@
 from emulator.runs.pacing import evenly_spaced
 from emulator.simulated_host import ProxyPlacement, SimulatedHost, StartCost
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterator
+
 PROXIES = 4  # of each group
 CHANGE_RATE = 10.0  # changes a second: each is applied alone
 SNAPSHOT_TIMEOUT = 15.0  # seconds in which every proxy has been sent its list
--- a/emulator/runs/latency_report.py
+++ b/emulator/runs/latency_report.py
@@ -6,17 +6,20 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
 from dataclasses import asdict, dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from emulator.latency import Distribution, Quantiles, merge
 from emulator.load_plan import SERVED, LoadReport, StreamReport
 from emulator.meter import MB
-from emulator.placement import Placement
-from emulator.processes import ProcessUsage
 from emulator.runs.latency_trials import ALL_ROWS, AVERAGE_RATE, SERVICE_ROWS, WARMUP, Trial, fleet, one_proxy
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping, Sequence
+
+    from emulator.placement import Placement
+    from emulator.processes import ProcessUsage
+
 ALL_PROXIES = "all"  # the group of calls through any proxy
 
 #: The trial whose 99th percentile each budget is held against.
--- a/emulator/runs/latency_trials.py
+++ b/emulator/runs/latency_trials.py
@@ -5,8 +5,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
 
 #: Calls a second at a proxy at the target's size: on average, at one that is seldom called, at a busy one.
 AVERAGE_RATE, SELDOM_RATE = 154.0, 20.0
--- a/emulator/runs/pacing.py
+++ b/emulator/runs/pacing.py
@@ -6,10 +6,12 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Callable, Iterator
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-import numpy as np
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterator
+
+    import numpy as np
 
 
 def mean_processor_time(action: Callable[[], Any], seconds: float, min_calls: int = 3) -> float:
--- a/emulator/runs/settings_reload.py
+++ b/emulator/runs/settings_reload.py
@@ -10,12 +10,11 @@
 import asyncio
 import os
 import time
-from collections.abc import Sequence
 from contextlib import AsyncExitStack
 from dataclasses import asdict, dataclass
 from pathlib import Path
 from tempfile import TemporaryDirectory
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from emulator.fit import MIN_POINTS, fit_all
 from emulator.health_check import applied_between, has_label
@@ -49,6 +48,9 @@
 )
 from emulator.topology import BACKENDS
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
 NAME = "settings"
 POLL_INTERVAL = 0.01  # seconds between two health checks while a change is awaited: an age is exact to that
 RATE = 20.0  # calls a second at each proxy that is called
--- a/emulator/runs/settings_report.py
+++ b/emulator/runs/settings_report.py
@@ -3,13 +3,15 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import asdict, dataclass, field
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from emulator.latency import Distribution, histogram_of, to_microseconds
 from emulator.load_plan import SERVED
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Mapping, Sequence
+
 MAX_AGE = 6.0  # seconds in which a change must be in force
 
 
--- a/emulator/runs/simulated_fleet.py
+++ b/emulator/runs/simulated_fleet.py
@@ -8,9 +8,8 @@
 
 import os
 import time
-from collections.abc import Iterable
-from contextlib import ExitStack
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 import numpy as np
 
@@ -22,9 +21,14 @@
 from emulator.registry import EndpointAddress, Registry, RegistryUsage
 from emulator.runs.endpoint_changes import EndpointChanges
 from emulator.runs.fleet_layout import MACHINES, FleetEndpoint, FleetLayout, assign_proxies
-from emulator.runs.fleet_plans import Plan
 from emulator.simulated_host import ProxyPlacement, SimulatedHost, StartCost
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+    from contextlib import ExitStack
+
+    from emulator.runs.fleet_plans import Plan
+
 MAX_HOSTS = 6  # processes of simulated proxies; fewer for a small fleet or on a small machine
 MIN_PROXIES_FOR_MAX_HOSTS = 30
 MIN_CPUS_FOR_MAX_HOSTS = 8
--- a/emulator/runs/slope.py
+++ b/emulator/runs/slope.py
@@ -6,12 +6,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from emulator.fit import Fit, fit_all
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
 Point = dict[str, float]  # one measurement: figures by the names that they have in results
 
 
--- a/emulator/runs/slopes.py
+++ b/emulator/runs/slopes.py
@@ -7,15 +7,18 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Callable, Mapping
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from emulator import topology
 from emulator.fit import LINE
 from emulator.result import write_result
 from emulator.runs import slopes_balancer, slopes_proxy, slopes_registry
 from emulator.runs.common import CHANGES_PER_DAY, SECONDS_PER_DAY, RunOptions, RunResult, report_progress
-from emulator.runs.slope import Slope
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
+
+    from emulator.runs.slope import Slope
 
 MILLISECONDS = 1e3  # in a second
 SLOPES: dict[str, Callable[[RunOptions], Slope]] = {  # by their names in the result
--- a/emulator/runs/slopes_balancer.py
+++ b/emulator/runs/slopes_balancer.py
@@ -7,7 +7,7 @@
 
 import gc
 import time
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import numpy as np
 import orjson
@@ -18,12 +18,16 @@
 from emulator import topology
 from emulator.fleet_settings import proxy_settings
 from emulator.registry_state import RegistryState
-from emulator.runs.common import RunOptions
 from emulator.runs.endpoint_changes import EndpointChanges
 from emulator.runs.pacing import mean_processor_time
 from emulator.runs.slope import Point, Slope
 from emulator.simulated_proxy import endpoint_reader, simulate_call
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from emulator.runs.common import RunOptions
+
 BACKENDS = (12, 91, 300, 910, 1820)
 QUICK_BACKENDS = BACKENDS[:4]
 FLEET_SIZES = (100, 303, 455, 910, 1820)  # proxies by the settings
--- a/emulator/runs/slopes_proxy.py
+++ b/emulator/runs/slopes_proxy.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 import time
-from types import TracebackType
+from typing import TYPE_CHECKING
 
 import numpy as np
 
@@ -15,13 +15,17 @@
 from emulator.control_cost import GroupReading
 from emulator.meter import MB, Usage
 from emulator.registry import Registry
-from emulator.runs.common import RunOptions
 from emulator.runs.endpoint_changes import EndpointChanges
 from emulator.runs.pacing import evenly_spaced
 from emulator.runs.slope import Point, Slope
 from emulator.runs.slopes_balancer import backend_counts
 from emulator.simulated_host import ProxyPlacement, SimulatedHost, StartCost
 
+if TYPE_CHECKING:
+    from types import TracebackType
+
+    from emulator.runs.common import RunOptions
+
 CHANGE_RATES = (2.0, 5.0, 10.0, 20.0)  # a second
 CALL_RATES = (50.0, 154.0, 400.0, 800.0)  # a second
 PROXIES = 8  # enough that their memory stands out from the process's
--- a/emulator/runs/slopes_registry.py
+++ b/emulator/runs/slopes_registry.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Sequence
+from typing import TYPE_CHECKING
 
 import numpy as np
 
@@ -14,13 +14,17 @@
 from emulator.child import ChildProcess
 from emulator.meter import MB
 from emulator.registry import Registry, RegistryUsage
-from emulator.runs.common import RunOptions
 from emulator.runs.endpoint_changes import EndpointChanges
 from emulator.runs.pacing import evenly_spaced
 from emulator.runs.slope import Point, Slope
 from emulator.runs.slopes_proxy import CHANGE_RATES
 from emulator.watch_load import WatchLoad
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from emulator.runs.common import RunOptions
+
 WATCHES = (50, 100, 200, 400)
 RATE_AT_WATCHES = 5.0  # changes a second, while watches vary
 WATCHES_AT_RATES = 303  # while changes a second vary: a third of the target's proxies
--- a/emulator/simulated_host.py
+++ b/emulator/simulated_host.py
@@ -10,14 +10,17 @@
 import asyncio
 import gc
 import time
-from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from emulator import meter, topology
 from emulator.change_ages import AgeReport, Publications, age_histogram, record_age
 from emulator.fleet_settings import proxy_settings
 from emulator.simulated_proxy import SimulatedProxy, endpoint_reader
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 FEEDING_INTERVAL = 0.02  # seconds between two feedings of calls
 START_BATCH = 8  # watches that are opened together: more would keep the open ones waiting past their timeout
 LIST_TIMEOUT = 30.0  # seconds in which a new watch has its list
--- a/emulator/simulated_proxy.py
+++ b/emulator/simulated_proxy.py
@@ -8,8 +8,7 @@
 
 import asyncio
 import time
-from collections.abc import Callable, Mapping
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
@@ -21,7 +20,11 @@
 from proxy.config import Address
 from proxy.discovery.endpoint_reader import DiscoveredEndpoint, EndpointReader
 from proxy.discovery.watch import DiscoveryClient
-from proxy.discovery.watch_connection import WatchConnection
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
+
+    from proxy.discovery.watch_connection import WatchConnection
 
 CALL_LATENCY = 0.004  # seconds that a simulated call takes at its backend
 CLASSES = 2  # classes of requests in the settings of the fleet
--- a/emulator/stub_fleet.py
+++ b/emulator/stub_fleet.py
@@ -5,11 +5,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from emulator.loopback import HOST
-from emulator.topology import Entry
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from emulator.topology import Entry
 
 
 def endpoint_snapshot(rows: int, ports: Sequence[int]) -> dict[str, Any]:
--- a/emulator/usage_sampler.py
+++ b/emulator/usage_sampler.py
@@ -7,12 +7,16 @@
 
 import threading
 import time
-from collections.abc import Sequence
-from types import TracebackType
+from typing import TYPE_CHECKING
 
-from emulator.child import ChildProcess
 from emulator.meter import Series
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+    from types import TracebackType
+
+    from emulator.child import ChildProcess
+
 SAMPLING_INTERVAL = 0.25  # seconds between two readings
 
 
--- a/emulator/watch_stub.py
+++ b/emulator/watch_stub.py
@@ -3,13 +3,15 @@
 from __future__ import annotations
 
 import asyncio
-from contextlib import AsyncExitStack
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import orjson
 
 from emulator.loopback import HOST, port_of
 
+if TYPE_CHECKING:
+    from contextlib import AsyncExitStack
+
 KEEPALIVE_INTERVAL = 2.0  # seconds
 
 
--- a/proxy/active_request.py
+++ b/proxy/active_request.py
@@ -6,13 +6,17 @@
 
 from __future__ import annotations
 
-import asyncio
+from typing import TYPE_CHECKING
 
 from balancer.events import Outcome
 from balancer.settings import Idempotency, RequestClass, narrow_class
-from proxy.downstream.connection import DownstreamConnection
-from proxy.downstream.request_parser import ClientRequest
-from proxy.upstream import UpstreamAttempt
+
+if TYPE_CHECKING:
+    import asyncio
+
+    from proxy.downstream.connection import DownstreamConnection
+    from proxy.downstream.request_parser import ClientRequest
+    from proxy.upstream import UpstreamAttempt
 
 MIN_TIMEOUT = 0.001  # seconds: the smallest timeout that a backend gets
 
--- a/proxy/clock.py
+++ b/proxy/clock.py
@@ -5,8 +5,11 @@
 
 from __future__ import annotations
 
-import asyncio
 import time
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import asyncio
 
 
 class EpochClock:
--- a/proxy/config.py
+++ b/proxy/config.py
@@ -7,10 +7,9 @@
 from __future__ import annotations
 
 import re
-from collections.abc import Mapping
 from dataclasses import dataclass
 from hashlib import sha256
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import orjson
 
@@ -19,6 +18,9 @@
 from balancer.settings_reader import DEDUPLICATION_SCOPES, DISCOVERY_MODES, IDEMPOTENCIES, read_settings
 from balancer.validation import check_number
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
 MAX_FILE_BYTES = 4 << 20  # as much as one list of discovery may take
 MAX_NUMBER = 1e9  # of a limit, or seconds: larger ones say nothing, and their sums may overflow
 MIN_IDLE_TIMEOUT = 0.001  # seconds: idle connections are looked at several times in it
--- a/proxy/discovery/endpoint_reader.py
+++ b/proxy/discovery/endpoint_reader.py
@@ -6,14 +6,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from dataclasses import dataclass, replace
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from balancer.endpoints import Endpoint, EndpointId, EndpointStatus
-from balancer.settings import RequestClass, Settings
 from proxy.config import Address, Config, ConfigError, read_address
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from balancer.settings import RequestClass, Settings
+
 STATUSES = {
     "in_service": EndpointStatus.UP,
     "terminating": EndpointStatus.DRAINING,
--- a/proxy/discovery/watch.py
+++ b/proxy/discovery/watch.py
@@ -8,14 +8,16 @@
 
 import asyncio
 import random
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from balancer.endpoints import UpdateKind
-from proxy.config import Address
-from proxy.discovery.endpoint_reader import DiscoveredEndpoint, EndpointReader
 from proxy.discovery.watch_connection import Message, WatchConnection
 from proxy.event_log import Event, EventLog
 
+if TYPE_CHECKING:
+    from proxy.config import Address
+    from proxy.discovery.endpoint_reader import DiscoveredEndpoint, EndpointReader
+
 CONNECT_TIMEOUT = 0.25  # seconds: the agent is on this machine
 #: Seconds before a watch is opened anew that had responded, or that a failing call of the system kept from
 #: being opened: both are over in a moment.
--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -7,12 +7,10 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Iterable
 from functools import partial
 from math import inf
+from typing import TYPE_CHECKING
 
-from balancer.balancer import Balancer
-from balancer.endpoints import Endpoint, UpdateKind
 from balancer.events import (
     Action,
     CancelAttempt,
@@ -24,19 +22,25 @@
     SetTimer,
     StartAttempt,
 )
-from balancer.settings import RequestClass, Settings
 from proxy.active_request import ActiveRequest
-from proxy.clock import EpochClock
-from proxy.downstream.classification import ClassifiedRequest
-from proxy.downstream.connection import DownstreamConnection
 from proxy.downstream.errors import HttpError
-from proxy.downstream.request_parser import ClientRequest
-from proxy.endpoint_table import EndpointTable
 from proxy.event_log import Event, EventLog
-from proxy.invariants import InvariantMonitor
 from proxy.log import TracebackLog
 from proxy.upstream import ConnectionPool, UpstreamAttempt, UpstreamResponse
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+
+    from balancer.balancer import Balancer
+    from balancer.endpoints import Endpoint, UpdateKind
+    from balancer.settings import RequestClass, Settings
+    from proxy.clock import EpochClock
+    from proxy.downstream.classification import ClassifiedRequest
+    from proxy.downstream.connection import DownstreamConnection
+    from proxy.downstream.request_parser import ClientRequest
+    from proxy.endpoint_table import EndpointTable
+    from proxy.invariants import InvariantMonitor
+
 ANSWER_MARGIN = 0.005  # seconds before the client's time is up: the answer still has to reach it
 #: Statuses of responses that say that the request is at fault: 4xx, but not a timeout or a limit on the rate.
 REQUEST_FAULT_STATUSES = frozenset(range(400, 500)) - {408, 429}
--- a/proxy/downstream/acceptor.py
+++ b/proxy/downstream/acceptor.py
@@ -8,11 +8,14 @@
 
 import asyncio
 import errno
-import socket
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from proxy.log import write_line
 
+if TYPE_CHECKING:
+    import socket
+    from collections.abc import Callable
+
 MAX_ACCEPTS_PER_TURN = 8  # connections taken in one turn of the loop: others have work too
 #: Errors of the system or the process, which the next connection would meet as well. All others are those of
 #: one connection, which accepting reports in its place (accept(2)).
--- a/proxy/downstream/classification.py
+++ b/proxy/downstream/classification.py
@@ -8,11 +8,14 @@
 
 import re
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from balancer.settings import Idempotency, RequestClass
-from proxy.config import Config
 from proxy.downstream.errors import HttpError
-from proxy.downstream.request_parser import ClientRequest
+
+if TYPE_CHECKING:
+    from proxy.config import Config
+    from proxy.downstream.request_parser import ClientRequest
 
 DECIMAL = re.compile(rb"\d{1,9}(\.\d{1,9})?")
 REQUEST_ID = re.compile(rb"[0-9A-Za-z._-]{1,64}")
--- a/proxy/downstream/client_socket.py
+++ b/proxy/downstream/client_socket.py
@@ -6,8 +6,11 @@
 
 from __future__ import annotations
 
-import asyncio
 import select
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import asyncio
 
 #: What the system reports of a socket whose peer has closed it, or has ended its sending.
 DISCONNECT_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
--- a/proxy/downstream/connection.py
+++ b/proxy/downstream/connection.py
@@ -9,7 +9,6 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
 from contextlib import suppress
 from math import inf
 from typing import TYPE_CHECKING
@@ -36,6 +35,8 @@
 from proxy.invariants import Invariant
 
 if TYPE_CHECKING:
+    from collections.abc import Callable
+
     from proxy.downstream.listener import Listener
 
 MAX_PIPELINED_REQUESTS = 8  # requests that may wait behind another: clients send one at a time
--- a/proxy/downstream/listener.py
+++ b/proxy/downstream/listener.py
@@ -9,19 +9,23 @@
 
 import asyncio
 import socket
-from collections.abc import Callable
 from math import inf
+from typing import TYPE_CHECKING
 
-from proxy.config import Config
 from proxy.downstream.acceptor import Acceptor
-from proxy.downstream.classification import ClassifiedRequest
 from proxy.downstream.connection import DownstreamConnection
 from proxy.downstream.connection_state import CloseReason
 from proxy.downstream.eviction import ConnectionRegistry
-from proxy.downstream.request_parser import ClientRequest
-from proxy.event_log import EventLog
 from proxy.http_common import READ_BUFFER_BYTES
-from proxy.invariants import InvariantMonitor
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from proxy.config import Config
+    from proxy.downstream.classification import ClassifiedRequest
+    from proxy.downstream.request_parser import ClientRequest
+    from proxy.event_log import EventLog
+    from proxy.invariants import InvariantMonitor
 
 BUFFERED_MEMORY_SHARE = 0.25  # of the memory limit, for incomplete bodies and requests that wait
 LISTEN_BACKLOG = 1024  # connections that may wait to be accepted
--- a/proxy/downstream/request_parser.py
+++ b/proxy/downstream/request_parser.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 import httptools
 
@@ -20,6 +20,9 @@
     without_headers,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 MAX_HEAD_BYTES = 16 << 10  # bytes of a request's head: what backends commonly read
 MAX_WIRE_BYTES = 8 * MAX_BODY_BYTES  # bytes of a request as sent: the smallest chunks take six times the body
 SUPPORTED_VERSIONS = ("1.1", "1.0")
--- a/proxy/early_signal.py
+++ b/proxy/early_signal.py
@@ -7,7 +7,10 @@
 from __future__ import annotations
 
 import signal
-from types import FrameType
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from types import FrameType
 
 
 class EarlySignal:
--- a/proxy/endpoint_table.py
+++ b/proxy/endpoint_table.py
@@ -6,10 +6,14 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from balancer.endpoints import EndpointId, EndpointStatus, UpdateKind
-from proxy.discovery.endpoint_reader import DiscoveredEndpoint
 from proxy.upstream import Backend, ConnectionPool
 
+if TYPE_CHECKING:
+    from proxy.discovery.endpoint_reader import DiscoveredEndpoint
+
 
 class EndpointTable:
     """Keeps one `Backend` for each endpoint of the list.
--- a/proxy/event_log.py
+++ b/proxy/event_log.py
@@ -9,12 +9,14 @@
 
 import asyncio
 import os
-from collections.abc import Mapping
 from enum import StrEnum
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import orjson
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
 VARIABLE = "RELAY_EVENT_LOG"  # of the environment: the path of the file
 FLUSH_INTERVAL = 0.1  # seconds
 MAX_BUFFERED_BYTES = 1 << 20  # lines that come beyond that, until the next flush, are dropped
--- a/proxy/invariants.py
+++ b/proxy/invariants.py
@@ -15,10 +15,10 @@
 from balancer.settings import DeduplicationScope, Idempotency
 from proxy.event_log import Event, EventLog
 from proxy.log import write_line
-from proxy.upstream import UpstreamAttempt
 
 if TYPE_CHECKING:
     from proxy.active_request import ActiveRequest
+    from proxy.upstream import UpstreamAttempt
 
 LOG_INTERVAL = 1.0  # seconds between two lines on standard error
 TIMEOUT_SLACK = (
--- a/proxy/process.py
+++ b/proxy/process.py
@@ -11,15 +11,17 @@
 import os
 import signal
 import sys
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from proxy.config import Config, ConfigError, load
 from proxy.discovery.endpoint_reader import EndpointReader
-from proxy.early_signal import EarlySignal
 from proxy.event_log import Event, EventLog
 from proxy.log import log_without_blocking, write_line
 from proxy.proxy import Proxy
 
+if TYPE_CHECKING:
+    from proxy.early_signal import EarlySignal
+
 EXIT_OK = 0
 EXIT_CAN_NOT_LISTEN = 1
 EXIT_BAD_CONFIG = 2
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -6,12 +6,12 @@
 from __future__ import annotations
 
 import asyncio
+from typing import TYPE_CHECKING
 
 from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
 from balancer.settings import DiscoveryMode
 from proxy.clock import EpochClock
-from proxy.config import Config
 from proxy.discovery.endpoint_reader import DiscoveredEndpoint, EndpointReader
 from proxy.discovery.watch import DiscoveryClient
 from proxy.dispatcher import Dispatcher
@@ -23,6 +23,9 @@
 from proxy.shutdown import GracefulShutdown
 from proxy.upstream import ConnectionPool
 
+if TYPE_CHECKING:
+    from proxy.config import Config
+
 RESERVED_SOCKETS = 48  # descriptors for the listener, discovery, the loop, and clients beyond the limit
 MIN_SOCKETS = 8  # descriptors for connections, however few the configuration allows
 CLIENT_SOCKET_SHARE = 0.5  # the clients' part of the descriptors that are not reserved
--- a/proxy/reload.py
+++ b/proxy/reload.py
@@ -6,17 +6,21 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
 from dataclasses import replace
+from typing import TYPE_CHECKING
 
 from proxy.config import Config, ConfigError, load
-from proxy.discovery.endpoint_reader import EndpointReader
-from proxy.discovery.watch import DiscoveryClient
-from proxy.dispatcher import Dispatcher
-from proxy.downstream.listener import Listener
-from proxy.endpoint_table import EndpointTable
 from proxy.log import write_line
-from proxy.upstream import ConnectionPool
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
+
+    from proxy.discovery.endpoint_reader import EndpointReader
+    from proxy.discovery.watch import DiscoveryClient
+    from proxy.dispatcher import Dispatcher
+    from proxy.downstream.listener import Listener
+    from proxy.endpoint_table import EndpointTable
+    from proxy.upstream import ConnectionPool
 
 #: What identifies the process, and so needs a restart to change: the field, and what the log calls it.
 IDENTITY_FIELDS = {
--- a/proxy/shutdown.py
+++ b/proxy/shutdown.py
@@ -7,10 +7,13 @@
 from __future__ import annotations
 
 import asyncio
-import socket
+from typing import TYPE_CHECKING
 
-from proxy.dispatcher import Dispatcher
-from proxy.downstream.listener import Listener
+if TYPE_CHECKING:
+    import socket
+
+    from proxy.dispatcher import Dispatcher
+    from proxy.downstream.listener import Listener
 
 MIN_ACCEPT_TIME = 0.45  # seconds after SIGTERM in which new connections are accepted in any case
 QUIET_TIME = 0.1  # seconds without a new connection after which no more are expected
--- a/proxy/upstream/attempt.py
+++ b/proxy/upstream/attempt.py
@@ -12,10 +12,10 @@
 from typing import TYPE_CHECKING
 
 from balancer.events import Outcome, SendRejection
-from proxy.upstream.backend import Backend
 from proxy.upstream.response_parser import UpstreamResponse
 
 if TYPE_CHECKING:
+    from proxy.upstream.backend import Backend
     from proxy.upstream.connection import UpstreamConnection
 
 #: Seconds between two pieces of a response: it comes in one go, and another attempt needs about 0.2.
--- a/proxy/upstream/backend.py
+++ b/proxy/upstream/backend.py
@@ -8,9 +8,8 @@
 
 from typing import TYPE_CHECKING
 
-from proxy.config import Address
-
 if TYPE_CHECKING:
+    from proxy.config import Address
     from proxy.upstream.connection import UpstreamConnection
 
 
--- a/proxy/upstream/connection.py
+++ b/proxy/upstream/connection.py
@@ -10,11 +10,11 @@
 import select
 from typing import TYPE_CHECKING
 
-from proxy.upstream.attempt import UpstreamAttempt
-from proxy.upstream.backend import Backend
 from proxy.upstream.response_parser import ResponseParser, ResponseState
 
 if TYPE_CHECKING:
+    from proxy.upstream.attempt import UpstreamAttempt
+    from proxy.upstream.backend import Backend
     from proxy.upstream.connection_pool import ConnectionPool
 
 
--- a/proxy/upstream/connection_pool.py
+++ b/proxy/upstream/connection_pool.py
@@ -9,16 +9,19 @@
 
 import asyncio
 from math import inf
+from typing import TYPE_CHECKING
 
 from balancer.events import Outcome
-from proxy.config import Address
 from proxy.http_common import READ_BUFFER_BYTES
-from proxy.upstream.attempt import UpstreamAttempt
-from proxy.upstream.backend import Backend
 from proxy.upstream.connection import UpstreamConnection
 from proxy.upstream.keepalive_policy import KeepalivePolicy
 from proxy.upstream.memory_budget import MemoryBudget
 
+if TYPE_CHECKING:
+    from proxy.config import Address
+    from proxy.upstream.attempt import UpstreamAttempt
+    from proxy.upstream.backend import Backend
+
 #: The part of the memory limit for responses that are not complete: many large ones could fill it.
 RESPONSE_MEMORY_FRACTION = 0.125
 
--- a/proxy/upstream/response_parser.py
+++ b/proxy/upstream/response_parser.py
@@ -8,6 +8,7 @@
 
 from dataclasses import dataclass
 from enum import Enum, auto
+from typing import TYPE_CHECKING
 
 import httptools
 
@@ -19,7 +20,9 @@
     connection_options,
     without_headers,
 )
-from proxy.upstream.memory_budget import MemoryBudget
+
+if TYPE_CHECKING:
+    from proxy.upstream.memory_budget import MemoryBudget
 
 #: Bytes of one response's body: not all keep to the protocol's 64 KiB, 350 KB were seen.
 MAX_RESPONSE_BODY_BYTES = 1 << 20
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -10,15 +10,18 @@
 import socket
 import time
 from collections import defaultdict
-from collections.abc import Coroutine
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from emulator.loopback import HOST
 from soak.backends import read_headers, reset_on_close
-from soak.proxies import ProxyFleet
 from soak.records import BadClient, Ending, Recording, Request, Safety
 
+if TYPE_CHECKING:
+    from collections.abc import Coroutine
+
+    from soak.proxies import ProxyFleet
+
 ANSWER_PATIENCE = 0.7  # seconds beyond its time for which a client still looks for an answer
 BAD_CLIENT_PATIENCE = 6.0  # seconds that a bad client stays
 MAX_IDLE_CONNECTIONS = 6  # that the clients keep to one proxy
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -8,12 +8,15 @@
 
 from bisect import bisect_left, bisect_right
 from collections import defaultdict
-from collections.abc import Iterator
 from dataclasses import dataclass
 from enum import StrEnum
+from typing import TYPE_CHECKING
 
 from soak.records import Arrival, Drain, Ending, ProxyLife, Ran, Recording, Request, Safety
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
 ANSWER_SLACK = 0.5  # seconds after its client's time by which a request has to be answered
 DRAIN_GRACE = 0.3  # seconds after the notification of a drain: the rule's 0.25, and 0.05 on sockets
 CLIENT_GONE_GRACE = 0.1  # seconds after a client has closed
--- a/soak/proxies.py
+++ b/soak/proxies.py
@@ -6,25 +6,28 @@
 from __future__ import annotations
 
 import asyncio
-import random
 import shlex
 import signal
 import sys
 import time
 import tomllib
-from asyncio.subprocess import Process
 from dataclasses import dataclass, replace
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import psutil
 
 from emulator.loopback import HOST
 from emulator.processes import inherited_environment
-from emulator.proxy_config import ProxyConfig
 from emulator.result import ROOT
 from soak.records import ProxyLife, Recording, Span
-from soak.shim import Faults
+
+if TYPE_CHECKING:
+    import random
+    from asyncio.subprocess import Process
+
+    from emulator.proxy_config import ProxyConfig
+    from soak.shim import Faults
 
 RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 DEPLOYED_PROGRAM = ".venv/bin/python -m proxy"
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -9,14 +9,18 @@
 import random
 import signal
 import time
-from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from emulator.child import ChildProcess
-from soak.clients import Clients
-from soak.proxies import ProxyFleet
 from soak.world import DEADLINE, EndpointList, settings
 
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable
+
+    from emulator.child import ChildProcess
+    from soak.clients import Clients
+    from soak.proxies import ProxyFleet
+
 KILL_DELAY = 0.7  # seconds beyond the longest deadline at which SIGKILL comes after SIGTERM
 MEAN_PAUSE = 0.25  # seconds between the begins of two troubles
 SETTLING_TIME = 1.0  # seconds at a run's end in which no trouble begins
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -15,14 +15,16 @@
 import socket
 import sys
 import time
-from collections.abc import Callable
 from contextlib import suppress
 from dataclasses import asdict, dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 from weakref import WeakSet
 
 from proxy.__main__ import main
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 VARIABLE = "SOAK_FAULTS"  # of the environment: the faults as JSON
 ACCEPT_ERRORS = (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EPROTO)
 SOCKET_ERRORS = (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
--- a/tests/balancer/test_client_timeouts.py
+++ b/tests/balancer/test_client_timeouts.py
@@ -2,13 +2,17 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 import pytest
 
-from balancer.balancer import Balancer
 from balancer.events import Fail, Outcome, Reject, StartAttempt
 from balancer.settings import Idempotency, Limits, RequestClass, Settings
 from tests.support.decision_helpers import IDEMPOTENT, NON_IDEMPOTENT, make_balancer
 
+if TYPE_CHECKING:
+    from balancer.balancer import Balancer
+
 
 def test_attempts_end_at_the_latency_objective_where_late_answers_have_no_weight() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)))
--- a/tests/balancer/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -2,11 +2,15 @@
 
 from __future__ import annotations
 
-from balancer.balancer import Balancer
+from typing import TYPE_CHECKING
+
 from balancer.events import CancelAttempt, Outcome, SetTimer, StartAttempt
 from balancer.settings import Idempotency, Limits, RequestClass, Settings
 from tests.support.decision_helpers import IDEMPOTENT, make_balancer, serve_sequentially
 
+if TYPE_CHECKING:
+    from balancer.balancer import Balancer
+
 
 def hedging_balancer(request_class: RequestClass = IDEMPOTENT, hedging: bool = True) -> Balancer:
     """Return a balancer that has seen 40 answers after 50 ms each."""
--- a/tests/balancer/test_reconfigure.py
+++ b/tests/balancer/test_reconfigure.py
@@ -3,13 +3,12 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
 from balancer.events import CancelAttempt, Fail, Outcome, StartAttempt
 from balancer.settings import (
@@ -34,6 +33,9 @@
 )
 from tests.support.rules_checker import RulesChecker
 
+if TYPE_CHECKING:
+    from balancer.balancer import Balancer
+
 IDEMPOTENT = RequestClass("idempotent", 1.0, 4.0, Idempotency.IDEMPOTENT)
 NON_IDEMPOTENT = RequestClass("non-idempotent", 1.0, 4.0, Idempotency.NON_IDEMPOTENT, priority_weight=5.0)
 KEYED = RequestClass("keyed", 1.0, 4.0, Idempotency.KEYED, DeduplicationScope.ALL, 3.0)
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -4,11 +4,10 @@
 
 from itertools import pairwise
 from random import Random
+from typing import TYPE_CHECKING
 
 import pytest
 
-from balancer.balancer import Balancer
-from balancer.endpoint_state import EndpointState
 from balancer.endpoints import Endpoint, UpdateKind
 from balancer.events import Outcome, StartAttempt
 from balancer.settings import Rules, Settings
@@ -17,6 +16,10 @@
 from tests.support.random_events import CLASSES, RULES
 from tests.support.rules_checker import RulesChecker
 
+if TYPE_CHECKING:
+    from balancer.balancer import Balancer
+    from balancer.endpoint_state import EndpointState
+
 
 def defer(balancer: Balancer, now: float, state: EndpointState) -> bool:
     """Ask whether a warming endpoint is passed over for a call."""
--- a/tests/balancer/test_slow_start_fleet.py
+++ b/tests/balancer/test_slow_start_fleet.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 import pytest
 
-from balancer.settings import Rules
 from balancer.slow_start import SlowStart
 from tests.support.warming_fleet import (
     EARLY_OVERLOAD,
@@ -16,6 +17,9 @@
     play,
 )
 
+if TYPE_CHECKING:
+    from balancer.settings import Rules
+
 DELIVERIES = ["at once", "one after another", "some restart"]
 INSTANCES = pytest.mark.parametrize("instances", [20, 30, 200])
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,13 +2,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
 from tests.support import known_red
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from pathlib import Path
+
 KNOWN_RED = known_red.load()
 
 
--- a/tests/emulator/test_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
 from contextlib import ExitStack
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -12,6 +12,9 @@
 from emulator.runs.fleet_plans import Plan
 from emulator.runs.simulated_fleet import SimulatedFleet
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
 SEED = 1
 BACKENDS, PROXIES = 60, 12
 PLAN = Plan(
--- a/tests/emulator/test_proxy_config.py
+++ b/tests/emulator/test_proxy_config.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -14,6 +14,9 @@
 from emulator.stub_fleet import endpoint_snapshot, stub_proxy_settings
 from proxy.config import Config, load
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 
 @pytest.fixture
 def path(tmp_path: Path) -> Path:
--- a/tests/emulator/test_proxy_program.py
+++ b/tests/emulator/test_proxy_program.py
@@ -3,13 +3,16 @@
 from __future__ import annotations
 
 import sys
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
 from emulator.proxy_program import DEPLOY_FILE, ProgramError, ProxyProgram
 from emulator.result import ROOT
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 RUN = 'run = "exec .venv/bin/python -m former"\n'
 
 
--- a/tests/emulator/test_registry_state.py
+++ b/tests/emulator/test_registry_state.py
@@ -2,12 +2,16 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 import orjson
-import pytest
 
 from emulator.registry_state import RegistryState
 from tests.support.small_fleet import FLEET, changed
 
+if TYPE_CHECKING:
+    import pytest
+
 
 def test_the_log_bounds_what_can_be_resumed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("emulator.registry_state.MAX_LOG_ENTRIES", 3)
--- a/tests/emulator/test_result.py
+++ b/tests/emulator/test_result.py
@@ -3,10 +3,13 @@
 from __future__ import annotations
 
 import json
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 from emulator.result import ROOT, commit, write_result
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 
 def test_a_result_names_its_seed_machine_and_versions(tmp_path: Path) -> None:
     path = write_result("trial", 7, {"points": [[1, 2.0]]}, tmp_path / "deep" / "out")
--- a/tests/proxy/downstream/test_accept_failures.py
+++ b/tests/proxy/downstream/test_accept_failures.py
@@ -6,8 +6,7 @@
 import errno
 import os
 import socket
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -23,6 +22,9 @@
 )
 from tests.support.proxy_inputs import endpoint_entry, post_request, proxy_config
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 RESOURCE_ERRORS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM]  # of the system or the process
 ACCEPT_ERRORS = [errno.ECONNABORTED, errno.EPROTO, *RESOURCE_ERRORS]  # and of one connection
 MAX_DELAY = 0.02  # seconds by which such failures may hold up a connection
--- a/tests/proxy/downstream/test_unread_responses.py
+++ b/tests/proxy/downstream/test_unread_responses.py
@@ -4,10 +4,10 @@
 
 import asyncio
 import socket
+from typing import TYPE_CHECKING
 
 import pytest
 
-from proxy.downstream.connection import DownstreamConnection
 from proxy.downstream.eviction import CLOSING_TIMEOUT, IDLE_TIMEOUT
 from tests.support.client_scenarios import connect_slow_reader
 from tests.support.loopback import (
@@ -21,6 +21,9 @@
 from tests.support.proxy_inputs import OK_RESPONSE, get_request, post_request
 from tests.support.proxy_internals import unwritten_bytes
 
+if TYPE_CHECKING:
+    from proxy.downstream.connection import DownstreamConnection
+
 FOUR_CLIENTS = 48 + 8  # descriptors: 48 are reserved, clients may use half of the others
 NEWCOMERS = 12  # clients that come while a response is read
 SMALL_SEND_BUFFER = 4096  # bytes: as much of a response waits in the proxy as on a slow network
--- a/tests/proxy/test_config.py
+++ b/tests/proxy/test_config.py
@@ -4,8 +4,7 @@
 
 import json
 import os
-from collections.abc import Callable
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -14,6 +13,10 @@
 from tests.support.config_files import BAD_FILES, file_with, file_with_settings, raw_config
 from tests.support.proxy_inputs import HOST
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from pathlib import Path
+
 
 @pytest.mark.parametrize("content", BAD_FILES.values(), ids=BAD_FILES)
 def test_proxy_does_not_start_from_a_bad_file(
--- a/tests/proxy/test_event_log.py
+++ b/tests/proxy/test_event_log.py
@@ -4,8 +4,7 @@
 
 import os
 from contextlib import suppress
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import orjson
 
@@ -14,6 +13,9 @@
 from tests.support.loopback import RunningProxy, in_event_loop, respond_ok, stub_backend
 from tests.support.proxy_inputs import endpoint_entry, get_request, proxy_config, status_of
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 
 def read_events(path: Path) -> list[dict[str, Any]]:
     """Return the lines of a log."""
--- a/tests/proxy/test_invariants.py
+++ b/tests/proxy/test_invariants.py
@@ -2,9 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any
-
-import pytest
+from typing import TYPE_CHECKING, Any
 
 from balancer.attempts import RequestState
 from balancer.balancer import Balancer
@@ -30,6 +28,9 @@
     status_of,
 )
 
+if TYPE_CHECKING:
+    import pytest
+
 
 def allow_everything(*_args: Any) -> None:
     """Refuse no attempt: a broken `Balancer.send_rejection`."""
--- a/tests/proxy/test_log.py
+++ b/tests/proxy/test_log.py
@@ -7,8 +7,8 @@
 import logging
 import os
 import sys
-from collections.abc import Awaitable, Callable, Iterator
 from contextlib import suppress
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -17,6 +17,9 @@
 from proxy.process import report_exception
 from tests.support.loopback import in_event_loop
 
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable, Iterator
+
 LONG_TEXT = "x" * 100_000  # more than a pipe takes
 
 
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -10,11 +10,9 @@
 import signal
 import sys
 import threading
-from asyncio.subprocess import Process
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager, suppress
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -56,6 +54,10 @@
     request_of_class,
 )
 
+if TYPE_CHECKING:
+    from asyncio.subprocess import Process
+    from pathlib import Path
+
 MAX_LOG_LINE = 600  # characters
 BACKENDS_AT_SIZE = 910
 
--- a/tests/proxy/test_reload_active_requests.py
+++ b/tests/proxy/test_reload_active_requests.py
@@ -2,9 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -30,6 +28,10 @@
 from tests.support.proxy_internals import is_receiving_response
 from tests.support.reloadable_proxy import reloadable_proxy_with_backend, request_of_class
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from pathlib import Path
+
 IDEMPOTENT = {"Repeat": "retryable"}
 NON_IDEMPOTENT = {"Repeat": "fragile"}
 ERROR_RESPONSE = b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
--- a/tests/proxy/test_retry_races.py
+++ b/tests/proxy/test_retry_races.py
@@ -6,12 +6,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
-from balancer.settings import Settings
 from balancer.settings_reader import read_settings
 from proxy.upstream.keepalive_policy import REST_AFTER_RESPONSE
 from tests.support.loopback import (
@@ -25,6 +23,11 @@
 )
 from tests.support.proxy_inputs import OK_RESPONSE, RAW_SETTINGS, endpoint_entry, post_request, status_of
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from balancer.settings import Settings
+
 ERROR_RESPONSE = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
 WINDOW = 1.0  # seconds in which backends discard the repeat of a keyed request
 
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -8,7 +8,7 @@
 import socket
 import subprocess
 import sys
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -44,6 +44,9 @@
     write_config,
 )
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 #: A configuration whose endpoint list is not valid.
 INVALID_LIST = raw_config(limits={"sockets": 64}, known={"index": 1, "endpoints": [{"name": "a"}]})
 
--- a/tests/proxy/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-import socket
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -29,6 +28,9 @@
     status_of,
 )
 
+if TYPE_CHECKING:
+    import socket
+
 KILL_DELAY = 3.0 + 0.7  # seconds after SIGTERM at which SIGKILL may come, by the protocol
 MAX_SHUTDOWN_TIME = KILL_DELAY + 1.0  # seconds after which a shutdown is given up
 ACCEPT_TIME = 0.7  # seconds after SIGTERM by which new connections are accepted no more
--- a/tests/proxy/test_start_signals.py
+++ b/tests/proxy/test_start_signals.py
@@ -13,10 +13,8 @@
 import signal
 import sys
 import tomllib
-from asyncio.subprocess import Process
-from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -32,6 +30,11 @@
     wait_until_ready,
 )
 
+if TYPE_CHECKING:
+    from asyncio.subprocess import Process
+    from collections.abc import AsyncIterator, Callable
+    from pathlib import Path
+
 RUN_COMMAND = tomllib.loads((PROJECT_ROOT / "deploy" / "balancer.toml").read_text())["run"]
 DEPLOYED_INTERPRETER = ".venv/bin/python"
 
--- a/tests/proxy/test_startup.py
+++ b/tests/proxy/test_startup.py
@@ -5,9 +5,8 @@
 import asyncio
 import os
 import signal
-from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -35,6 +34,9 @@
     status_of,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+
 READINESS_DEADLINE = 10.0  # seconds in which nine in ten proxies have to be ready
 READY_SHARE = 0.9
 TIER_SIZE = 20  # proxies
--- a/tests/proxy/upstream/test_attempt_races.py
+++ b/tests/proxy/upstream/test_attempt_races.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -23,6 +22,9 @@
 from tests.support.proxy_inputs import OK_RESPONSE, endpoint_entry, get_request, post_request, status_of
 from tests.support.proxy_internals import dials_in_progress, established_connections
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 LATE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate"
 
 
--- a/tests/soak/test_judge.py
+++ b/tests/soak/test_judge.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import replace
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -21,6 +21,9 @@
     Span,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 SENT_AT = 100.0
 FOREVER = float("inf")
 
--- a/tests/support/client_scenarios.py
+++ b/tests/support/client_scenarios.py
@@ -5,14 +5,16 @@
 import asyncio
 import socket
 import struct
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from balancer.settings import Settings
 from balancer.settings_reader import read_settings
-from proxy.downstream.connection import DownstreamConnection
 from tests.support.loopback import Client, RunningProxy, StubBackend, wait_until
 from tests.support.proxy_inputs import HOST, RAW_SETTINGS, post_request
 
+if TYPE_CHECKING:
+    from balancer.settings import Settings
+    from proxy.downstream.connection import DownstreamConnection
+
 #: A request with a chunked body.
 CHUNKED_REQUEST = post_request(
     Content_Length="", Transfer_Encoding="chunked", body=b"2\r\nro\r\n2\r\nom\r\n0\r\n\r\n"
--- a/tests/support/decision_helpers.py
+++ b/tests/support/decision_helpers.py
@@ -4,12 +4,15 @@
 
 from heapq import heappop, heappush
 from random import Random
+from typing import TYPE_CHECKING
 
 from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, UpdateKind
 from balancer.events import Outcome, SetTimer, StartAttempt
 from balancer.settings import Idempotency, RequestClass, Settings
-from tests.support.rules_checker import RulesChecker
+
+if TYPE_CHECKING:
+    from tests.support.rules_checker import RulesChecker
 
 IDEMPOTENT = RequestClass(
     "a", latency_objective=1.0, deadline=4.0, idempotency=Idempotency.IDEMPOTENT, priority_weight=1.0
--- a/tests/support/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -4,14 +4,17 @@
 
 import asyncio
 import json
-from collections.abc import AsyncIterator, Callable, Sequence
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from tests.support.loopback import ManualClock
 from tests.support.proxy_inputs import HOST, endpoint_entry
 
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator, Callable, Sequence
+
+    from tests.support.loopback import ManualClock
+
 TRICKLE_INTERVAL = 0.5  # seconds between two pieces of what trickles
 CLOCK_STEP = 0.05  # seconds
 MAX_DELIVERY_TIME = 18.0  # seconds after which a delivery is given up: three times the deadline
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -7,10 +7,13 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 from tests.support.paths import PROJECT_ROOT
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 MAX_ENTRIES = 3
 FIELD_COUNT = 3
 SEPARATOR = "|"
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -14,17 +14,10 @@
 from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine
 from contextlib import AsyncExitStack, asynccontextmanager, suppress
 from string import ascii_lowercase
-from typing import Any, ParamSpec, TypeVar
+from typing import TYPE_CHECKING, Any, ParamSpec, TypeVar
 
-import pytest
-
-from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
-from proxy.dispatcher import Dispatcher
-from proxy.downstream.listener import Listener
-from proxy.endpoint_table import EndpointTable
 from proxy.proxy import Proxy
-from proxy.upstream import ConnectionPool
 from tests.support.proxy_inputs import (
     HOST,
     MAX_WAIT,
@@ -34,6 +27,15 @@
     proxy_config,
 )
 
+if TYPE_CHECKING:
+    import pytest
+
+    from balancer.balancer import Balancer
+    from proxy.dispatcher import Dispatcher
+    from proxy.downstream.listener import Listener
+    from proxy.endpoint_table import EndpointTable
+    from proxy.upstream import ConnectionPool
+
 CLOSE_CONNECTION = b""  # a script's result that closes the connection without a response
 UNLIMITED = 1 << 30  # connection attempts that a `ConnectGate` lets pass
 SETTLE_TURNS = 100  # turns of the event loop in which all that is on its way on loopback arrives
--- a/tests/support/pool_scenario.py
+++ b/tests/support/pool_scenario.py
@@ -3,20 +3,23 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from balancer.events import Outcome
-from balancer.settings import Settings
 from balancer.settings_reader import read_settings
 from proxy.config import Address
 from proxy.upstream.attempt import UpstreamAttempt
 from proxy.upstream.backend import Backend as PoolBackend
 from proxy.upstream.connection_pool import ConnectionPool
-from proxy.upstream.response_parser import UpstreamResponse
 from tests.support.loopback import StubBackend, with_timeout
 from tests.support.proxy_inputs import MAX_WAIT, OK_RESPONSE, RAW_SETTINGS, post_request
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from balancer.settings import Settings
+    from proxy.upstream.response_parser import UpstreamResponse
+
 
 def answer_first_request(response: bytes | None) -> Callable[[bytes], bytes | None]:
     """A script that several backends share: this response for the first request, then OK."""
--- a/tests/support/proxy_inputs.py
+++ b/tests/support/proxy_inputs.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from balancer.settings import Settings
 from balancer.settings_reader import read_settings
 from proxy.config import Address, Config
 
+if TYPE_CHECKING:
+    from balancer.settings import Settings
+
 HOST = "127.0.0.1"
 MAX_WAIT = 20.0  # seconds that any wait may take on a loaded machine
 NO_DISCOVERY_PORT = 9  # discovery's port where nobody is to listen
--- a/tests/support/proxy_internals.py
+++ b/tests/support/proxy_internals.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
-import asyncio
+from typing import TYPE_CHECKING
 
-from proxy.active_request import ActiveRequest
-from proxy.downstream.connection import DownstreamConnection
-from proxy.upstream import ConnectionPool, UpstreamAttempt
-from proxy.upstream.connection import UpstreamConnection
+if TYPE_CHECKING:
+    import asyncio
+
+    from proxy.active_request import ActiveRequest
+    from proxy.downstream.connection import DownstreamConnection
+    from proxy.upstream import ConnectionPool, UpstreamAttempt
+    from proxy.upstream.connection import UpstreamConnection
 
 
 def is_receiving_response(request: ActiveRequest) -> bool:
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -6,17 +6,19 @@
 import json
 import os
 import sys
-from asyncio.subprocess import Process
-from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from tests.support.config_files import raw_config
 from tests.support.loopback import connect
 from tests.support.paths import PROJECT_ROOT
 from tests.support.proxy_inputs import HEALTH_REQUEST, MAX_WAIT, status_of
 
+if TYPE_CHECKING:
+    from asyncio.subprocess import Process
+    from collections.abc import AsyncIterator
+    from pathlib import Path
+
 
 def environment_without_proxy() -> dict[str, str]:
     """Return this process's environment without the variables that a proxy reads."""
--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
 from dataclasses import replace
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from hypothesis import strategies as st
 
@@ -20,7 +19,11 @@
     Settings,
     Tenant,
 )
-from tests.support.rules_checker import RulesChecker
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from tests.support.rules_checker import RulesChecker
 
 RULES = Rules(
     answer_slack=0.02,
--- a/tests/support/reloadable_proxy.py
+++ b/tests/support/reloadable_proxy.py
@@ -4,10 +4,8 @@
 
 import json
 import os
-from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from proxy.config import load
 from proxy.proxy import Proxy
@@ -23,6 +21,10 @@
     status_of,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+    from pathlib import Path
+
 
 class ConfigFile:
     """The configuration file of a proxy.
--- a/tests/support/small_fleet.py
+++ b/tests/support/small_fleet.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
-from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
+from typing import TYPE_CHECKING
 
 from emulator import topology
 from emulator.registry import Registry
 
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+
 SEED, BACKENDS, SERVICES = 1, 20, 4
 FLEET = topology.build(SEED, BACKENDS, SERVICES)
 NAMES = [entry["name"] for entry in FLEET.entries]
--- a/tests/support/warming_fleet.py
+++ b/tests/support/warming_fleet.py
@@ -9,20 +9,22 @@
 from __future__ import annotations
 
 from bisect import bisect_left, bisect_right
-from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 from functools import partial
 from heapq import heappop, heappush
 from itertools import accumulate
 from math import sqrt
 from random import Random
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
 from balancer.events import Action, CancelAttempt, Outcome, Reject, SetTimer, StartAttempt
 from balancer.settings import DeduplicationScope, Idempotency, Limits, RequestClass, Rules, Settings
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 EARLY_OVERLOAD = Rules(
     warmup_initial_capacity=0.32, warmup_duration=9.0, overload_multiple=3.0, overload_interval=2.0
 )
