--- a/emulator/cli.py
+++ b/emulator/cli.py
@@ -1,7 +1,7 @@
 """The command line: which runs there are, their options, and what they print and exit with.
 
 What a run measures is in its module of `emulator.runs`, and the limits of its figures are in
-`emulator.budgets`.
+`emulator.measurement.budgets`.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
 import click
 import psutil
 
-from emulator.budgets import check_budgets
-from emulator.processes import ProcessError
-from emulator.result import RESULTS, ROOT
-from emulator.runs import added_latency, fleet, hollow, settings_reload, slopes
+from emulator.measurement.budgets import check_budgets
+from emulator.measurement.result import RESULTS
+from emulator.runs import added_latency, fleet, settings_reload, simulated_cost, slopes
 from emulator.runs.common import RunOptions, RunResult, report_progress, time_limit
+from testbed.paths import PROJECT_ROOT
+from testbed.processes import ProcessError
 
 Run = Callable[[RunOptions], RunResult]
 
@@ -27,7 +28,7 @@
 TIME_LIMIT, TIME_LIMIT_QUICK = 300, 60  # seconds that one run may take
 RUNS: dict[str, Run] = {
     "slopes": slopes.run,
-    "hollow": hollow.run,
+    "hollow": simulated_cost.run,
     "fleet": fleet.run,
     settings_reload.NAME: settings_reload.run,
 }
@@ -80,7 +81,7 @@
 
     @click.command(name, help=(run.__doc__ or name).partition("\n")[0])
     @run_options
-    def command(seed: int, out: Path, quick: bool, program: Path = ROOT) -> None:
+    def command(seed: int, out: Path, quick: bool, program: Path = PROJECT_ROOT) -> None:
         """Do the run; exits 1 where an enforced budget is violated."""
         result = _run_within_limit(run, RunOptions(seed, out, quick, program))
         report_progress(name, f"result in {result.path}")
@@ -89,7 +90,7 @@
     if name in RUNS_OF_ANY_PROGRAM:
         click.option(
             "--program",
-            default=ROOT,
+            default=PROJECT_ROOT,
             help="Tree of the proxy to measure, run by its deploy/balancer.toml (default: this tree).",
             type=click.Path(exists=True, file_okay=False, resolve_path=True, path_type=Path),
         )(command)
--- a/emulator/real_proxies.py
+++ b/emulator/fleet/real_proxies.py
@@ -11,16 +11,16 @@
 from tempfile import TemporaryDirectory
 from typing import TYPE_CHECKING
 
-from emulator.fleet_settings import proxy_settings
-from emulator.processes import inherited_environment
-from emulator.proxy_config import ProxyConfig
-from emulator.proxy_program import ProxyProgram
-from emulator.result import ROOT
+from emulator.fleet.settings import proxy_settings
+from testbed.paths import PROJECT_ROOT
+from testbed.processes import inherited_environment
+from testbed.proxy_config import ProxyConfig
+from testbed.proxy_program import ProxyProgram
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from emulator.topology import Topology
+    from emulator.fleet.topology import Topology
 
 EMPTY_SNAPSHOT = {"index": 0, "snapshot": True, "endpoints": []}
 
@@ -28,7 +28,7 @@
 @contextmanager
 def real_proxies(topology: Topology, ports: list[int], discovery_port: int) -> Iterator[list[int]]:
     """Run one real proxy for each port; yields their process ids, and kills them after the block."""
-    program = ProxyProgram.of_tree(ROOT)
+    program = ProxyProgram.of_tree(PROJECT_ROOT)
     running: list[subprocess.Popen[bytes]] = []
     with TemporaryDirectory() as folder:
         try:
--- a/emulator/role_processes.py
+++ b/emulator/fleet/role_processes.py
@@ -5,8 +5,8 @@
 import json
 from typing import TYPE_CHECKING
 
-from emulator.load_plan import LoadPlan, LoadReport
-from emulator.processes import STARTUP_TIMEOUT, ManagedProcess, python_command, start_process
+from emulator.load.plan import LoadPlan, LoadReport
+from testbed.processes import STARTUP_TIMEOUT, ManagedProcess, python_command, start_process
 
 if TYPE_CHECKING:
     from contextlib import AsyncExitStack
@@ -27,7 +27,7 @@
     ) -> BackendProcess:
         """Start a backend, which ends with the stack, or by itself after `seconds`."""
         command = python_command(
-            "-m", "emulator.backend_stub", "--ports", str(port_count), "--seconds", str(seconds)
+            "-m", "testbed.backend_stub", "--ports", str(port_count), "--seconds", str(seconds)
         )
         process = await start_process(stack, command, cores)
         return cls(process, json.loads(await process.read_line(STARTUP_TIMEOUT)))
@@ -44,7 +44,7 @@
         cls, stack: AsyncExitStack, cores: frozenset[int], plan: LoadPlan
     ) -> LoadGeneratorProcess:
         """Start a load generator, which ends with the stack, and wait until it is ready."""
-        process = await start_process(stack, python_command("-m", "emulator.load_generator"), cores)
+        process = await start_process(stack, python_command("-m", "emulator.load.generator"), cores)
         await process.write_line(plan.to_line())
         await process.read_line(STARTUP_TIMEOUT)
         return cls(process)
--- a/emulator/fleet_settings.py
+++ b/emulator/fleet/settings.py
@@ -1,14 +1,14 @@
 """The settings of a proxy of the simulated fleet, in the form of the configuration file.
 
-The file itself is in `emulator.proxy_config`; proxies in front of the stub backend have the settings of
-`emulator.stub_fleet`.
+The file itself is in `testbed.proxy_config`; proxies in front of the stub backend have the settings of
+`emulator.fleet.stub_fleet`.
 """
 
 from __future__ import annotations
 
 from typing import Any
 
-from emulator.topology import TYPES, ZONES, Topology
+from emulator.fleet.topology import TYPES, ZONES, Topology
 
 
 def proxy_settings(topology: Topology, position: int, fleet_size: int | None = None) -> dict[str, Any]:
--- a/emulator/simulated_host.py
+++ b/emulator/fleet/simulated_host.py
@@ -13,10 +13,11 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from emulator import meter, topology
-from emulator.change_ages import AgeReport, Publications, age_histogram, record_age
-from emulator.fleet_settings import proxy_settings
-from emulator.simulated_proxy import SimulatedProxy, endpoint_reader
+from emulator.fleet import topology
+from emulator.fleet.settings import proxy_settings
+from emulator.fleet.simulated_proxy import SimulatedProxy, endpoint_reader
+from emulator.measurement.change_ages import AgeReport, Publications, age_histogram, record_age
+from testbed import meter
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/emulator/simulated_proxy.py
+++ b/emulator/fleet/simulated_proxy.py
@@ -14,12 +14,12 @@
 from balancer.endpoints import UpdateKind
 from balancer.events import Outcome, StartAttempt
 from balancer.settings_reader import read_settings
-from emulator import topology
-from emulator.change_ages import AppliedUpdate, Publications, ages_when_applied
-from emulator.loopback import HOST
+from emulator.fleet import topology
+from emulator.measurement.change_ages import AppliedUpdate, Publications, ages_when_applied
 from proxy.config import Address
 from proxy.discovery.endpoint_reader import DiscoveredEndpoint, EndpointReader
 from proxy.discovery.watch import DiscoveryClient
+from testbed.loopback import HOST
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
--- a/emulator/stub_fleet.py
+++ b/emulator/fleet/stub_fleet.py
@@ -1,18 +1,18 @@
 """Proxies in front of the stub backend: their endpoint list and their settings.
 
-The proxies of a simulated fleet, with services and zones, are configured in `emulator.fleet_settings`.
+The proxies of a simulated fleet, with services and zones, are configured in `emulator.fleet.settings`.
 """
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Any
 
-from emulator.loopback import HOST
+from testbed.loopback import HOST
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from emulator.topology import Entry
+    from testbed.discovery.entry import Entry
 
 
 def endpoint_snapshot(rows: int, ports: Sequence[int]) -> dict[str, Any]:
--- a/emulator/topology.py
+++ b/emulator/fleet/topology.py
@@ -1,16 +1,19 @@
 """The simulated fleet: backends in services, zones and regions, drawn from a seed.
 
 It owns who exists, where, and which service calls which. What a proxy of the fleet is configured with is in
-`fleet_settings`.
+`emulator.fleet.settings`.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING
 
 import numpy as np
 
+if TYPE_CHECKING:
+    from testbed.discovery.entry import Entry
+
 BACKENDS, SERVICES = 910, 78
 ZONES = ("a", "b", "c", "d", "e")
 REGION_OF = {"a": 0, "b": 0, "c": 0, "d": 1, "e": 1}  # the region of each zone
@@ -19,7 +22,6 @@
 GROUP_SIZE = 12  # backends that share a group, about
 MAX_CALLED_SERVICES = 6  # by one service
 MIN_CALLED_BACKENDS, MAX_CALLED_BACKENDS = 12, 100  # of all services that one calls, about
-Entry = dict[str, Any]  # a backend as discovery's protocol describes it: a JSON object
 
 
 @dataclass(slots=True, frozen=True)
--- /dev/null
+++ b/emulator/load/__init__.py
@@ -0,0 +1,1 @@
+"""Load: calls at scheduled times, and watches on discovery."""
--- a/emulator/load_generator.py
+++ b/emulator/load/generator.py
@@ -1,8 +1,8 @@
 """An open-loop load generator: calls start at their scheduled times, whatever became of those before.
 
-Run as `python -m emulator.load_generator`: it reads its `LoadPlan` as one JSON line, prints `ready`, waits
+Run as `python -m emulator.load.generator`: it reads its `LoadPlan` as one JSON line, prints `ready`, waits
 for a line, makes the calls, prints its `LoadReport` as one JSON line, and ends with its input. What a plan
-and a report hold is in `emulator.load_plan`.
+and a report hold is in `emulator.load.plan`.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from emulator.latency import encode, histogram_of, to_microseconds
-from emulator.load_plan import SERVED, LoadPlan, LoadReport, ScheduledCall, StreamReport, schedule_calls
-from emulator.loopback import HOST
+from emulator.load.plan import SERVED, LoadPlan, LoadReport, ScheduledCall, StreamReport, schedule_calls
+from emulator.measurement.latency import encode, histogram_of, to_microseconds
+from testbed.loopback import HOST
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/emulator/load_plan.py
+++ b/emulator/load/plan.py
@@ -1,6 +1,6 @@
 """What a load generator does and what it reports: plain values, and the JSON lines that carry them.
 
-Nothing here opens a connection or reads a clock: that is `emulator.load_generator`.
+Nothing here opens a connection or reads a clock: that is `emulator.load.generator`.
 """
 
 from __future__ import annotations
@@ -82,7 +82,7 @@
     """What became of one stream's calls.
 
     Attributes:
-        ended: Number of calls by outcome: a status, or an outcome of `emulator.load_generator`.
+        ended: Number of calls by outcome: a status, or an outcome of `emulator.load.generator`.
         histogram: Latencies of the counted calls that were served, in HDR's compressed form.
     """
 
--- a/emulator/watch_load.py
+++ b/emulator/load/watches.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-from emulator.loopback import HOST
+from testbed.loopback import HOST
 
 WATCH_REQUEST = b"GET /v1/servers?follow=1&since=0 HTTP/1.1\r\nHost: %b\r\n\r\n" % HOST.encode()
 
--- a/emulator/result.py
+++ b/emulator/measurement/result.py
@@ -11,11 +11,14 @@
 import subprocess
 from datetime import UTC, datetime
 from importlib import metadata
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-ROOT = Path(__file__).resolve().parent.parent
-RESULTS = ROOT / "results"  # where results go by default
+from testbed.paths import PROJECT_ROOT
+
+if TYPE_CHECKING:
+    from pathlib import Path
+
+RESULTS = PROJECT_ROOT / "results"  # where results go by default
 GIT_TIMEOUT = 10  # seconds
 LIBRARIES = ("httptools", "orjson", "click", "hdrhistogram", "numpy", "psutil")
 
@@ -58,7 +61,7 @@
     return completed.stdout.strip()
 
 
-def commit(root: Path = ROOT) -> str:
+def commit(root: Path = PROJECT_ROOT) -> str:
     """Return the commit of a tree, followed by "+" where tracked files have uncommitted changes.
 
     It is "unknown" where there is no history; a folder within a tree has none of its own.
@@ -79,7 +82,7 @@
         name: The run's name, as `RunOptions.result_name` has it.
         seed: The run's seed.
         body: What the run measured: plain values, lists and dicts. Its key `figures`, if any, maps the names
-            of budgets (`emulator.budgets`) to the figures measured.
+            of budgets (`emulator.measurement.budgets`) to the figures measured.
         out: The folder, which is created where it is missing.
 
     Raises:
--- a/emulator/usage_sampler.py
+++ b/emulator/measurement/usage_sampler.py
@@ -9,13 +9,13 @@
 import time
 from typing import TYPE_CHECKING
 
-from emulator.meter import Series
+from testbed.meter import Series
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
     from types import TracebackType
 
-    from emulator.child import ChildProcess
+    from testbed.child_process import ChildProcess
 
 SAMPLING_INTERVAL = 0.25  # seconds between two readings
 
--- a/emulator/runs/added_latency.py
+++ b/emulator/runs/added_latency.py
@@ -18,20 +18,21 @@
 import click
 import numpy as np
 
-from emulator.health_check import wait_until_healthy
-from emulator.load_plan import LoadPlan, Stream
-from emulator.loopback import free_ports
-from emulator.placement import Placement, place
-from emulator.processes import STARTUP_TIMEOUT, ManagedProcess
-from emulator.proxy_config import ProxyConfig
-from emulator.proxy_program import ProxyProgram
-from emulator.result import ROOT, write_result
-from emulator.role_processes import MAX_BACKEND_PORTS, BackendProcess, LoadGeneratorProcess
+from emulator.fleet.placement import Placement, place
+from emulator.fleet.role_processes import MAX_BACKEND_PORTS, BackendProcess, LoadGeneratorProcess
+from emulator.fleet.stub_fleet import endpoint_snapshot, stub_proxy_settings
+from emulator.load.plan import LoadPlan, Stream
+from emulator.measurement.result import write_result
 from emulator.runs.common import RunOptions, RunResult
 from emulator.runs.latency_report import ALL_PROXIES, TrialReport, TrialUsage, UsagePair, budget_figures
 from emulator.runs.latency_trials import WARMUP, Trial, quick_schedule, schedule
-from emulator.stub_fleet import endpoint_snapshot, stub_proxy_settings
-from emulator.watch_stub import serve_snapshot
+from testbed.discovery.watch_stub import serve_snapshot
+from testbed.health_check import wait_until_healthy
+from testbed.loopback import free_ports
+from testbed.paths import PROJECT_ROOT
+from testbed.processes import STARTUP_TIMEOUT, ManagedProcess
+from testbed.proxy_config import ProxyConfig
+from testbed.proxy_program import ProxyProgram
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -48,7 +49,7 @@
     folder = Path(stack.enter_context(TemporaryDirectory()))
     # Drawn by the trial's name as well: two trials that run at once must not try the same ports.
     ports = free_ports(len(trial.rates), np.random.default_rng([seed, *trial.name.encode()]))
-    program = ProxyProgram.of_tree(ROOT)
+    program = ProxyProgram.of_tree(PROJECT_ROOT)
     processes = []
     for ordinal, (port, cores) in enumerate(zip(ports, placement.proxies, strict=True)):
         path = folder / f"n{ordinal}.json"
--- a/emulator/runs/common.py
+++ b/emulator/runs/common.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from emulator.result import ROOT
+from testbed.paths import PROJECT_ROOT
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -36,7 +36,7 @@
     seed: int
     out: Path
     quick: bool
-    program: Path = ROOT
+    program: Path = PROJECT_ROOT
 
     def result_name(self, run: str) -> str:
         """Name a run's result so that a small edition does not overwrite a full one."""
--- a/emulator/runs/endpoint_changes.py
+++ b/emulator/runs/endpoint_changes.py
@@ -13,7 +13,7 @@
 
     import numpy as np
 
-    from emulator.topology import Entry
+    from testbed.discovery.entry import Entry
 
 
 class EndpointChanges:
--- a/emulator/runs/fleet.py
+++ b/emulator/runs/fleet.py
@@ -11,7 +11,7 @@
 from dataclasses import asdict, dataclass
 from typing import TYPE_CHECKING, Any
 
-from emulator.result import write_result
+from emulator.measurement.result import write_result
 from emulator.runs.common import RunOptions, RunResult, report_progress
 from emulator.runs.fleet_events import EVENTS
 from emulator.runs.fleet_measurement import measure
--- a/emulator/runs/fleet_figures.py
+++ b/emulator/runs/fleet_figures.py
@@ -8,12 +8,12 @@
 from dataclasses import asdict, dataclass
 from typing import TYPE_CHECKING, Any
 
-from emulator.change_ages import MICROSECONDS, AgeReport, age_histogram, record_age
+from emulator.measurement.change_ages import MICROSECONDS, AgeReport, age_histogram, record_age
 
 if TYPE_CHECKING:
     from hdrh.histogram import HdrHistogram
 
-    from emulator.registry import RegistryUsage
+    from testbed.discovery.registry import RegistryUsage
 
 
 @dataclass(slots=True, frozen=True)
--- a/emulator/runs/fleet_layout.py
+++ b/emulator/runs/fleet_layout.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from emulator.topology import REGION_OF, Topology
+from emulator.fleet.topology import REGION_OF, Topology
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/emulator/runs/fleet_measurement.py
+++ b/emulator/runs/fleet_measurement.py
@@ -12,14 +12,14 @@
 
 import psutil
 
-from emulator.meter import MB, WORST_WINDOW
+from emulator.measurement.usage_sampler import UsageSampler
 from emulator.runs.fleet_figures import EventAges, EventMeasurement, MachineCost, ProxyFigures
-from emulator.usage_sampler import UsageSampler
+from testbed.meter import MB, WORST_WINDOW
 
 if TYPE_CHECKING:
-    from emulator.registry import RegistryUsage
     from emulator.runs.fleet_events import FleetEvent
     from emulator.runs.simulated_fleet import SimulatedFleet
+    from testbed.discovery.registry import RegistryUsage
 
 MAX_MEMORY_FRACTION = 0.5  # of this machine's memory; a run that takes more ends
 APPLY_TIMEOUT = 60.0  # seconds that a change may take to be applied everywhere before it counts as missing
--- a/emulator/runs/fleet_plans.py
+++ b/emulator/runs/fleet_plans.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from emulator import topology
+from emulator.fleet import topology
 
 
 @dataclass(slots=True, frozen=True)
--- a/emulator/runs/latency_report.py
+++ b/emulator/runs/latency_report.py
@@ -9,16 +9,16 @@
 from dataclasses import asdict, dataclass
 from typing import TYPE_CHECKING, Any
 
-from emulator.latency import Distribution, Quantiles, merge
-from emulator.load_plan import SERVED, LoadReport, StreamReport
-from emulator.meter import MB
+from emulator.load.plan import SERVED, LoadReport, StreamReport
+from emulator.measurement.latency import Distribution, Quantiles, merge
 from emulator.runs.latency_trials import ALL_ROWS, AVERAGE_RATE, SERVICE_ROWS, WARMUP, Trial, fleet, one_proxy
+from testbed.meter import MB
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-    from emulator.placement import Placement
-    from emulator.processes import ProcessUsage
+    from emulator.fleet.placement import Placement
+    from testbed.processes import ProcessUsage
 
 ALL_PROXIES = "all"  # the group of calls through any proxy
 
--- a/emulator/runs/reloadable_proxy.py
+++ b/emulator/runs/reloadable_proxy.py
@@ -9,20 +9,20 @@
 
 import numpy as np
 
-from emulator.health_check import configuration_version, fetch_health, wait_until_healthy
-from emulator.loopback import free_ports
-from emulator.proxy_config import ProxyConfig
+from emulator.fleet.stub_fleet import endpoint_snapshot
 from emulator.runs.settings_changes import settings_after
-from emulator.stub_fleet import endpoint_snapshot
-from emulator.watch_stub import serve_snapshot
+from testbed.discovery.watch_stub import serve_snapshot
+from testbed.health_check import configuration_version, fetch_health, wait_until_healthy
+from testbed.loopback import free_ports
+from testbed.proxy_config import ProxyConfig
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
     from contextlib import AsyncExitStack
     from pathlib import Path
 
-    from emulator.processes import ManagedProcess
-    from emulator.proxy_program import ProxyProgram
+    from testbed.processes import ManagedProcess
+    from testbed.proxy_program import ProxyProgram
 
 HEALTH_TIMEOUT = 1.0  # seconds that one health check may take
 RANDOM_STREAM = 4  # keeps the ports drawn here apart from what other runs draw from the same seed
--- a/emulator/runs/settings_changes.py
+++ b/emulator/runs/settings_changes.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from emulator.stub_fleet import stub_proxy_settings
+from emulator.fleet.stub_fleet import stub_proxy_settings
 
 #: What changes, one after the other; results name each kind so: latency objective, tenant quota, fleet size,
 #: and a request class more or less.
--- a/emulator/runs/settings_reload.py
+++ b/emulator/runs/settings_reload.py
@@ -16,16 +16,13 @@
 from tempfile import TemporaryDirectory
 from typing import TYPE_CHECKING, Any
 
-from emulator.fit import MIN_POINTS, fit_all
-from emulator.health_check import applied_between, has_label
-from emulator.latency import Distribution, merge
-from emulator.load_plan import LoadPlan, Stream
-from emulator.meter import MB, process_usage
-from emulator.placement import place
-from emulator.processes import STARTUP_TIMEOUT
-from emulator.proxy_program import ProxyProgram
-from emulator.result import commit, write_result
-from emulator.role_processes import MAX_BACKEND_PORTS, BackendProcess, LoadGeneratorProcess
+from emulator.fleet.placement import place
+from emulator.fleet.role_processes import MAX_BACKEND_PORTS, BackendProcess, LoadGeneratorProcess
+from emulator.fleet.topology import BACKENDS
+from emulator.load.plan import LoadPlan, Stream
+from emulator.measurement.fit import MIN_POINTS, fit_all
+from emulator.measurement.latency import Distribution, merge
+from emulator.measurement.result import commit, write_result
 from emulator.runs.common import (
     CHANGES_PER_DAY,
     SECONDS_PER_DAY,
@@ -46,7 +43,10 @@
     ReloadCost,
     budget_figures,
 )
-from emulator.topology import BACKENDS
+from testbed.health_check import applied_between, has_label
+from testbed.meter import MB, process_usage
+from testbed.processes import STARTUP_TIMEOUT
+from testbed.proxy_program import ProxyProgram
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/emulator/runs/settings_report.py
+++ b/emulator/runs/settings_report.py
@@ -6,8 +6,8 @@
 from dataclasses import asdict, dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from emulator.latency import Distribution, histogram_of, to_microseconds
-from emulator.load_plan import SERVED
+from emulator.load.plan import SERVED
+from emulator.measurement.latency import Distribution, histogram_of, to_microseconds
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping, Sequence
--- a/emulator/runs/hollow.py
+++ b/emulator/runs/simulated_cost.py
@@ -2,7 +2,7 @@
 
 "Hollow" is what the command and its results call a simulated proxy. Four proxies of each kind watch one
 control machine and are given the same events at the same time. The run owns the processes and the events; the
-comparison is worked out in `emulator.control_cost`.
+comparison is worked out in `emulator.measurement.control_cost`.
 """
 
 from __future__ import annotations
@@ -14,14 +14,11 @@
 
 import numpy as np
 
-from emulator import topology
-from emulator.child import ChildProcess
-from emulator.control_cost import EventCost, GroupReading
-from emulator.loopback import free_ports
-from emulator.meter import MB, process_usage, total_usage
-from emulator.real_proxies import real_proxies
-from emulator.registry import EndpointAddress, Registry
-from emulator.result import write_result
+from emulator.fleet import topology
+from emulator.fleet.real_proxies import real_proxies
+from emulator.fleet.simulated_host import ProxyPlacement, SimulatedHost, StartCost
+from emulator.measurement.control_cost import EventCost, GroupReading
+from emulator.measurement.result import write_result
 from emulator.runs.common import (
     CHANGES_PER_DAY,
     SECONDS_PER_DAY,
@@ -31,7 +28,10 @@
 )
 from emulator.runs.endpoint_changes import EndpointChanges
 from emulator.runs.pacing import evenly_spaced
-from emulator.simulated_host import ProxyPlacement, SimulatedHost, StartCost
+from testbed.child_process import ChildProcess
+from testbed.discovery.registry import EndpointAddress, Registry
+from testbed.loopback import free_ports
+from testbed.meter import MB, process_usage, total_usage
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
--- a/emulator/runs/simulated_fleet.py
+++ b/emulator/runs/simulated_fleet.py
@@ -13,21 +13,22 @@
 
 import numpy as np
 
-from emulator import topology
-from emulator.change_ages import AgeReport, Publication
-from emulator.child import ChildProcess, call_all
-from emulator.loopback import free_ports
-from emulator.meter import MB
-from emulator.registry import EndpointAddress, Registry, RegistryUsage
+from emulator.fleet import topology
+from emulator.fleet.simulated_host import ProxyPlacement, SimulatedHost, StartCost
+from emulator.measurement.change_ages import AgeReport, Publication
 from emulator.runs.endpoint_changes import EndpointChanges
 from emulator.runs.fleet_layout import MACHINES, FleetEndpoint, FleetLayout, assign_proxies
-from emulator.simulated_host import ProxyPlacement, SimulatedHost, StartCost
+from testbed.child_process import ChildProcess, call_all
+from testbed.discovery.registry import EndpointAddress, Registry, RegistryUsage
+from testbed.loopback import free_ports
+from testbed.meter import MB
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
     from contextlib import ExitStack
 
     from emulator.runs.fleet_plans import Plan
+    from testbed.discovery.entry import Entry
 
 MAX_HOSTS = 6  # processes of simulated proxies; fewer for a small fleet or on a small machine
 MIN_PROXIES_FOR_MAX_HOSTS = 30
@@ -114,7 +115,7 @@
 
     # ---- the endpoint list -----------------------------------------------------------------
 
-    def publish(self, entries: list[topology.Entry]) -> None:
+    def publish(self, entries: list[Entry]) -> None:
         """Publish one version: the same at every live control machine."""
         self._index += 1
         names = frozenset(entry["name"] for entry in entries)
--- a/emulator/runs/slope.py
+++ b/emulator/runs/slope.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from emulator.fit import Fit, fit_all
+from emulator.measurement.fit import Fit, fit_all
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/emulator/runs/slopes.py
+++ b/emulator/runs/slopes.py
@@ -9,9 +9,9 @@
 import time
 from typing import TYPE_CHECKING, Any
 
-from emulator import topology
-from emulator.fit import LINE
-from emulator.result import write_result
+from emulator.fleet import topology
+from emulator.measurement.fit import LINE
+from emulator.measurement.result import write_result
 from emulator.runs import slopes_balancer, slopes_proxy, slopes_registry
 from emulator.runs.common import CHANGES_PER_DAY, SECONDS_PER_DAY, RunOptions, RunResult, report_progress
 
--- a/emulator/runs/slopes_balancer.py
+++ b/emulator/runs/slopes_balancer.py
@@ -15,13 +15,13 @@
 from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
 from balancer.settings_reader import read_settings
-from emulator import topology
-from emulator.fleet_settings import proxy_settings
-from emulator.registry_state import RegistryState
+from emulator.fleet import topology
+from emulator.fleet.settings import proxy_settings
+from emulator.fleet.simulated_proxy import endpoint_reader, simulate_call
 from emulator.runs.endpoint_changes import EndpointChanges
 from emulator.runs.pacing import mean_processor_time
 from emulator.runs.slope import Point, Slope
-from emulator.simulated_proxy import endpoint_reader, simulate_call
+from testbed.discovery.registry_state import RegistryState
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/emulator/runs/slopes_proxy.py
+++ b/emulator/runs/slopes_proxy.py
@@ -10,16 +10,16 @@
 
 import numpy as np
 
-from emulator import topology
-from emulator.child import ChildProcess
-from emulator.control_cost import GroupReading
-from emulator.meter import MB, Usage
-from emulator.registry import Registry
+from emulator.fleet import topology
+from emulator.fleet.simulated_host import ProxyPlacement, SimulatedHost, StartCost
+from emulator.measurement.control_cost import GroupReading
 from emulator.runs.endpoint_changes import EndpointChanges
 from emulator.runs.pacing import evenly_spaced
 from emulator.runs.slope import Point, Slope
 from emulator.runs.slopes_balancer import backend_counts
-from emulator.simulated_host import ProxyPlacement, SimulatedHost, StartCost
+from testbed.child_process import ChildProcess
+from testbed.discovery.registry import Registry
+from testbed.meter import MB, Usage
 
 if TYPE_CHECKING:
     from types import TracebackType
--- a/emulator/runs/slopes_registry.py
+++ b/emulator/runs/slopes_registry.py
@@ -1,4 +1,4 @@
-"""Slopes of a control machine (`emulator.registry`): what watches and changes cost it.
+"""Slopes of a control machine (`testbed.discovery.registry`): what watches and changes cost it.
 
 It owns the load on one control machine; the watches discard what they receive.
 """
@@ -10,15 +10,15 @@
 
 import numpy as np
 
-from emulator import topology
-from emulator.child import ChildProcess
-from emulator.meter import MB
-from emulator.registry import Registry, RegistryUsage
+from emulator.fleet import topology
+from emulator.load.watches import WatchLoad
 from emulator.runs.endpoint_changes import EndpointChanges
 from emulator.runs.pacing import evenly_spaced
 from emulator.runs.slope import Point, Slope
 from emulator.runs.slopes_proxy import CHANGE_RATES
-from emulator.watch_load import WatchLoad
+from testbed.child_process import ChildProcess
+from testbed.discovery.registry import Registry, RegistryUsage
+from testbed.meter import MB
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/soak/backends.py
+++ b/soak/backends.py
@@ -13,9 +13,9 @@
 import time
 from dataclasses import dataclass
 
-from emulator.loopback import HOST, port_of
 from soak.lag import LagMeter
 from soak.records import Arrival, Ran
+from testbed.loopback import HOST, port_of
 
 NOT_PROCESSED = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 ERROR = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from emulator.loopback import HOST
 from soak.backends import read_headers, reset_on_close
 from soak.records import BadClient, Ending, Recording, Request, Safety
+from testbed.loopback import HOST
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine
--- a/soak/proxies.py
+++ b/soak/proxies.py
@@ -17,19 +17,19 @@
 
 import psutil
 
-from emulator.loopback import HOST
-from emulator.processes import inherited_environment
-from emulator.result import ROOT
 from soak.records import ProxyLife, Recording, Span
+from testbed.loopback import HOST
+from testbed.paths import PROJECT_ROOT
+from testbed.processes import inherited_environment
 
 if TYPE_CHECKING:
     import random
     from asyncio.subprocess import Process
 
-    from emulator.proxy_config import ProxyConfig
     from soak.shim import Faults
+    from testbed.proxy_config import ProxyConfig
 
-RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
+RUN = tomllib.loads((PROJECT_ROOT / "deploy" / "balancer.toml").read_text())["run"]
 DEPLOYED_PROGRAM = ".venv/bin/python -m proxy"
 NEW_CONNECTIONS_AFTER_TERMINATION = 0.3  # seconds for which the clients' side still sends some
 HEALTH_POLL_INTERVAL = 0.03  # seconds
@@ -138,7 +138,7 @@
         slot.life = life = ProxyLife(proxy, time.monotonic())
         self._recording.lives.append(life)
         slot.process = process = await asyncio.create_subprocess_shell(
-            shim_command(), cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE
+            shim_command(), cwd=PROJECT_ROOT, env=environment, stderr=asyncio.subprocess.PIPE
         )
         slot.log_task = asyncio.get_running_loop().create_task(_read_log(process, life))
         await self._wait_until_ready(slot.config.port, process, life)
--- a/soak/run.py
+++ b/soak/run.py
@@ -13,9 +13,6 @@
 
 import numpy as np
 
-from emulator.child import ChildProcess
-from emulator.loopback import free_ports
-from emulator.proxy_config import ProxyConfig
 from soak.backends import BackendFleet, Behaviour
 from soak.clients import ClientMix, Clients
 from soak.judge import Judge, Violation
@@ -25,6 +22,9 @@
 from soak.schedule import KILL_DELAY, Troubles, World
 from soak.shim import Faults
 from soak.world import DEADLINE, DEDUPLICATION_WINDOW, EndpointList, settings
+from testbed.child_process import ChildProcess
+from testbed.loopback import free_ports
+from testbed.proxy_config import ProxyConfig
 
 BACKENDS = 14
 PORTS_PER_PROXY = 3  # of the proxy itself, and of the two places of its discovery
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -17,9 +17,9 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from emulator.child import ChildProcess
     from soak.clients import Clients
     from soak.proxies import ProxyFleet
+    from testbed.child_process import ChildProcess
 
 KILL_DELAY = 0.7  # seconds beyond the longest deadline at which SIGKILL comes after SIGTERM
 MEAN_PAUSE = 0.25  # seconds between the begins of two troubles
--- a/soak/world.py
+++ b/soak/world.py
@@ -9,9 +9,9 @@
 import time
 from typing import Any
 
-from emulator.loopback import HOST
-from emulator.registry import Registry
 from soak.records import Drain, Recording, Safety
+from testbed.discovery.registry import Registry
+from testbed.loopback import HOST
 
 ZONES = ("a", "b")
 DEADLINE = 2.0  # seconds, of each class
--- a/emulator/backend_stub.py
+++ b/testbed/backend_stub.py
@@ -1,6 +1,6 @@
 """A stub backend: one process that listens on many ports and answers every request with 200 at once.
 
-Run as `python -m emulator.backend_stub --ports N --seconds S`; it prints its ports as one JSON line. It
+Run as `python -m testbed.backend_stub --ports N --seconds S`; it prints its ports as one JSON line. It
 simulates no work and no failures.
 """
 
@@ -13,7 +13,7 @@
 import click
 import httptools
 
-from emulator.loopback import HOST, port_of
+from testbed.loopback import HOST, port_of
 
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndone\n"
 BACKLOG = 1024  # connections that may wait to be accepted at each port
--- a/emulator/child.py
+++ b/testbed/child_process.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from emulator.meter import Usage, process_usage
+from testbed.meter import Usage, process_usage
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
--- a/emulator/control_endpoint.py
+++ b/testbed/discovery/control_endpoint.py
@@ -12,10 +12,10 @@
 from typing import TYPE_CHECKING
 from urllib.parse import parse_qs, urlsplit
 
-from emulator.loopback import HOST, port_of
+from testbed.loopback import HOST, port_of
 
 if TYPE_CHECKING:
-    from emulator.registry_state import EncodedUpdate, RegistryState, View
+    from testbed.discovery.registry_state import EncodedUpdate, RegistryState, View
 
 HEARTBEAT_INTERVAL = 2.0  # seconds without a change after which an empty line is due
 TIMER_TOLERANCE = 0.001  # seconds by which a timer may be early
--- a/emulator/registry.py
+++ b/testbed/discovery/registry.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from emulator.control_endpoint import ControlEndpoint, TrafficCounts
-from emulator.registry_state import RegistryState
+from testbed.discovery.control_endpoint import ControlEndpoint, TrafficCounts
+from testbed.discovery.registry_state import RegistryState
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from emulator.topology import Entry
+    from testbed.discovery.entry import Entry
 
 
 @dataclass(slots=True, frozen=True)
--- a/emulator/registry_state.py
+++ b/testbed/discovery/registry_state.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from emulator.topology import Entry
+    from testbed.discovery.entry import Entry
 
 MAX_LOG_ENTRIES = 4096  # changed entries that a watch can resume over
 View = frozenset[str] | None  # the names of the backends that a client sees; None: all of them
--- a/emulator/watch_stub.py
+++ b/testbed/discovery/watch_stub.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from emulator.loopback import HOST, port_of
+from testbed.loopback import HOST, port_of
 
 if TYPE_CHECKING:
     from contextlib import AsyncExitStack
--- a/emulator/health_check.py
+++ b/testbed/health_check.py
@@ -5,8 +5,8 @@
 import asyncio
 import time
 
-from emulator.loopback import HOST
-from emulator.processes import STARTUP_TIMEOUT, ProcessError
+from testbed.loopback import HOST
+from testbed.processes import STARTUP_TIMEOUT, ProcessError
 
 POLL_INTERVAL = 0.05  # seconds between two health checks of a proxy that is not ready yet
 VERSION_PREFIX = b"version "
--- /dev/null
+++ b/testbed/paths.py
@@ -0,0 +1,7 @@
+"""Where the project's files are."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+PROJECT_ROOT = Path(__file__).resolve().parents[1]
--- a/emulator/processes.py
+++ b/testbed/processes.py
@@ -1,6 +1,6 @@
 """Real processes: starting and stopping them, lines over their pipes, and what they have used.
 
-Which processes a run needs, and the lines that they exchange, is in `emulator.role_processes`.
+Which processes a run needs, and the lines that they exchange, is in `emulator.fleet.role_processes`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 import psutil
 
-from emulator.result import ROOT
+from testbed.paths import PROJECT_ROOT
 
 if TYPE_CHECKING:
     from asyncio.subprocess import Process
@@ -38,7 +38,7 @@
 
     Attributes:
         processor: Processor time in seconds, user and system; in steps of 10 ms on Linux, unlike that of
-            `emulator.meter`, which is exact.
+            `testbed.meter`, which is exact.
         resident: Bytes of memory that are resident now.
         preemptions: Involuntary context switches.
     """
@@ -119,7 +119,7 @@
     command: Sequence[str],
     cores: frozenset[int],
     *,
-    cwd: Path = ROOT,
+    cwd: Path = PROJECT_ROOT,
     environment: Mapping[str, str] | None = None,
     discard_stderr: bool = False,
 ) -> ManagedProcess:
--- a/emulator/proxy_config.py
+++ b/testbed/proxy_config.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from emulator.loopback import HOST
+from testbed.loopback import HOST
 
 if TYPE_CHECKING:
     from pathlib import Path
--- a/emulator/proxy_program.py
+++ b/testbed/proxy_program.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from emulator.processes import ManagedProcess, python_command, start_process
-from emulator.result import ROOT
+from testbed.paths import PROJECT_ROOT
+from testbed.processes import ManagedProcess, python_command, start_process
 
 if TYPE_CHECKING:
     from contextlib import AsyncExitStack
@@ -46,7 +46,7 @@
         deploy = _read_deploy_file(root)
         run = _text(deploy, "run", root)
         words = _words(run, root)
-        if root.resolve() == ROOT:
+        if root.resolve() == PROJECT_ROOT:
             return cls(root, python_command("-m", _module(words, root)))
         interpreter = Path(words[0]) if words else Path()
         if len(interpreter.parts) > 1 and not (root / interpreter).exists():
--- a/tests/balancer/test_policy_limits.py
+++ b/tests/balancer/test_policy_limits.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.support.paths import PROJECT_ROOT
+from testbed.paths import PROJECT_ROOT
 
 MAX_FILLED_LINES = 300  # lines that are not blank, of one module
 MAX_LINE_LENGTH = 110  # characters
--- a/tests/balancer/test_simulator.py
+++ b/tests/balancer/test_simulator.py
@@ -15,7 +15,7 @@
 from balancer.settings import DiscoveryMode, Idempotency
 from balancer.settings_reader import read_settings
 from balancer.simulator.session import Session
-from tests.support.paths import PROJECT_ROOT
+from testbed.paths import PROJECT_ROOT
 
 Message = dict[str, Any]
 
--- a/tests/emulator/test_added_latency.py
+++ b/tests/emulator/test_added_latency.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from emulator.latency import Quantiles
-from emulator.placement import Placement, place
+from emulator.fleet.placement import Placement, place
+from emulator.measurement.latency import Quantiles
 from emulator.runs.latency_report import budget_figures
 from emulator.runs.latency_trials import AVERAGE_RATE, SERVICE_ROWS, WARMUP, one_proxy, schedule
 
--- a/tests/emulator/test_budgets.py
+++ b/tests/emulator/test_budgets.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from emulator.budgets import Budget, check_budgets
+from emulator.measurement.budgets import Budget, check_budgets
 
 
 def test_a_violated_budget_is_named_and_a_known_one_violates_nothing() -> None:
--- a/tests/emulator/test_child.py
+++ b/tests/emulator/test_child.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from emulator import topology
-from emulator.child import ChildError, ChildProcess
-from emulator.registry import Registry
+from emulator.fleet import topology
+from testbed.child_process import ChildError, ChildProcess
+from testbed.discovery.registry import Registry
 
 
 def test_a_fault_in_a_child_is_raised_in_its_parent() -> None:
--- a/tests/emulator/test_cli.py
+++ b/tests/emulator/test_cli.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 
 from emulator.cli import added_command
-from emulator.result import ROOT
+from testbed.paths import PROJECT_ROOT
 
 
 @pytest.mark.parametrize(
@@ -27,7 +27,7 @@
 def test_bad_arguments_are_one_line_and_2(arguments: list[str]) -> None:
     result = subprocess.run(
         [sys.executable, "-m", "emulator", *arguments],
-        cwd=ROOT,
+        cwd=PROJECT_ROOT,
         capture_output=True,
         text=True,
         timeout=60,
--- a/tests/emulator/test_control_cost.py
+++ b/tests/emulator/test_control_cost.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from emulator.control_cost import EventCost, ProxyCost
+from emulator.measurement.control_cost import EventCost, ProxyCost
 
 
 def test_the_cost_of_idle_time_is_taken_off_both_groups() -> None:
--- a/tests/emulator/test_fit.py
+++ b/tests/emulator/test_fit.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from emulator import fit
+from emulator.measurement import fit
 
 
 def test_fits_find_known_slopes() -> None:
--- a/tests/emulator/test_health_check.py
+++ b/tests/emulator/test_health_check.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from emulator.health_check import (
+from testbed.health_check import (
     applied_between,
     configuration_version,
     configurations_applied,
--- a/tests/emulator/test_latency.py
+++ b/tests/emulator/test_latency.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from emulator.latency import Quantiles, encode, histogram_of, merge, percentile_curve
+from emulator.measurement.latency import Quantiles, encode, histogram_of, merge, percentile_curve
 
 
 def test_added_latency_is_the_difference_of_quantiles() -> None:
--- a/tests/emulator/test_load_generator.py
+++ b/tests/emulator/test_load_generator.py
@@ -7,10 +7,10 @@
 
 import numpy as np
 
-from emulator.backend_stub import RESPONSE, listen
-from emulator.load_generator import LOST, OpenLoopGenerator
-from emulator.load_plan import LoadPlan, Stream, poisson_times, schedule_calls
-from emulator.loopback import HOST, free_ports, port_of
+from emulator.load.generator import LOST, OpenLoopGenerator
+from emulator.load.plan import LoadPlan, Stream, poisson_times, schedule_calls
+from testbed.backend_stub import RESPONSE, listen
+from testbed.loopback import HOST, free_ports, port_of
 from tests.support.loopback import read_message, with_timeout
 
 
--- a/tests/emulator/test_meter.py
+++ b/tests/emulator/test_meter.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from emulator.meter import Series
+from testbed.meter import Series
 
 
 def test_a_series_finds_its_worst_ten_seconds() -> None:
--- a/tests/emulator/test_proxy_config.py
+++ b/tests/emulator/test_proxy_config.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from emulator.health_check import has_label
-from emulator.proxy_config import ProxyConfig
+from emulator.fleet.stub_fleet import endpoint_snapshot, stub_proxy_settings
 from emulator.runs.latency_trials import ALL_ROWS
 from emulator.runs.settings_changes import settings_after
-from emulator.stub_fleet import endpoint_snapshot, stub_proxy_settings
 from proxy.config import Config, load
+from testbed.health_check import has_label
+from testbed.proxy_config import ProxyConfig
 
 if TYPE_CHECKING:
     from pathlib import Path
--- a/tests/emulator/test_proxy_program.py
+++ b/tests/emulator/test_proxy_program.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from emulator.proxy_program import DEPLOY_FILE, ProgramError, ProxyProgram
-from emulator.result import ROOT
+from testbed.paths import PROJECT_ROOT
+from testbed.proxy_program import DEPLOY_FILE, ProgramError, ProxyProgram
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -50,4 +50,4 @@
 
 
 def test_this_tree_is_run_by_the_present_interpreter() -> None:
-    assert ProxyProgram.of_tree(ROOT).command == (sys.executable, "-m", "proxy")
+    assert ProxyProgram.of_tree(PROJECT_ROOT).command == (sys.executable, "-m", "proxy")
--- a/tests/emulator/test_registry.py
+++ b/tests/emulator/test_registry.py
@@ -8,8 +8,8 @@
 import orjson
 import pytest
 
-from emulator.control_endpoint import HEARTBEAT_INTERVAL
-from emulator.watch_load import WatchLoad
+from emulator.load.watches import WatchLoad
+from testbed.discovery.control_endpoint import HEARTBEAT_INTERVAL
 from tests.support.loopback import ManualClock, with_timeout
 from tests.support.proxy_inputs import HOST
 from tests.support.small_fleet import ENDPOINT, FLEET, NAMES, changed, running_registry
--- a/tests/emulator/test_registry_state.py
+++ b/tests/emulator/test_registry_state.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from emulator.registry_state import RegistryState
+from testbed.discovery.registry_state import RegistryState
 from tests.support.small_fleet import FLEET, changed
 
 if TYPE_CHECKING:
@@ -14,7 +14,7 @@
 
 
 def test_the_log_bounds_what_can_be_resumed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("emulator.registry_state.MAX_LOG_ENTRIES", 3)
+    monkeypatch.setattr("testbed.discovery.registry_state.MAX_LOG_ENTRIES", 3)
     state = RegistryState(FLEET.entries)
     for index in range(2, 8):
         state.change(index, [changed(index)])
--- a/tests/emulator/test_settings_reload.py
+++ b/tests/emulator/test_settings_reload.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from emulator.budgets import BUDGETS, check_budgets
+from emulator.measurement.budgets import BUDGETS, check_budgets
 from emulator.runs.latency_trials import ALL_ROWS
 from emulator.runs.settings_changes import KINDS, kind_of, settings_after
 from emulator.runs.settings_reload import FULL, QUICK
--- a/tests/emulator/test_simulated_host.py
+++ b/tests/emulator/test_simulated_host.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from emulator.change_ages import Publication
-from emulator.simulated_host import ProxyPlacement, SimulatedHost
+from emulator.fleet.simulated_host import ProxyPlacement, SimulatedHost
+from emulator.measurement.change_ages import Publication
 from tests.support.loopback import ManualClock, wait_until, with_timeout
 from tests.support.small_fleet import BACKENDS, ENDPOINT, NAMES, SEED, SERVICES, changed, running_registry
 
--- a/tests/emulator/test_topology.py
+++ b/tests/emulator/test_topology.py
@@ -7,8 +7,8 @@
 import pytest
 
 from balancer.settings_reader import read_settings
-from emulator import topology
-from emulator.fleet_settings import proxy_settings
+from emulator.fleet import topology
+from emulator.fleet.settings import proxy_settings
 
 SEED = 3
 
--- a/tests/proxy/downstream/test_descriptor_limits.py
+++ b/tests/proxy/downstream/test_descriptor_limits.py
@@ -12,6 +12,7 @@
 
 import pytest
 
+from testbed.paths import PROJECT_ROOT
 from tests.support.config_files import raw_config
 from tests.support.loopback import (
     ManualClock,
@@ -26,7 +27,6 @@
     wait_until,
     with_timeout,
 )
-from tests.support.paths import PROJECT_ROOT
 from tests.support.proxy_inputs import (
     HEALTH_REQUEST,
     HOST,
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -13,6 +13,7 @@
 import pytest
 
 from proxy.proxy import Proxy
+from testbed.paths import PROJECT_ROOT
 from tests.support.config_files import raw_config
 from tests.support.loopback import (
     Client,
@@ -25,7 +26,6 @@
     stub_discovery,
     with_timeout,
 )
-from tests.support.paths import PROJECT_ROOT
 from tests.support.proxy_inputs import (
     HEALTH_REQUEST,
     HOST,
--- a/tests/proxy/test_start_signals.py
+++ b/tests/proxy/test_start_signals.py
@@ -20,9 +20,9 @@
 
 from proxy.process import TERMINATION_SIGNALS, ignore_signals
 from soak.proxies import survives_hangup
+from testbed.paths import PROJECT_ROOT
 from tests.support.config_files import raw_config
 from tests.support.loopback import Client, connect, free_port, in_event_loop, with_timeout
-from tests.support.paths import PROJECT_ROOT
 from tests.support.proxy_inputs import HEALTH_REQUEST, HOST, MAX_WAIT, endpoint_entry
 from tests.support.proxy_process import (
     environment_without_proxy,
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from tests.support.paths import PROJECT_ROOT
+from testbed.paths import PROJECT_ROOT
 
 if TYPE_CHECKING:
     from pathlib import Path
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -9,9 +9,9 @@
 from contextlib import asynccontextmanager
 from typing import TYPE_CHECKING, Any
 
+from testbed.paths import PROJECT_ROOT
 from tests.support.config_files import raw_config
 from tests.support.loopback import connect
-from tests.support.paths import PROJECT_ROOT
 from tests.support.proxy_inputs import HEALTH_REQUEST, MAX_WAIT, status_of
 
 if TYPE_CHECKING:
--- a/tests/support/small_fleet.py
+++ b/tests/support/small_fleet.py
@@ -5,19 +5,21 @@
 from contextlib import asynccontextmanager
 from typing import TYPE_CHECKING
 
-from emulator import topology
-from emulator.registry import Registry
+from emulator.fleet import topology
+from testbed.discovery.registry import Registry
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
+    from testbed.discovery.entry import Entry
+
 SEED, BACKENDS, SERVICES = 1, 20, 4
 FLEET = topology.build(SEED, BACKENDS, SERVICES)
 NAMES = [entry["name"] for entry in FLEET.entries]
 ENDPOINT = "all"  # an endpoint that shows every backend
 
 
-def changed(position: int, status: str = "terminating") -> topology.Entry:
+def changed(position: int, status: str = "terminating") -> Entry:
     """A backend's entry with another status."""
     return FLEET.entries[position] | {"status": status}
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -2,7 +2,7 @@
 
 import re
 
-from tests.support.paths import PROJECT_ROOT
+from testbed.paths import PROJECT_ROOT
 
 
 def test_embedding_example_runs() -> None:
