--- a/proxy/discovery/watch_connection.py
+++ b/proxy/discovery/watch_connection.py
@@ -7,13 +7,14 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 from collections.abc import Iterator, Mapping
 from typing import Any, Protocol
 
 import httptools
 import orjson
 
-from proxy.log import write_line
+logger = logging.getLogger(__name__)
 
 #: Seconds without a complete line after which a watch is dead. A line is due every 2 s; and within the 6 s in
 #: which a change has to be known there must be time for another silent watch, two delays and a connect that
@@ -122,7 +123,7 @@
             self._parser.feed_data(data)
             self._deliver()
         except Exception as error:  # noqa: BLE001 - whatever is wrong with a list, the last good one stays
-            write_line(f"proxy: discovery: {error!r}")
+            logger.warning("discovery: %r", error)
             self.close()
 
     def close(self) -> None:
--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 from functools import partial
 from math import inf
 from typing import TYPE_CHECKING
@@ -25,7 +26,7 @@
 from proxy.active_request import ActiveRequest
 from proxy.downstream.errors import HttpError
 from proxy.event_log import Event, EventLog
-from proxy.log import TracebackLog
+from proxy.log import RateLimit
 from proxy.upstream import ConnectionPool, UpstreamAttempt, UpstreamResponse
 
 if TYPE_CHECKING:
@@ -41,6 +42,8 @@
     from proxy.endpoint_table import EndpointTable
     from proxy.invariants import InvariantMonitor
 
+logger = logging.getLogger(__name__)
+
 ANSWER_MARGIN = 0.005  # seconds before the client's time is up: the answer still has to reach it
 #: Statuses of responses that say that the request is at fault: 4xx, but not a timeout or a limit on the rate.
 REQUEST_FAULT_STATUSES = frozenset(range(400, 500)) - {408, 429}
@@ -85,7 +88,7 @@
         self._poll_endpoints = poll_endpoints
         self._monitor = monitor
         self._event_log = event_log
-        self._traceback_log = TracebackLog()
+        self._traceback_limit = RateLimit()
         self._last_request_number = 0
         self.active_requests: dict[str, ActiveRequest] = {}
         self.client_request_ids: set[bytes] = set()
@@ -202,11 +205,16 @@
         try:
             return event(self._clock.now(), *args)
         except Exception:  # noqa: BLE001 - a defect of the decisions must not end the other requests
-            self._traceback_log.write(self._loop.time())
+            self._log_balancer_error()
             if about is not None:
                 self._abandon(about)
             return []
 
+    def _log_balancer_error(self) -> None:
+        """Log the exception that is being handled, with its traceback; at a limited rate."""
+        if self._traceback_limit.allows(self._loop.time()):
+            logger.exception("the balancer raised an exception")
+
     # ---- the decisions' actions ----------------------------------------------------------------
 
     def perform(self, actions: list[Action]) -> None:
@@ -264,7 +272,7 @@
                 self._clock.now(), active.request_id, number, client_disconnected
             )
         except Exception:  # noqa: BLE001 - a defect of the decisions must not end the other requests
-            self._traceback_log.write(self._loop.time())
+            self._log_balancer_error()
             refusal = SendRejection.REQUEST_ENDED
         if refusal is not None:
             self._log(Event.ATTEMPT_REJECTED, active, attempt=number, reason=refusal.value)
--- a/proxy/downstream/acceptor.py
+++ b/proxy/downstream/acceptor.py
@@ -8,14 +8,17 @@
 
 import asyncio
 import errno
+import logging
 from typing import TYPE_CHECKING
 
-from proxy.log import write_line
+from proxy.log import RateLimit
 
 if TYPE_CHECKING:
     import socket
     from collections.abc import Callable
 
+logger = logging.getLogger(__name__)
+
 MAX_ACCEPTS_PER_TURN = 8  # connections taken in one turn of the loop: others have work too
 #: Errors of the system or the process, which the next connection would meet as well. All others are those of
 #: one connection, which accepting reports in its place (accept(2)).
@@ -24,7 +27,6 @@
 MAX_RETRY_DELAY = 0.05  # seconds: while descriptors stay used up, trying must cost little
 MAX_IMMEDIATE_RETRIES = 20  # in a row, of the last connections before the socket is closed
 MAX_DELAYED_RETRIES = 50  # further ones, `MIN_RETRY_DELAY` apart
-LOG_INTERVAL = 1.0  # seconds between two lines in the log
 
 
 class Acceptor:
@@ -38,7 +40,7 @@
         self._retry_timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._failures = 0  # since the last line in the log
-        self._logged_at = float("-inf")
+        self._log_limit = RateLimit()
 
     def start(self) -> None:
         """Accept connections from now on."""
@@ -104,8 +106,6 @@
 
     def _log(self, fault: OSError) -> None:
         self._failures += 1
-        now = self._loop.time()
-        if now - self._logged_at >= LOG_INTERVAL:
-            self._logged_at = now
-            write_line(f"proxy: accept: {fault.strerror or fault} ({self._failures} failures)")
+        if self._log_limit.allows(self._loop.time()):
+            logger.warning("accept: %s (%d failures)", fault.strerror or fault, self._failures)
             self._failures = 0
--- a/proxy/invariants.py
+++ b/proxy/invariants.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 from collections import Counter
 from enum import StrEnum
 from typing import TYPE_CHECKING
@@ -14,13 +15,14 @@
 from balancer.events import NEVER_RAN
 from balancer.settings import DeduplicationScope, Idempotency
 from proxy.event_log import Event, EventLog
-from proxy.log import write_line
+from proxy.log import RateLimit
 
 if TYPE_CHECKING:
     from proxy.active_request import ActiveRequest
     from proxy.upstream import UpstreamAttempt
 
-LOG_INTERVAL = 1.0  # seconds between two lines on standard error
+logger = logging.getLogger(__name__)
+
 TIMEOUT_SLACK = (
     0.15  # seconds by which the timeout that a backend is told may be over what the client has left
 )
@@ -48,7 +50,7 @@
     def __init__(self, event_log: EventLog) -> None:
         self.violations: Counter[Invariant] = Counter()
         self._event_log = event_log
-        self._logged_at = float("-inf")
+        self._log_limit = RateLimit()
 
     def on_written(self, now: float, active: ActiveRequest, attempt: UpstreamAttempt, timeout: float) -> None:
         """Check an attempt whose first byte was just written.
@@ -84,10 +86,8 @@
         self.violations[invariant] += 1
         request_id = client_request_id.decode("latin-1")
         self._event_log.record(Event.VIOLATION, rule=invariant, id=request_id)
-        now = asyncio.get_running_loop().time()
-        if now - self._logged_at >= LOG_INTERVAL:
-            self._logged_at = now
-            write_line(f"proxy: violation: {invariant}, request {request_id}")
+        if self._log_limit.allows(asyncio.get_running_loop().time()):
+            logger.error("violation: %s, request %s", invariant, request_id)
 
     def summary(self) -> str:
         """Return the counts as one line of text; empty where nothing was violated."""
--- a/proxy/log.py
+++ b/proxy/log.py
@@ -1,6 +1,7 @@
-"""Lines on standard error, for the operator.
+"""Logging of the proxy's process: the form of the lines on standard error, and writing them without blocking.
 
-Owns when the last traceback was written. Does not own what the lines say.
+Each module logs to a logger of its own, `logging.getLogger(__name__)`; `configure_logging` sets up the one
+handler once, when the process starts. This module does not own what is logged.
 """
 
 from __future__ import annotations
@@ -8,56 +9,99 @@
 import logging
 import select
 import sys
-import traceback
-from contextlib import suppress
 
-TRACEBACK_INTERVAL = 1.0  # seconds between two tracebacks in the log
-MAX_TEXT_LENGTH = 4000  # bytes: a pipe that can be written to takes 4 KiB at once
+MAX_TEXT_BYTES = 4000  # of one record: a pipe that is writable accepts 4 KiB in one write
+LOG_INTERVAL = 1.0  # seconds between two records of a rate-limited kind
+OWN_LOGGER_NAME = "proxy"  # the parent of the loggers of this package's modules
 
 
-def write_line(text: str) -> None:
-    """Write one line or a few, or drop them: a log that nobody empties must not stop the event loop.
+class NonBlockingHandler(logging.Handler):
+    """Writes records to standard error, and drops them where a write would block.
 
-    Args:
-        text: What to write, without its last line end; of a longer text only the end is written.
+    A log that is not read must not stop the event loop, and a log call must not raise.
     """
-    with suppress(OSError, ValueError):  # there is no standard error, or it is closed
-        stderr = select.poll()
-        stderr.register(sys.stderr.fileno(), select.POLLOUT)
-        if stderr.poll(0):
-            encoded = text.encode("ascii", "backslashreplace")[-MAX_TEXT_LENGTH:]
-            print(encoded.decode("ascii"), file=sys.stderr, flush=True)
 
+    def emit(self, record: logging.LogRecord) -> None:
+        """Write one record, or drop it."""
+        try:
+            _write_without_blocking(self.format(record))
+        except Exception:  # noqa: BLE001 - no fault of arguments or standard error may reach the caller
+            self.handleError(record)
 
-class _Handler(logging.Handler):
-    """Writes what libraries log without waiting."""
+    def handleError(self, record: logging.LogRecord) -> None:  # noqa: N802 - a name of the base class
+        """Drop a record that can't be formatted or written: the base class's report of it could block."""
 
-    def emit(self, record: logging.LogRecord) -> None:
-        """Write one record."""
-        write_line(self.format(record))
 
+class LineFormatter(logging.Formatter):
+    """Formats records for operators, each as one line except for tracebacks.
+
+    A record of the proxy's own loggers becomes `proxy: MESSAGE`, or its traceback alone where it carries an
+    exception. A record of any other logger, such as the event loop's, becomes `proxy: LOGGER: MESSAGE`,
+    followed by its traceback.
+    """
+
+    def __init__(self) -> None:
+        super().__init__("proxy: %(name)s: %(message)s")
 
-def log_without_blocking() -> None:
-    """Let what the event loop and other libraries log be written by `write_line` from now on."""
-    logging.basicConfig(handlers=[_Handler()], format="proxy: %(name)s: %(message)s", force=True)
+    def format(self, record: logging.LogRecord) -> str:
+        """Return the text of one record, without a final line end."""
+        if record.name.partition(".")[0] != OWN_LOGGER_NAME:
+            return super().format(record)
+        if record.exc_info:
+            return self.formatException(record.exc_info).rstrip()
+        return f"proxy: {record.getMessage()}"
 
 
-class TracebackLog:
-    """Writes the tracebacks of defects, one a second at most.
+class RateLimit:
+    """Limits how often one kind of record is logged; ask it before the log call.
 
-    A defect may show with every request. The limit on their rate keeps the log readable, and keeps a log that
-    is slowly emptied from filling up, which would stop the event loop.
+    A fault may recur with every request. The limit keeps the log readable, and keeps a pipe that is read
+    slowly from filling up, which would cost other records. A suppressed record costs no formatting.
     """
 
-    def __init__(self) -> None:
-        self._written_at = float("-inf")
+    __slots__ = ("_interval", "_last_allowed_at")
 
-    def write(self, now: float) -> None:
-        """Write the traceback of the exception that is being handled, unless one was written lately.
+    def __init__(self, interval: float = LOG_INTERVAL) -> None:
+        """Allow the first record at once.
 
         Args:
-            now: The event loop's time.
+            interval: Seconds between two records.
         """
-        if now - self._written_at >= TRACEBACK_INTERVAL:
-            self._written_at = now
-            write_line(traceback.format_exc().rstrip())
+        self._interval = interval
+        self._last_allowed_at = float("-inf")
+
+    def allows(self, now: float) -> bool:
+        """Return whether a record may be logged now; the next one may follow after the interval.
+
+        Args:
+            now: The event loop's time, in seconds.
+        """
+        if now - self._last_allowed_at < self._interval:
+            return False
+        self._last_allowed_at = now
+        return True
+
+
+def configure_logging() -> None:
+    """Send this process's records to standard error: the proxy's from INFO on, others from WARNING on.
+
+    Call it once, when the process starts.
+    """
+    handler = NonBlockingHandler()
+    handler.setFormatter(LineFormatter())
+    logging.basicConfig(level=logging.WARNING, handlers=[handler], force=True)
+    logging.getLogger(OWN_LOGGER_NAME).setLevel(logging.INFO)
+
+
+def _write_without_blocking(text: str) -> None:
+    """Write a text and a line end to standard error if it is writable; of a long text, the end only.
+
+    Raises:
+        OSError: Standard error is closed.
+        ValueError: Standard error is closed.
+    """
+    stderr = select.poll()
+    stderr.register(sys.stderr.fileno(), select.POLLOUT)
+    if stderr.poll(0):
+        encoded = text.encode("ascii", "backslashreplace")[-MAX_TEXT_BYTES:]
+        print(encoded.decode("ascii"), file=sys.stderr, flush=True)
--- a/proxy/process.py
+++ b/proxy/process.py
@@ -8,6 +8,7 @@
 import asyncio
 import errno
 import gc
+import logging
 import os
 import signal
 import sys
@@ -16,12 +17,14 @@
 from proxy.config import Config, ConfigError, load
 from proxy.discovery.endpoint_reader import EndpointReader
 from proxy.event_log import Event, EventLog
-from proxy.log import log_without_blocking, write_line
+from proxy.log import configure_logging
 from proxy.proxy import Proxy
 
 if TYPE_CHECKING:
     from proxy.early_signal import EarlySignal
 
+logger = logging.getLogger(__name__)
+
 EXIT_OK = 0
 EXIT_CAN_NOT_LISTEN = 1
 EXIT_BAD_CONFIG = 2
@@ -63,7 +66,7 @@
     proxy.event_log.record(Event.SHUTDOWN)
     await proxy.shutdown.run(listening_socket)
     if proxy.monitor.violations:
-        write_line(f"proxy: violations: {proxy.monitor.summary()}")
+        logger.error("violations: %s", proxy.monitor.summary())
     proxy.event_log.flush()
 
 
@@ -91,7 +94,7 @@
     except ConfigError as error:
         print(f"proxy: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIG
-    log_without_blocking()
+    configure_logging()
     try:
         asyncio.run(_serve_to_the_end(config, hangup))
     except OSError as error:
--- a/proxy/reload.py
+++ b/proxy/reload.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
+import logging
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
 from proxy.config import Config, ConfigError, load
-from proxy.log import write_line
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
@@ -22,6 +22,8 @@
     from proxy.endpoint_table import EndpointTable
     from proxy.upstream import ConnectionPool
 
+logger = logging.getLogger(__name__)
+
 #: What identifies the process, and so needs a restart to change: the field, and what the log calls it.
 IDENTITY_FIELDS = {
     "name": "name",
@@ -65,9 +67,10 @@
         try:
             lines = self.apply(load(environ))
         except ConfigError as error:
-            lines = [f"refused, version {self._listener.version} stays: {error}"]
+            logger.warning("reload: refused, version %s stays: %s", self._listener.version, error)
+            return
         for line in lines:
-            write_line(f"proxy: reload: {line}")
+            logger.info("reload: %s", line)
 
     def apply(self, proposed: Config) -> list[str]:
         """Take over what a new configuration may change: its settings, and where discovery is.
--- a/tests/proxy/test_log.py
+++ b/tests/proxy/test_log.py
@@ -8,12 +8,13 @@
 import os
 import sys
 from contextlib import suppress
+from pathlib import Path
 from typing import TYPE_CHECKING
 
 import pytest
 
 from proxy.discovery.watch_connection import WatchConnection
-from proxy.log import TracebackLog, log_without_blocking
+from proxy.log import NonBlockingHandler, RateLimit
 from proxy.process import report_exception
 from tests.support.loopback import in_event_loop
 
@@ -53,12 +54,17 @@
     os.close(writing)
 
 
+def fail(text: str) -> None:
+    """Raise an exception, as a defect does."""
+    raise RuntimeError(text)
+
+
 async def log_traceback() -> None:
     """Log the traceback of a defect."""
     try:
-        raise RuntimeError(LONG_TEXT)
+        fail(LONG_TEXT)
     except RuntimeError:
-        TracebackLog().write(0.0)
+        logging.getLogger("proxy.dispatcher").exception("a defect")
 
 
 async def receive_nonsense() -> None:
@@ -69,8 +75,6 @@
 
 async def report_from_the_event_loop() -> None:
     """Let the event loop report a defect of a callback."""
-    log_without_blocking()
-
     context = {"message": "a defect", "exception": RuntimeError(LONG_TEXT)}
     asyncio.get_running_loop().call_exception_handler(context)
 
@@ -80,6 +84,7 @@
 @in_event_loop
 async def test_nothing_that_is_logged_waits_for_a_reader(
     log: Callable[[], Awaitable[None]],
+    *,
     is_read: bool,
     pipe: tuple[int, int],
     monkeypatch: pytest.MonkeyPatch,
@@ -90,7 +95,6 @@
                 os.write(pipe[1], b"x" * 4096)
     stderr = StandardError(pipe[1])
     monkeypatch.setattr(sys, "stderr", stderr)
-    monkeypatch.setattr(logging.root, "handlers", [])
     await log()
     text = "".join(stderr.written)
     assert bool(text) == is_read
@@ -99,10 +103,84 @@
 
 @pytest.mark.parametrize(("number", "is_reported"), [(errno.ENOTCONN, False), (errno.EIO, True)])
 def test_reset_of_a_connection_whose_sending_ends_is_no_defect(
-    number: int, is_reported: bool, caplog: pytest.LogCaptureFixture
+    number: int, *, is_reported: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
     context = {"message": "a callback failed", "exception": OSError(number, os.strerror(number))}
     loop = asyncio.new_event_loop()
     report_exception(loop, context)
     loop.close()
     assert bool(caplog.records) == is_reported
+
+
+@pytest.mark.parametrize(
+    ("logger_name", "line"),
+    [
+        ("proxy.reload", "proxy: 2 connections"),
+        ("proxy", "proxy: 2 connections"),
+        ("asyncio", "proxy: asyncio: 2 connections"),
+        ("proxying", "proxy: proxying: 2 connections"),
+    ],
+)
+def test_lines_name_the_logger_of_libraries_only(
+    logger_name: str, line: str, log_lines: Callable[[], list[str]]
+) -> None:
+    logging.getLogger(logger_name).warning("%d connections", 2)
+    assert log_lines() == [line]
+
+
+def test_libraries_log_from_warnings_on(log_lines: Callable[[], list[str]]) -> None:
+    logging.getLogger("asyncio").info("a detail")
+    logging.getLogger("proxy.reload").info("reload: version 2 is in force")
+    logging.getLogger("proxy.reload").debug("a detail")
+    assert log_lines() == ["proxy: reload: version 2 is in force"]
+
+
+def test_exception_of_the_proxy_is_its_traceback_alone(log_lines: Callable[[], list[str]]) -> None:
+    try:
+        fail("a defect\n\n")
+    except RuntimeError:
+        logging.getLogger("proxy.dispatcher").exception("the balancer raised an exception")
+    lines = log_lines()
+    assert lines[0] == "Traceback (most recent call last):"
+    assert lines[-1] == "RuntimeError: a defect"
+
+
+class Unprintable:
+    """An argument that has no text."""
+
+    def __str__(self) -> str:
+        """Fail."""
+        fail("no text")
+        return ""
+
+
+def process_handler() -> NonBlockingHandler:
+    """Return the handler that a proxy's process installs, apart from those of the test runner."""
+    [handler] = [each for each in logging.root.handlers if isinstance(each, NonBlockingHandler)]
+    return handler
+
+
+@pytest.mark.parametrize(
+    "arguments", [("one",), ("one", "two", "three"), ("one", Unprintable())], ids=["few", "many", "no text"]
+)
+def test_record_that_can_not_be_formatted_is_dropped(
+    arguments: tuple[object, ...], log_lines: Callable[[], list[str]]
+) -> None:
+    process_handler().handle(
+        logging.LogRecord("proxy.reload", logging.INFO, __file__, 1, "reload: %s, %s", arguments, None)
+    )
+    assert log_lines() == []
+
+
+def test_record_is_dropped_where_there_is_no_standard_error(monkeypatch: pytest.MonkeyPatch) -> None:
+    with Path(os.devnull).open("w") as closed:
+        pass
+    for stderr in (None, closed):
+        monkeypatch.setattr(sys, "stderr", stderr)
+        logging.getLogger("proxy.reload").warning("reload: refused")
+
+
+def test_rate_limit_allows_one_record_an_interval() -> None:
+    limit = RateLimit(interval=1.0)
+    times = [-5.0, -4.5, -4.0, -3.5, 0.0, 0.999, 1.0]
+    assert [now for now in times if limit.allows(now)] == [-5.0, -4.0, 0.0, 1.0]
