--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -27,7 +27,7 @@
 from proxy.downstream.errors import HttpError
 from proxy.event_log import Event, EventLog
 from proxy.log import RateLimit
-from proxy.upstream import ConnectionPool, UpstreamAttempt, UpstreamResponse
+from proxy.upstream import AttemptCallbacks, ConnectionPool, UpstreamAttempt, UpstreamResponse
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -245,19 +245,22 @@
     def _start_attempt(self, active: ActiveRequest, action: StartAttempt) -> None:
         now = self._loop.time()
         until = min(active.deadline, now + action.timeout) if action.timeout > 0.0 else active.deadline
+        number = len(active.attempts)
         attempt = UpstreamAttempt(
             self._endpoint_table.backends[action.endpoint],
-            now,
-            until,
-            active.serialize,
-            partial(self._on_attempt_finished, active, len(active.attempts)),
-            active.is_retryable,
-            partial(self._send_rejection, active, len(active.attempts)),
-            partial(self._on_written, active),
+            started_at=now,
+            deadline=until,
+            retryable=active.is_retryable,
+            callbacks=AttemptCallbacks(
+                build_request=active.serialize,
+                on_finished=partial(self._on_attempt_finished, active, number),
+                send_rejection=partial(self._send_rejection, active, number),
+                on_written=partial(self._on_written, active),
+            ),
         )
         if self._event_log.enabled:
             address = str(attempt.backend.address)
-            self._log(Event.ATTEMPT_STARTED, active, attempt=len(active.attempts), endpoint=address)
+            self._log(Event.ATTEMPT_STARTED, active, attempt=number, endpoint=address)
         active.attempts.append(attempt)
         if active.is_awaited():
             self._pool.start(attempt)
--- a/proxy/endpoint_table.py
+++ b/proxy/endpoint_table.py
@@ -43,7 +43,7 @@
                 continue
             backend = self.backends.setdefault(endpoint.id, Backend(discovered.address))
             in_service = endpoint.status is EndpointStatus.UP
-            self._pool.update_backend(backend, discovered.address, endpoint.started, in_service)
+            self._pool.update_backend(backend, discovered.address, endpoint.started, in_service=in_service)
 
     def update_idle_quota(self, fleet_size: int) -> None:
         """Limit the idle connections to this proxy's quota.
@@ -60,4 +60,4 @@
         """
         backend = self.backends.pop(endpoint_id, None)
         if backend is not None:
-            self._pool.update_backend(backend, backend.address, backend.started_at, False)
+            self._pool.update_backend(backend, backend.address, backend.started_at, in_service=False)
--- a/proxy/upstream/__init__.py
+++ b/proxy/upstream/__init__.py
@@ -3,9 +3,9 @@
 It decides nothing about which endpoint serves a request or whether a retry follows: `balancer` does.
 """
 
-from proxy.upstream.attempt import UpstreamAttempt
+from proxy.upstream.attempt import AttemptCallbacks, UpstreamAttempt
 from proxy.upstream.backend import Backend
 from proxy.upstream.connection_pool import ConnectionPool
 from proxy.upstream.response_parser import UpstreamResponse
 
-__all__ = ["Backend", "ConnectionPool", "UpstreamAttempt", "UpstreamResponse"]
+__all__ = ["AttemptCallbacks", "Backend", "ConnectionPool", "UpstreamAttempt", "UpstreamResponse"]
--- a/proxy/upstream/memory_budget.py
+++ b/proxy/upstream/memory_budget.py
@@ -1,6 +1,6 @@
 """A limit on the bytes that many connections together may buffer.
 
-It counts alone: the bytes belong to whoever reserved them, who also releases them.
+It only counts: the bytes belong to the code that reserved them, which also releases them.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
     """Counts buffered bytes against one limit.
 
     Attributes:
-        reserved: Bytes that are buffered now.
+        reserved: The bytes that are buffered now.
     """
 
     __slots__ = ("_limit", "reserved")
@@ -20,12 +20,12 @@
         self.reserved = 0
 
     def reserve(self, size: int) -> bool:
-        """Count so many more bytes, or none of them and return False where the limit would be passed."""
+        """Count so many more bytes if the limit allows it, and return whether it does."""
         if self.reserved + size > self._limit:
             return False
         self.reserved += size
         return True
 
     def release(self, size: int) -> None:
-        """Give back bytes that were reserved."""
+        """Count so many bytes less; they must have been reserved."""
         self.reserved -= size
--- a/proxy/upstream/response_parser.py
+++ b/proxy/upstream/response_parser.py
@@ -1,13 +1,14 @@
-"""Reads one connection's bytes into responses, and says what makes a response unusable.
+"""Parses one connection's bytes into responses, and decides which responses are unusable.
 
 It owns the parts of the response that is being read, and their bytes in the memory budget. It knows neither
-the socket nor the attempt: `UpstreamConnection` feeds it and acts on what it says.
+the socket nor the attempt: `UpstreamConnection` feeds it and acts on its state.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum, auto
+from http import HTTPStatus
 from typing import TYPE_CHECKING
 
 import httptools
@@ -24,62 +25,75 @@
 if TYPE_CHECKING:
     from proxy.upstream.memory_budget import MemoryBudget
 
-#: Bytes of one response's body: not all keep to the protocol's 64 KiB, 350 KB were seen.
+#: Bytes of one response's body: some exceed the protocol's limit of 64 KiB, 350 KB were seen.
 MAX_RESPONSE_BODY_BYTES = 1 << 20
 
-#: Bytes of a response's head, those of interim responses included: what HTTP clients commonly read.
+#: Bytes of a response's head, those of interim responses included: the usual limit of HTTP clients.
 MAX_RESPONSE_HEAD_BYTES = 16 << 10
 
-MAX_INTERIM_RESPONSES = 16  # 1xx responses ahead of the final one
+MAX_INTERIM_RESPONSES = 16  # 1xx responses before the final one
+
+# Plain numbers: in Python 3.11 looking up a member of an enum class is slow.
+STATUS_CONTINUE = HTTPStatus.CONTINUE.value  # the lowest status
+STATUS_SWITCHING_PROTOCOLS = HTTPStatus.SWITCHING_PROTOCOLS.value
+STATUS_OK = HTTPStatus.OK.value  # the lowest status that is not interim
+OVERLOAD_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE.value, HTTPStatus.GATEWAY_TIMEOUT.value)
 
 
 class ResponseState(Enum):
     """How far the response to the current attempt has been read."""
 
-    HEAD = auto()  # no final status line and headers yet; interim (1xx) responses may have come
+    HEAD = auto()  # the final response's head is incomplete; interim (1xx) responses may have arrived
     BODY = auto()  # the head is complete
     COMPLETE = auto()
-    UNUSABLE = auto()  # malformed, too large, or not plain HTTP/1.1: nothing of it may be passed on
+    UNUSABLE = auto()  # malformed, too large, or not plain HTTP/1.1: nothing of it may be forwarded
 
 
-# The members under names of their own: Python 3.11 looks up an enum's member slowly, and a response has many
-# headers.
+# Module constants, as in Python 3.11 looking up a member of an enum class is slow.
 HEAD, BODY, COMPLETE, UNUSABLE = ResponseState
 
 
 @dataclass(slots=True)
 class UpstreamResponse:
-    """A backend's complete response."""
+    """A backend's complete response.
+
+    Attributes:
+        status: Its status code.
+        head: Its end-to-end headers, each with its line end.
+        body: Its body, without any framing.
+        not_processed: Whether the backend reports that it did not process the request.
+    """
 
     status: int
-    head: bytes  # its end-to-end headers, each with its line end
+    head: bytes
     body: bytes
-    not_processed: bool  # the backend says that it did not process the request
+    not_processed: bool
 
     def outcome(self) -> Outcome:
-        """What the response says of the attempt."""
-        if self.status == 200:
+        """Return the outcome of the attempt that received this response."""
+        if self.status == STATUS_OK:
             return Outcome.SUCCESS
-        return Outcome.OVERLOADED if self.status in (503, 504) and self.not_processed else Outcome.ERROR
+        is_overload = self.status in OVERLOAD_STATUSES and self.not_processed
+        return Outcome.OVERLOADED if is_overload else Outcome.ERROR
 
 
 class ResponseParser:
-    """The parser of one connection; `reset` makes it ready for the next attempt's response.
+    """The parser of one connection; `reset` prepares it for the next attempt's response.
 
     Attributes:
         state: How far the response has been read.
-        receiving: Whether a part of the response has come, and more of the same message has to.
-        keep_alive: Whether nothing that came speaks against another request on this connection.
+        receiving: Whether a message has begun to arrive and has not ended.
+        keep_alive: Whether the input so far permits another request on this connection.
     """
 
     def __init__(self, memory: MemoryBudget) -> None:
         self._memory = memory
-        self._buffered_bytes = 0  # its part of what is reserved in the memory budget
+        self._buffered_bytes = 0  # reserved in the memory budget by this parser
         self._http_parser = httptools.HttpResponseParser(self)
         self.reset()
 
     def reset(self) -> None:
-        """Start over for the response to another request."""
+        """Prepare for the response to another request."""
         self.state = HEAD
         self.receiving = False
         self.keep_alive = True
@@ -88,14 +102,14 @@
         self._body_parts: list[bytes] = []
         self._connection_options = b""  # the values of Connection headers, each after a comma
         self._not_processed = False
-        self._is_framed = False  # whether its headers say where its body ends
-        self._bytes_before_body = 0  # fed until the head was complete
+        self._is_framed = False  # whether its headers define the end of its body
+        self._bytes_before_body = 0  # fed before the head was complete
         self._header_bytes = 0
         self._body_bytes = 0
         self._interim_responses = 0
 
     def feed(self, data: memoryview) -> ResponseState:
-        """Read what has come, and return how far the response has been read now."""
+        """Parse received bytes, and return how far the response has been read now."""
         try:
             self._http_parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -103,16 +117,19 @@
             if self.state is not COMPLETE:
                 self.state = UNUSABLE
         if self.state is HEAD:
-            # Headers are counted only once they are complete: a single endless one would fill the memory.
+            # `on_header` counts a header once it is complete: a single endless one would fill the memory.
             self._bytes_before_body += len(data)
             if self._bytes_before_body > MAX_RESPONSE_HEAD_BYTES + READ_BUFFER_BYTES:
                 self.state = UNUSABLE
         return self.state
 
     def end_of_input(self) -> ResponseState:
-        """Take the orderly end of the connection, which is the end of a body that has no other one.
+        """Handle an orderly end of the connection, which ends a body that has no other framing.
+
+        A reset is no orderly end, and must not be reported here.
 
-        A reset is none: whoever sees one must not call this.
+        Returns:
+            How far the response has been read now.
         """
         if self.state is BODY and not self._is_framed:
             self.keep_alive = False
@@ -120,16 +137,16 @@
         return self.state
 
     def take_response(self) -> UpstreamResponse:
-        """Return the complete response, once."""
+        """Return the complete response; it can be taken once."""
         response = self._response
         assert response is not None
         self._response = None
         return response
 
     def close(self) -> None:
-        """Give back the memory: the connection has ended.
+        """Release the memory, as the connection has ended.
 
-        The parser and this object refer to each other, and would stay until a garbage collection.
+        The httptools parser and this object refer to each other, and would stay until a garbage collection.
         """
         self._release_memory()
         del self._http_parser
@@ -143,7 +160,7 @@
     def on_message_begin(self) -> None:
         """Parser callback: a message begins."""
         self.receiving = True
-        if self.state is COMPLETE:  # a second response: the first one stands
+        if self.state is COMPLETE:  # a second response: the first one counts
             self.keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -164,7 +181,7 @@
             self._is_framed = True
             if value.lower() != b"chunked":
                 self.state = UNUSABLE
-        # A load report is for the proxy alone, and clients may be unable to read what is no plain text.
+        # A load report is for the proxy alone, and clients may be unable to parse headers that are not ASCII.
         elif lower not in HOP_BY_HOP_HEADERS and lower != b"x-server-load" and value.isascii():
             self._header_lines.append(b"%b: %b\r\n" % (name, value))
         if self._header_bytes > MAX_RESPONSE_HEAD_BYTES:
@@ -175,10 +192,10 @@
         if self.state is not HEAD:
             return
         status = self._http_parser.get_status_code()
-        if 100 <= status < 200:
+        if STATUS_CONTINUE <= status < STATUS_OK:  # interim
             self._interim_responses += 1
-            # Nobody asked for a change of protocol, and interim responses without end would hold the attempt.
-            if status == 101 or self._interim_responses > MAX_INTERIM_RESPONSES:
+            # No request asks for another protocol, and endless interim responses would occupy the attempt.
+            if status == STATUS_SWITCHING_PROTOCOLS or self._interim_responses > MAX_INTERIM_RESPONSES:
                 self.state = UNUSABLE
             return
         self.state = BODY
@@ -191,7 +208,7 @@
         if self.state is not BODY:
             return
         self._body_bytes += len(body)
-        # One response without end, or many large ones at once, would fill the memory.
+        # One endless response, or many large ones at once, would fill the memory.
         if self._body_bytes <= MAX_RESPONSE_BODY_BYTES and self._memory.reserve(len(body)):
             self._buffered_bytes += len(body)
             self._body_parts.append(body)
@@ -200,7 +217,7 @@
 
     def on_message_complete(self) -> None:
         """Parser callback: the message is complete."""
-        if self.state is HEAD:  # an interim response: the head of the final one starts anew
+        if self.state is HEAD:  # an interim response: the head of the next one begins
             self.receiving = False
             self._header_lines.clear()
             self._connection_options = b""
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -17,7 +17,7 @@
 import pytest
 
 from balancer.balancer import Balancer
-from proxy.upstream import connection_pool
+from proxy.upstream.idle_connections import FLEET_IDLE_PER_BACKEND
 from tests.support.config_files import BAD_FILES, READ_CLASS, file_with_settings
 from tests.support.loopback import (
     Client,
@@ -135,7 +135,7 @@
     entries = [endpoint_entry("a", f"{HOST}:1"), endpoint_entry("b", f"{HOST}:2")]
     async with reloadable_proxy(config_path, entries) as proxy:
         proxy.reload(Instances=4)
-        assert idle_quota(proxy.pool) == connection_pool.FLEET_IDLE_PER_BACKEND * 2 / 4
+        assert idle_quota(proxy.pool) == FLEET_IDLE_PER_BACKEND * 2 / 4
 
 
 def record_calls(monkeypatch: pytest.MonkeyPatch, names: list[str]) -> list[str]:
--- a/tests/proxy/test_retry_races.py
+++ b/tests/proxy/test_retry_races.py
@@ -11,7 +11,7 @@
 import pytest
 
 from balancer.settings_reader import read_settings
-from proxy.upstream.keepalive_policy import REST_AFTER_RESPONSE
+from proxy.upstream.keepalive_policy import MIN_REUSE_DELAY
 from tests.support.loopback import (
     ConnectGate,
     ManualClock,
@@ -97,7 +97,7 @@
         assert sum(backend.received.qsize() for backend in backends) == 1
         assert status_of(response) in (502, 503)
         # The connection that was dialled serves requests that may use it, once it has rested.
-        await clock.advance(REST_AFTER_RESPONSE)
+        await clock.advance(MIN_REUSE_DELAY)
         assert status_of(await clock.wait_for(client.request(post_request(2)))) == 200
 
 
--- a/tests/proxy/upstream/test_connection_pool.py
+++ b/tests/proxy/upstream/test_connection_pool.py
@@ -10,7 +10,8 @@
 
 from balancer.events import Outcome
 from balancer.settings_reader import read_settings
-from proxy.upstream import connection_pool, keepalive_policy
+from proxy.upstream import keepalive_policy
+from proxy.upstream.idle_connections import FLEET_IDLE_PER_BACKEND
 from tests.support.loopback import (
     ManualClock,
     StubBackend,
@@ -38,6 +39,7 @@
     close_long_idle_connections,
     established_connections,
     idle_quota,
+    remove_idle_connection,
     send_attempt,
 )
 
@@ -104,18 +106,18 @@
     async with stub_backend(respond_ok) as backend:
         scenario = PoolScenario(backend)
         await scenario.run_side_by_side(2)
-        [older, newer] = scenario.backend.idle_connections
+        [older, newer] = scenario.idle_connections()
         for connection in (older, newer):
-            connection.idle_since -= keepalive_policy.REST_AFTER_RESPONSE
+            connection.idle_since -= keepalive_policy.MIN_REUSE_DELAY
         scenario.start()
-        assert scenario.backend.idle_connections == [older]
+        assert scenario.idle_connections() == [older]
         assert await scenario.next_outcome() is Outcome.SUCCESS
-        assert scenario.backend.idle_connections == [older, newer]
+        assert scenario.idle_connections() == [older, newer]
         assert backend.disconnects.empty()
         older.idle_since -= 31.0
         close_long_idle_connections(scenario.pool)
         await with_timeout(backend.disconnects.get())
-        assert scenario.backend.idle_connections == [newer]
+        assert scenario.idle_connections() == [newer]
 
 
 @pytest.mark.parametrize(("proxies", "concurrent", "idle_connections"), [(1, 1, 10), (40, 1, 2), (40, 5, 5)])
@@ -136,7 +138,7 @@
                 writer.write(OK_RESPONSE)
             for _ in range(concurrent):
                 assert await scenario.next_outcome() is Outcome.SUCCESS
-            assert scenario.backend.idle_connections  # the latest stay open
+            assert scenario.idle_connections()  # the latest stay open
         assert len(all_idle_connections(scenario.pool)) == idle_connections
 
 
@@ -146,9 +148,9 @@
     async with running_proxy(
         [endpoint_entry("a", f"{HOST}:1"), endpoint_entry("b", f"{HOST}:2")], settings=settings
     ) as proxy:
-        assert idle_quota(proxy.pool) == connection_pool.FLEET_IDLE_PER_BACKEND * 2 / 4
+        assert idle_quota(proxy.pool) == FLEET_IDLE_PER_BACKEND * 2 / 4
         proxy.notify([endpoint_entry("b", f"{HOST}:2", "terminated")])
-        assert idle_quota(proxy.pool) == connection_pool.FLEET_IDLE_PER_BACKEND / 4
+        assert idle_quota(proxy.pool) == FLEET_IDLE_PER_BACKEND / 4
 
 
 @in_event_loop
@@ -156,10 +158,10 @@
     async with stub_backend(respond_ok) as backend:
         scenario = PoolScenario(backend)
         assert await scenario.run(post_request(1)) is Outcome.SUCCESS
-        [idle] = scenario.backend.idle_connections
+        [idle] = scenario.idle_connections()
         finished = scenario.start(post_request(2))
         assert await scenario.next_outcome() is Outcome.SUCCESS
-        scenario.backend.idle_connections.remove(idle)
+        remove_idle_connection(scenario.pool, idle)
         send_attempt(scenario.pool, finished, idle)
         assert await scenario.run(post_request(3)) is Outcome.SUCCESS
         assert [b"id%d" % number in backend.received.get_nowait() for number in (1, 2, 3)] == [True] * 3
@@ -170,7 +172,7 @@
     async with stub_backend(respond_ok) as backend:
         scenario = PoolScenario(backend)
         await scenario.run_side_by_side(2)
-        for connection in scenario.backend.idle_connections:
+        for connection in scenario.idle_connections():
             connection.idle_since -= MAX_WAIT
         for _ in range(3):  # the first finds none that is recent enough, the others find its connection
             assert await scenario.run(retryable=False) is Outcome.SUCCESS
--- a/tests/proxy/upstream/test_keepalive_policy.py
+++ b/tests/proxy/upstream/test_keepalive_policy.py
@@ -21,7 +21,7 @@
     async with stub_backend(respond_ok) as backend:
         scenario = PoolScenario(backend)
         for number in range(4):
-            for connection in scenario.backend.idle_connections:
+            for connection in scenario.idle_connections():
                 connection.idle_since -= idle_time
             assert await scenario.run(post_request(number), retryable=False) is Outcome.SUCCESS
         assert len(backend.writers) == dials
@@ -38,7 +38,7 @@
         scenario.pool.keepalive_policy.record_failure(0.15)
         assert await scenario.run() is Outcome.SUCCESS
         for retryable, dials in ((True, 1), (False, 2)):
-            [connection] = scenario.backend.idle_connections
+            [connection] = scenario.idle_connections()
             connection.idle_since -= 0.2
             assert await scenario.run(retryable=retryable) is Outcome.SUCCESS
             assert len(backend.writers) == dials
@@ -58,7 +58,7 @@
             if number < failures:
                 scenario.pool.keepalive_policy.record_failure(5.0)
         assert await scenario.run() is Outcome.SUCCESS
-        [connection] = scenario.backend.idle_connections
+        [connection] = scenario.idle_connections()
         connection.idle_since -= 2.0
         assert await scenario.run(retryable=False) is Outcome.SUCCESS
         assert len(backend.writers) == dials
@@ -78,7 +78,7 @@
         ):
             assert await scenario.run() is expected
         assert len(backend.writers) == 2
-        assert len(scenario.backend.idle_connections) == 1
+        assert len(scenario.idle_connections()) == 1
 
 
 @in_event_loop
@@ -88,7 +88,7 @@
         scenario = PoolScenario(backend)
 
         async def run_after(idle_time: float) -> Outcome:
-            for connection in scenario.backend.idle_connections:
+            for connection in scenario.idle_connections():
                 connection.idle_since -= idle_time
             return await scenario.run()
 
@@ -118,7 +118,7 @@
     async with stub_backend(respond_ok) as backend:
         scenario = PoolScenario(backend)
         assert await scenario.run() is Outcome.SUCCESS
-        [idle] = scenario.backend.idle_connections
+        [idle] = scenario.idle_connections()
         pause_reading(idle)
         backend.writers[0].write(OK_RESPONSE)
         await wait_until(lambda: not idle.is_usable())
--- a/tests/support/pool_scenario.py
+++ b/tests/support/pool_scenario.py
@@ -8,16 +8,18 @@
 from balancer.events import Outcome
 from balancer.settings_reader import read_settings
 from proxy.config import Address
-from proxy.upstream.attempt import UpstreamAttempt
+from proxy.upstream.attempt import AttemptCallbacks, UpstreamAttempt
 from proxy.upstream.backend import Backend as PoolBackend
 from proxy.upstream.connection_pool import ConnectionPool
 from tests.support.loopback import StubBackend, with_timeout
 from tests.support.proxy_inputs import MAX_WAIT, OK_RESPONSE, RAW_SETTINGS, post_request
+from tests.support.proxy_internals import idle_connections_to
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from balancer.settings import Settings
+    from proxy.upstream.connection import UpstreamConnection
     from proxy.upstream.response_parser import UpstreamResponse
 
 
@@ -51,9 +53,13 @@
     def use_another_backend(self) -> None:
         """Send the attempts from now on to another backend, which has the same address."""
         self.backend = PoolBackend(self._address)
-        self.pool.update_backend(self.backend, self._address, 0.0, True)
+        self.pool.update_backend(self.backend, self._address, 0.0, in_service=True)
 
-    def start(self, request: bytes = b"", retryable: bool = True) -> UpstreamAttempt:
+    def idle_connections(self) -> list[UpstreamConnection]:
+        """Return the idle connections to the backend, the most recently used one last."""
+        return idle_connections_to(self.pool, self.backend)
+
+    def start(self, request: bytes = b"", *, retryable: bool = True) -> UpstreamAttempt:
         """Start an attempt."""
 
         def on_finished(
@@ -64,7 +70,11 @@
         now = asyncio.get_running_loop().time()
         deadline = now + 3 * MAX_WAIT
         attempt = UpstreamAttempt(
-            self.backend, now, deadline, lambda _time_left: request or post_request(), on_finished, retryable
+            self.backend,
+            started_at=now,
+            deadline=deadline,
+            retryable=retryable,
+            callbacks=AttemptCallbacks(lambda _time_left: request or post_request(), on_finished),
         )
         self.pool.start(attempt)
         return attempt
@@ -80,7 +90,7 @@
         for _ in range(count):
             assert await self.next_outcome() is Outcome.SUCCESS
 
-    async def run(self, request: bytes = b"", retryable: bool = True) -> Outcome:
+    async def run(self, request: bytes = b"", *, retryable: bool = True) -> Outcome:
         """Start an attempt and wait for one to finish."""
-        self.start(request, retryable)
+        self.start(request, retryable=retryable)
         return await self.next_outcome()
--- a/tests/support/proxy_internals.py
+++ b/tests/support/proxy_internals.py
@@ -4,31 +4,32 @@
 
 from typing import TYPE_CHECKING
 
+from proxy.upstream.connection import UpstreamConnection
+
 if TYPE_CHECKING:
     import asyncio
 
     from proxy.active_request import ActiveRequest
     from proxy.downstream.connection import DownstreamConnection
-    from proxy.upstream import ConnectionPool, UpstreamAttempt
-    from proxy.upstream.connection import UpstreamConnection
+    from proxy.upstream import Backend, ConnectionPool, UpstreamAttempt
 
 
 def is_receiving_response(request: ActiveRequest) -> bool:
     """Return whether a part of a response has come for any attempt of a request."""
     return any(
-        attempt.connection is not None and attempt.connection._parser.receiving
+        isinstance(attempt.connection, UpstreamConnection) and attempt.connection._parser.receiving
         for attempt in request.attempts
     )
 
 
 def idle_quota(pool: ConnectionPool) -> float:
     """Return how many idle connections to all backends together the pool may keep as this proxy's part."""
-    return pool._idle_quota
+    return pool._idle._quota
 
 
 def sweep_timer(pool: ConnectionPool) -> asyncio.TimerHandle | None:
     """Return the timer by which the pool closes idle connections."""
-    return pool._sweep_timer
+    return pool._idle._sweep_timer
 
 
 def max_connections(pool: ConnectionPool) -> int:
@@ -43,23 +44,33 @@
 
 def established_connections(pool: ConnectionPool) -> int:
     """Return how many connections to backends there are, idle ones included."""
-    return pool._connected
+    return pool._established
 
 
 def all_idle_connections(pool: ConnectionPool) -> list[UpstreamConnection]:
     """Return the idle connections to all backends, the longest idle one first."""
-    return list(pool._idle)
+    return list(pool._idle._all)
+
+
+def idle_connections_to(pool: ConnectionPool, backend: Backend) -> list[UpstreamConnection]:
+    """Return the idle connections to one backend, the most recently used one last."""
+    return list(pool._idle._by_backend.get(backend, ()))
+
+
+def remove_idle_connection(pool: ConnectionPool, connection: UpstreamConnection) -> None:
+    """Remove a connection from the idle ones without closing it, as if an attempt reused it."""
+    pool._idle.remove(connection)
 
 
 def close_idle_connections(pool: ConnectionPool) -> None:
     """Close the idle connections to all backends."""
-    for connection in tuple(pool._idle):
-        pool._close_idle(connection)
+    for connection in all_idle_connections(pool):
+        pool._idle.close(connection)
 
 
 def close_long_idle_connections(pool: ConnectionPool) -> None:
-    """Let the pool close what has been idle for long, as its timer does."""
-    pool._sweep()
+    """Close the connections that have been idle for long, as the pool's timer does."""
+    pool._idle._sweep()
 
 
 def send_attempt(pool: ConnectionPool, attempt: UpstreamAttempt, connection: UpstreamConnection) -> None:
