--- a/soak/backends.py
+++ b/soak/backends.py
@@ -13,8 +13,8 @@
 import time
 from dataclasses import dataclass
 
-from soak.lag import LagMeter
-from soak.records import Arrival, Ran
+from soak.history import Arrival, Execution, SchedulingDelay
+from soak.scheduling_delay import SchedulingDelayMeter
 from testbed.loopback import HOST, port_of
 
 NOT_PROCESSED = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -67,7 +67,7 @@
         self._names = names
         self._servers: dict[str, asyncio.Server] = {}
         self._connections: dict[str, set[BackendConnection]] = {name: set() for name in names}
-        self._lag_meter = LagMeter()
+        self._delay_meter = SchedulingDelayMeter()
 
     async def start(self) -> dict[str, int]:
         """Start all backends and return the port of each."""
@@ -90,9 +90,9 @@
         """Let a backend take requests and answer none, or serve again."""
         (self.hanging.add if hangs else self.hanging.discard)(name)
 
-    def results(self) -> tuple[list[Arrival], list[tuple[float, float]]]:
+    def results(self) -> tuple[list[Arrival], list[SchedulingDelay]]:
         """Return what arrived, and when this process was late."""
-        return self.arrivals, self._lag_meter.lags
+        return self.arrivals, self._delay_meter.delays
 
 
 class BackendConnection(asyncio.Protocol):
@@ -152,7 +152,7 @@
         behaviour, rng = self._fleet.behaviour, self._fleet.rng
         draw = rng.random()
         if draw < behaviour.refuse:
-            arrival.ran = Ran.NEVER
+            arrival.execution = Execution.NOT_EXECUTED
             self._transport.write(NOT_PROCESSED)
             return
         draw -= behaviour.refuse
@@ -178,12 +178,12 @@
         body = f"{arrival.id} by {arrival.backend}".encode()
         if rng.random() < behaviour.large:
             body += b" " * LARGE_BODY_BYTES
-        arrival.ran = Ran.YES
+        arrival.execution = Execution.CONFIRMED
         if 0.0 <= draw < behaviour.lengthless + behaviour.broken:
             arrival.has_length = False
             self._transport.write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
             if draw < behaviour.lengthless:
-                arrival.completed = True
+                arrival.response_completed = True
                 self._transport.close()
             else:
                 await asyncio.sleep(0.01)
@@ -191,7 +191,7 @@
             return
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
         self._transport.write(answer)
-        arrival.completed = True
+        arrival.response_completed = True
         after = rng.random()
         if after < behaviour.twice:
             await asyncio.sleep(rng.uniform(0.001, 0.008))
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Any
 
 from soak.backends import read_headers, reset_on_close
-from soak.records import BadClient, Ending, Recording, Request, Safety
+from soak.history import History, Request, RequestOutcome, RetrySafety, StalledClient
 from testbed.loopback import HOST
 
 if TYPE_CHECKING:
@@ -92,8 +92,8 @@
 class Clients:
     """All clients of a run."""
 
-    def __init__(self, fleet: ProxyFleet, recording: Recording, mix: ClientMix, seed: int) -> None:
-        self._fleet, self._recording, self._mix = fleet, recording, mix
+    def __init__(self, fleet: ProxyFleet, history: History, mix: ClientMix, seed: int) -> None:
+        self._fleet, self._history, self._mix = fleet, history, mix
         self._rng = random.Random(seed)
         self._idle: dict[int, list[ClientConnection]] = defaultdict(list)
         self._number = 0
@@ -145,20 +145,20 @@
         """Return the record of a new request, or of one that is sent once more, to another proxy maybe."""
         if again is None:
             self._number += 1
-            safety = self._rng.choice(tuple(Safety))
+            safety = self._rng.choice(tuple(RetrySafety))
             request = Request(f"r{self._number}", safety, proxy, self._rng.choice(self._mix.timeouts))
         else:
             left = again.sent_at + again.timeout - time.monotonic()
             request = Request(again.id, again.safety, proxy, max(0.01, left))
-        self._recording.requests.append(request)
+        self._history.requests.append(request)
         return request
 
     def _encode(self, request: Request, last: bool) -> bytes:
         """Return a request's bytes."""
         method, body = (
-            ("GET", "") if request.safety is Safety.IDEMPOTENT else ("POST", f"body of {request.id}")
+            ("GET", "") if request.safety is RetrySafety.IDEMPOTENT else ("POST", f"body of {request.id}")
         )
-        key = f"Idempotency-Key: {request.id}\r\n" if request.safety is Safety.KEYED else ""
+        key = f"Idempotency-Key: {request.id}\r\n" if request.safety is RetrySafety.KEYED else ""
         return (
             f"{method} /api/k HTTP/1.1\r\nHost: b\r\nX-Request-ID: {request.id}\r\n"
             f"X-Priority-Class: {request.safety}\r\nX-Timeout: {request.timeout:.3f}\r\n{key}"
@@ -199,13 +199,13 @@
         except OSError:
             connection.close()
             return
-        life = self._fleet.life(request.proxy)
+        incarnation = self._fleet.incarnation(request.proxy)
         leaves_after = rng.uniform(0.0, request.timeout) * rng.random() if rng.random() < mix.leaves else None
         if await self._take_answer(connection, request, slow_reader, leaves_after):
             self._keep(connection, request.proxy)
         # What a killed process held is lost; else the request may have crossed the end of its connection.
-        was_killed = life is None or life.killed_at <= time.monotonic()
-        crossed = request.ending is Ending.CLOSED and connection.has_served
+        was_killed = incarnation is None or incarnation.killed_at <= time.monotonic()
+        crossed = request.outcome is RequestOutcome.CONNECTION_CLOSED and connection.has_served
         if may_repeat and crossed and not was_killed:
             proxy = self._fleet.pick(rng)
             if proxy is not None:
@@ -241,15 +241,15 @@
                 status, body, stays_open = await connection.read_answer(slowly)
         except TimeoutError:
             left = leaves_after is not None and leaves_after < patience
-            request.ending = Ending.LEFT if left else Ending.NONE
+            request.outcome = RequestOutcome.DISCONNECTED if left else RequestOutcome.TIMED_OUT
             connection.close(reset=self._rng.random() < 0.5)
             request.ended_at = time.monotonic()
             return False
         except (OSError, asyncio.IncompleteReadError):
-            request.ending, request.ended_at = Ending.CLOSED, time.monotonic()
+            request.outcome, request.ended_at = RequestOutcome.CONNECTION_CLOSED, time.monotonic()
             connection.close()
             return False
-        request.ending, request.ended_at, request.status = Ending.ANSWERED, time.monotonic(), status
+        request.outcome, request.ended_at, request.status = RequestOutcome.RESPONDED, time.monotonic(), status
         request.body_is_genuine = body.startswith(f"{request.id} by ".encode())
         connection.has_served = True
         if not stays_open:
@@ -291,7 +291,7 @@
         for position, request in enumerate(requests):
             if connection.writer.is_closing() or connection.reader.at_eof():
                 return
-            request.pipelined, request.turn_by = position > 0, turn_by
+            request.pipelined, request.response_due_at = position > 0, turn_by
             request.began_at = request.sent_at = time.monotonic()
             turn_by = max(turn_by, request.sent_at + request.timeout)
             try:
@@ -305,7 +305,7 @@
         """Send a part of a request on a new connection and stay; an error or a close is owed."""
         if not self._fleet.accepts_connections(proxy):
             return
-        request = Request("stalled", Safety.IDEMPOTENT, proxy, 1.0)
+        request = Request("stalled", RetrySafety.IDEMPOTENT, proxy, 1.0)
         data = self._encode(request, last=False)
         try:
             reader, writer = await asyncio.open_connection(HOST, self._fleet.port(proxy))
@@ -324,4 +324,4 @@
         except OSError:
             ended_at = time.monotonic()
         writer.close()
-        self._recording.bad_clients.append(BadClient(proxy, stopped_at, ended_at))
+        self._history.stalled_clients.append(StalledClient(proxy, stopped_at, ended_at))
--- /dev/null
+++ b/soak/history_checker.py
@@ -0,0 +1,49 @@
+"""Checks a history against the rules of the protocol: every request, every arrival, every process.
+
+It owns which checks there are. It knows nothing of how a run is made. Where the run's own processes were
+scheduled late, or the run paused a proxy on purpose, `IndexedHistory.slack` allows for it.
+"""
+
+from __future__ import annotations
+
+from operator import attrgetter
+from typing import TYPE_CHECKING
+
+from soak.arrival_checks import check_arrival, check_drain, check_retries
+from soak.indexed_history import IndexedHistory
+from soak.process_checks import check_incarnation, check_readiness, check_stalled_client
+from soak.request_checks import check_close_delimited, check_request
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from soak.history import History
+    from soak.violations import Violation
+
+
+class HistoryChecker:
+    """Checks one history."""
+
+    def __init__(self, history: History) -> None:
+        self._indexed = IndexedHistory(history)
+
+    def violations(self) -> list[Violation]:
+        """Return all violations, in the order of time."""
+        return sorted(self._found(), key=attrgetter("at"))
+
+    def _found(self) -> Iterator[Violation]:
+        indexed = self._indexed
+        for request in indexed.history.requests:
+            yield from check_request(indexed, request)
+        for arrivals in indexed.arrivals.values():
+            yield from check_retries(indexed, arrivals)
+        for arrival in indexed.history.arrivals:
+            yield from check_arrival(indexed, arrival)
+        for drain in indexed.history.drains:
+            yield from check_drain(indexed, drain)
+        for incarnation in indexed.history.incarnations:
+            yield from check_incarnation(incarnation)
+        yield from check_readiness(indexed)
+        for client in indexed.history.stalled_clients:
+            yield from check_stalled_client(indexed, client)
+        yield from check_close_delimited(indexed)
--- a/soak/proxies.py
+++ b/soak/proxies.py
@@ -17,7 +17,7 @@
 
 import psutil
 
-from soak.records import ProxyLife, Recording, Span
+from soak.history import History, ProxyIncarnation, TimeSpan
 from testbed.loopback import HOST
 from testbed.paths import PROJECT_ROOT
 from testbed.processes import inherited_environment
@@ -67,15 +67,15 @@
     config: ProxyConfig
     path: Path
     process: Process | None = None
-    life: ProxyLife | None = None
+    incarnation: ProxyIncarnation | None = None
     log_task: asyncio.Task[None] | None = None
 
 
 class ProxyFleet:
     """All proxies of a run, by their number."""
 
-    def __init__(self, folder: Path, recording: Recording, faults: Faults, log_events: bool) -> None:
-        self._folder, self._recording, self._faults = folder, recording, faults
+    def __init__(self, folder: Path, history: History, faults: Faults, log_events: bool) -> None:
+        self._folder, self._history, self._faults = folder, history, faults
         self._log_events = log_events
         self._slots: list[_Slot] = []
         self._starts = 0
@@ -92,9 +92,9 @@
         """Return where a proxy listens."""
         return self._slots[proxy].config.port
 
-    def life(self, proxy: int) -> ProxyLife | None:
+    def incarnation(self, proxy: int) -> ProxyIncarnation | None:
         """Return the present or latest process of a proxy."""
-        return self._slots[proxy].life
+        return self._slots[proxy].incarnation
 
     def pick(self, rng: random.Random) -> int | None:
         """Return a proxy that is up, as the clients' side would choose it; None if none is."""
@@ -103,10 +103,15 @@
 
     def accepts_connections(self, proxy: int) -> bool:
         """Return whether the clients' side still sends new connections to a proxy."""
-        life, now = self._slots[proxy].life, time.monotonic()
-        if life is None or life.ready_at > now or life.killed_at <= now or life.ended_at <= now:
+        incarnation, now = self._slots[proxy].incarnation, time.monotonic()
+        if (
+            incarnation is None
+            or incarnation.ready_at > now
+            or incarnation.killed_at <= now
+            or incarnation.ended_at <= now
+        ):
             return False
-        return now < life.terminated_at + NEW_CONNECTIONS_AFTER_TERMINATION
+        return now < incarnation.terminated_at + NEW_CONNECTIONS_AFTER_TERMINATION
 
     def reconfigure(self, proxy: int, **changed: Any) -> None:
         """Write another configuration, without a signal."""
@@ -135,18 +140,18 @@
         environment |= replace(self._faults, seed=self._faults.seed * 1000 + self._starts).to_environment()
         if self._log_events:
             environment[EVENT_LOG_VARIABLE] = str(self._folder / f"{slot.config.name}-{self._starts}.events")
-        slot.life = life = ProxyLife(proxy, time.monotonic())
-        self._recording.lives.append(life)
+        slot.incarnation = incarnation = ProxyIncarnation(proxy, time.monotonic())
+        self._history.incarnations.append(incarnation)
         slot.process = process = await asyncio.create_subprocess_shell(
             shim_command(), cwd=PROJECT_ROOT, env=environment, stderr=asyncio.subprocess.PIPE
         )
-        slot.log_task = asyncio.get_running_loop().create_task(_read_log(process, life))
-        await self._wait_until_ready(slot.config.port, process, life)
+        slot.log_task = asyncio.get_running_loop().create_task(_read_log(process, incarnation))
+        await self._wait_until_ready(slot.config.port, process, incarnation)
 
-    async def _wait_until_ready(self, port: int, process: Process, life: ProxyLife) -> None:
-        while process.returncode is None and time.monotonic() < life.started_at + START_TIMEOUT:
+    async def _wait_until_ready(self, port: int, process: Process, incarnation: ProxyIncarnation) -> None:
+        while process.returncode is None and time.monotonic() < incarnation.started_at + START_TIMEOUT:
             if await _is_healthy(port):
-                life.ready_at = time.monotonic()
+                incarnation.ready_at = time.monotonic()
                 return
             await asyncio.sleep(HEALTH_POLL_INTERVAL)
 
@@ -163,13 +168,13 @@
 
     async def hold_up(self, proxy: int, seconds: float) -> None:
         """Stop a proxy's process for a moment."""
-        life = self._slots[proxy].life
+        incarnation = self._slots[proxy].incarnation
         begin = time.monotonic()
         self.signal(proxy, signal.SIGSTOP)
         await asyncio.sleep(seconds)
         self.signal(proxy, signal.SIGCONT)
-        if life is not None:
-            life.held_up.append(Span(begin, time.monotonic()))
+        if incarnation is not None:
+            incarnation.paused.append(TimeSpan(begin, time.monotonic()))
 
     async def stop(self, proxy: int, kill_after: float | None) -> None:
         """End a proxy's process.
@@ -179,23 +184,23 @@
             kill_after: Seconds from SIGTERM to SIGKILL; None kills at once.
         """
         slot = self._slots[proxy]
-        process, life = slot.process, slot.life
-        if process is None or life is None:
+        process, incarnation = slot.process, slot.incarnation
+        if process is None or incarnation is None:
             return
         if process.returncode is None:
-            life.resident = _resident(process.pid)
+            incarnation.resident = _resident(process.pid)
         if kill_after is not None:
-            life.terminated_at = time.monotonic()
+            incarnation.terminated_at = time.monotonic()
             self.signal(proxy, signal.SIGTERM)
             try:
                 await asyncio.wait_for(process.wait(), kill_after)
             except TimeoutError:
                 kill_after = None
         if kill_after is None:
-            life.killed_at = time.monotonic()
+            incarnation.killed_at = time.monotonic()
             self.signal(proxy, signal.SIGKILL)
             await process.wait()
-        life.ended_at, life.exit_code = time.monotonic(), process.returncode
+        incarnation.ended_at, incarnation.exit_code = time.monotonic(), process.returncode
         if slot.log_task is not None:
             await slot.log_task
 
@@ -206,9 +211,13 @@
     def note_ended(self) -> None:
         """Note processes that have ended by themselves."""
         for slot in self._slots:
-            if slot.process is not None and slot.process.returncode is not None and slot.life is not None:
-                slot.life.ended_at = min(slot.life.ended_at, time.monotonic())
-                slot.life.exit_code = slot.process.returncode
+            if (
+                slot.process is not None
+                and slot.process.returncode is not None
+                and slot.incarnation is not None
+            ):
+                slot.incarnation.ended_at = min(slot.incarnation.ended_at, time.monotonic())
+                slot.incarnation.exit_code = slot.process.returncode
 
 
 def _resident(pid: int) -> int:
@@ -230,9 +239,9 @@
     return line.startswith(b"HTTP/1.1 200")
 
 
-async def _read_log(process: Process, life: ProxyLife) -> None:
+async def _read_log(process: Process, incarnation: ProxyIncarnation) -> None:
     """Keep what a process writes to standard error."""
     assert process.stderr is not None
     async for line in process.stderr:
-        if len(life.log) < MAX_LOG_LINES:
-            life.log.append(line.decode(errors="replace").rstrip())
+        if len(incarnation.log) < MAX_LOG_LINES:
+            incarnation.log.append(line.decode(errors="replace").rstrip())
--- a/soak/run.py
+++ b/soak/run.py
@@ -10,22 +10,26 @@
 from contextlib import ExitStack
 from dataclasses import dataclass, field, replace
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import numpy as np
 
 from soak.backends import BackendFleet, Behaviour
 from soak.clients import ClientMix, Clients
-from soak.judge import Judge, Violation
-from soak.lag import LagMeter
+from soak.history import History
+from soak.history_checker import HistoryChecker
 from soak.proxies import ProxyFleet
-from soak.records import Recording
 from soak.schedule import KILL_DELAY, Troubles, World
+from soak.scheduling_delay import SchedulingDelayMeter
 from soak.shim import Faults
 from soak.world import DEADLINE, DEDUPLICATION_WINDOW, EndpointList, settings
 from testbed.child_process import ChildProcess
 from testbed.loopback import free_ports
 from testbed.proxy_config import ProxyConfig
 
+if TYPE_CHECKING:
+    from soak.violations import Violation
+
 BACKENDS = 14
 PORTS_PER_PROXY = 3  # of the proxy itself, and of the two places of its discovery
 
@@ -97,20 +101,20 @@
     backends: ChildProcess,
     log_events: bool,
 ) -> RunReport:
-    recording = Recording(deduplication_window=DEDUPLICATION_WINDOW)
-    endpoints = EndpointList(backends.call("start"), proxies, recording)
+    history = History(deduplication_window=DEDUPLICATION_WINDOW)
+    endpoints = EndpointList(backends.call("start"), proxies, history)
     ports = free_ports(PORTS_PER_PROXY * proxies, np.random.default_rng(seed))
     listening, discovery = ports[:proxies], list(zip(ports[proxies::2], ports[proxies + 1 :: 2], strict=True))
     await endpoints.open_agents(discovery)
     faults = replace(scenario.faults, seed=seed, punctual_ports=tuple(ports[proxies:]))
-    fleet = ProxyFleet(folder, recording, faults, log_events)
+    fleet = ProxyFleet(folder, history, faults, log_events)
     draw = random.Random(seed)
     for number, port in enumerate(listening):
         known, config = endpoints.snapshot(), settings(proxies, number)
         seed_text = f"{draw.getrandbits(64):016x}"
         fleet.add(ProxyConfig(f"p{number}", port, discovery[number][0], seed_text, known, config, "0"))
-    lag_meter = LagMeter()
-    clients = Clients(fleet, recording, scenario.mix, seed + 1)
+    delay_meter = SchedulingDelayMeter()
+    clients = Clients(fleet, history, scenario.mix, seed + 1)
     troubles = Troubles(World(fleet, backends, endpoints, clients, discovery), seed + 2, scenario.troubles)
     try:
         await fleet.start_all()
@@ -122,21 +126,21 @@
         (folder / "troubles.log").write_text("\n".join(troubles.lines) + "\n")
     endpoints.finish()
     endpoints.registry.close()
-    recording.arrivals, lags = backends.call("results")
-    recording.lags = lags + lag_meter.lags
-    lag_meter.stop()
-    return _report(recording, troubles)
+    history.arrivals, delays = backends.call("results")
+    history.scheduling_delays = delays + delay_meter.delays
+    delay_meter.stop()
+    return _report(history, troubles)
 
 
-def _report(recording: Recording, troubles: Troubles) -> RunReport:
+def _report(history: History, troubles: Troubles) -> RunReport:
     endings = Counter(
-        f"{request.ending} {request.status}" if request.status else str(request.ending)
-        for request in recording.requests
+        f"{request.outcome} {request.status}" if request.status else str(request.outcome)
+        for request in history.requests
     )
     return RunReport(
-        Judge(recording).violations(),
+        HistoryChecker(history).violations(),
         endings,
         troubles.counts,
-        max((seconds for _, seconds in recording.lags), default=0.0),
-        max((life.resident for life in recording.lives), default=0),
+        max((delay.seconds for delay in history.scheduling_delays), default=0.0),
+        max((incarnation.resident for incarnation in history.incarnations), default=0),
     )
--- a/soak/world.py
+++ b/soak/world.py
@@ -9,7 +9,7 @@
 import time
 from typing import Any
 
-from soak.records import Drain, Recording, Safety
+from soak.history import Drain, History, RetrySafety
 from testbed.discovery.registry import Registry
 from testbed.loopback import HOST
 
@@ -57,11 +57,11 @@
 
 def _request_classes(keyed_is_safe: bool) -> list[dict[str, Any]]:
     """Return one class for each degree of safety, named for it."""
-    keyed = Safety.KEYED if keyed_is_safe else Safety.NON_IDEMPOTENT
-    repeats: dict[Safety, dict[str, Any]] = {
-        Safety.IDEMPOTENT: {"Repeat": str(Safety.IDEMPOTENT)},
-        Safety.KEYED: {"Repeat": str(keyed), "Group": "all", "Window": DEDUPLICATION_WINDOW},
-        Safety.NON_IDEMPOTENT: {"Repeat": str(Safety.NON_IDEMPOTENT)},
+    keyed = RetrySafety.KEYED if keyed_is_safe else RetrySafety.NON_IDEMPOTENT
+    repeats: dict[RetrySafety, dict[str, Any]] = {
+        RetrySafety.IDEMPOTENT: {"Repeat": str(RetrySafety.IDEMPOTENT)},
+        RetrySafety.KEYED: {"Repeat": str(keyed), "Group": "all", "Window": DEDUPLICATION_WINDOW},
+        RetrySafety.NON_IDEMPOTENT: {"Repeat": str(RetrySafety.NON_IDEMPOTENT)},
     }
     common: dict[str, Any] = {"Aim": 1.0, "HardLimit": DEADLINE, "LateWorth": 1.0, "Credit": 1.0}
     return [common | {"Name": str(safety)} | repeat for safety, repeat in repeats.items()]
@@ -70,11 +70,11 @@
 class EndpointList:
     """The endpoint list of a run, as discovery has it."""
 
-    def __init__(self, ports: dict[str, int], proxies: int, recording: Recording) -> None:
+    def __init__(self, ports: dict[str, int], proxies: int, history: History) -> None:
         self._entries = {
             name: self._entry(name, port, position) for position, (name, port) in enumerate(ports.items())
         }
-        self._recording = recording
+        self._history = history
         self._proxies = range(proxies)
         self._silent: dict[int, dict[str, Any]] = {}  # what silent agents' proxies have heard last, by proxy
         self._draining: dict[str, dict[int, float]] = {}  # when each proxy was notified, by backend
@@ -126,14 +126,14 @@
         """Let a backend be in service again, as another process at another port."""
         notified_at = self._draining.pop(name, None)
         if notified_at is not None:
-            self._recording.drains.append(Drain(name, notified_at, time.monotonic()))
+            self._history.drains.append(Drain(name, notified_at, time.monotonic()))
         started_ms = int(time.time() * 1000)
         self._publish(name, status="in_service", address=f"{HOST}:{port}", since_ms=started_ms)
 
     def finish(self) -> None:
         """Record the drains that have not ended."""
         for name, notified_at in self._draining.items():
-            self._recording.drains.append(Drain(name, notified_at))
+            self._history.drains.append(Drain(name, notified_at))
 
     def silence(self, proxies: list[int]) -> None:
         """Let the agents of some proxies say nothing."""
