--- a/emulator/fleet/real_proxies.py
+++ b/emulator/fleet/real_proxies.py
@@ -21,8 +21,9 @@
     from collections.abc import Iterator
 
     from emulator.fleet.topology import Topology
+    from testbed.discovery.entry import EndpointUpdate
 
-EMPTY_SNAPSHOT = {"index": 0, "snapshot": True, "endpoints": []}
+EMPTY_SNAPSHOT: EndpointUpdate = {"index": 0, "snapshot": True, "endpoints": []}
 
 
 @contextmanager
--- a/emulator/fleet/stub_fleet.py
+++ b/emulator/fleet/stub_fleet.py
@@ -12,15 +12,15 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from testbed.discovery.entry import Entry
+    from testbed.discovery.entry import EndpointEntry, EndpointUpdate
 
 
-def endpoint_snapshot(rows: int, ports: Sequence[int]) -> dict[str, Any]:
+def endpoint_snapshot(rows: int, ports: Sequence[int]) -> EndpointUpdate:
     """Build an endpoint list in discovery's form; where it has more rows than ports, they take turns."""
     return {"index": 1, "snapshot": True, "endpoints": endpoint_entries(rows, ports)}
 
 
-def endpoint_entries(rows: int, ports: Sequence[int]) -> list[Entry]:
+def endpoint_entries(rows: int, ports: Sequence[int]) -> list[EndpointEntry]:
     """Build the entries of such a list."""
     return [
         {
--- a/emulator/fleet/topology.py
+++ b/emulator/fleet/topology.py
@@ -12,7 +12,7 @@
 import numpy as np
 
 if TYPE_CHECKING:
-    from testbed.discovery.entry import Entry
+    from testbed.discovery.entry import EndpointEntry
 
 BACKENDS, SERVICES = 910, 78
 ZONES = ("a", "b", "c", "d", "e")
@@ -36,7 +36,7 @@
     """
 
     seed: int
-    entries: tuple[Entry, ...]
+    entries: tuple[EndpointEntry, ...]
     service_of: tuple[int, ...]
     calls: tuple[tuple[int, ...], ...]
 
@@ -87,7 +87,7 @@
     return Topology(seed, entries, service_of, calls)
 
 
-def _entry(position: int, service: int, host_type: str, group: int) -> Entry:
+def _entry(position: int, service: int, host_type: str, group: int) -> EndpointEntry:
     return {
         "name": f"s{service:02d}-{position:05d}",
         "address": f"10.{1 + position // 65536}.{position // 256 % 256}.{position % 256}:8080",
--- a/emulator/runs/endpoint_changes.py
+++ b/emulator/runs/endpoint_changes.py
@@ -6,14 +6,16 @@
 from __future__ import annotations
 
 import time
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
+
+from testbed.discovery.entry import changed_entry
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     import numpy as np
 
-    from testbed.discovery.entry import Entry
+    from testbed.discovery.entry import EndpointChange, EndpointEntry
 
 
 class EndpointChanges:
@@ -22,31 +24,31 @@
     An endpoint is named by its index in the list.
     """
 
-    def __init__(self, entries: Sequence[Entry], rng: np.random.Generator) -> None:
+    def __init__(self, entries: Sequence[EndpointEntry], rng: np.random.Generator) -> None:
         self.entries = list(entries)
         self._rng = rng
 
-    def _set(self, index: int, **changed: Any) -> Entry:
-        self.entries[index] = self.entries[index] | changed
+    def _set(self, index: int, change: EndpointChange) -> EndpointEntry:
+        self.entries[index] = changed_entry(self.entries[index], change)
         return self.entries[index]
 
-    def change_any(self) -> Entry:
+    def change_any(self) -> EndpointEntry:
         """Let a random endpoint drain, or restart it where it is draining or gone."""
         index = int(self._rng.integers(len(self.entries)))
         if self.entries[index]["status"] == "in_service":
-            return self._set(index, status="terminating")
+            return self._set(index, {"status": "terminating"})
         return self.restart(index)
 
-    def terminate(self, index: int) -> Entry:
+    def terminate(self, index: int) -> EndpointEntry:
         """Take an endpoint out of service for good."""
-        return self._set(index, status="terminated")
+        return self._set(index, {"status": "terminated"})
 
-    def restart(self, index: int) -> Entry:
+    def restart(self, index: int) -> EndpointEntry:
         """Bring an endpoint into service as a new process, which has yet to warm up."""
-        return self._set(index, status="in_service", since_ms=int(time.time() * 1000))
+        return self._set(index, {"status": "in_service", "since_ms": int(time.time() * 1000)})
 
-    def replace(self, index: int) -> Entry:
+    def replace(self, index: int) -> EndpointEntry:
         """Bring an endpoint into service on another machine, which has yet to warm up."""
-        host, _, port = str(self.entries[index]["address"]).partition(":")
-        self._set(index, address=f"{host}:{int(port) + 1}")
+        host, _, port = self.entries[index]["address"].partition(":")
+        self._set(index, {"address": f"{host}:{int(port) + 1}"})
         return self.restart(index)
--- a/emulator/runs/simulated_fleet.py
+++ b/emulator/runs/simulated_fleet.py
@@ -28,7 +28,7 @@
     from contextlib import ExitStack
 
     from emulator.runs.fleet_plans import Plan
-    from testbed.discovery.entry import Entry
+    from testbed.discovery.entry import EndpointEntry
 
 MAX_HOSTS = 6  # processes of simulated proxies; fewer for a small fleet or on a small machine
 MIN_PROXIES_FOR_MAX_HOSTS = 30
@@ -115,7 +115,7 @@
 
     # ---- the endpoint list -----------------------------------------------------------------
 
-    def publish(self, entries: list[Entry]) -> None:
+    def publish(self, entries: list[EndpointEntry]) -> None:
         """Publish one version: the same at every live control machine."""
         self._index += 1
         names = frozenset(entry["name"] for entry in entries)
--- a/soak/world.py
+++ b/soak/world.py
@@ -7,19 +7,22 @@
 from __future__ import annotations
 
 import time
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from soak.history import Drain, History, RetrySafety
+from testbed.discovery.entry import changed_entry
 from testbed.discovery.registry import Registry
 from testbed.loopback import HOST
 
+if TYPE_CHECKING:
+    from testbed.discovery.entry import EndpointChange, EndpointEntry, EndpointUpdate
+
 ZONES = ("a", "b")
 DEADLINE = 2.0  # seconds, of each class
 DEDUPLICATION_WINDOW = 0.8  # seconds
 WARMUP = 1.0  # seconds
 FOREVER = float("inf")
 REACHABLE_TIME = 0.3  # seconds for which an agent has to speak for a proxy to count as notified
-Entry = dict[str, Any]
 
 
 def settings(proxies: int, ordinal: int, keyed_is_safe: bool = True, cancel: bool = True) -> dict[str, Any]:
@@ -76,12 +79,12 @@
         }
         self._history = history
         self._proxies = range(proxies)
-        self._silent: dict[int, dict[str, Any]] = {}  # what silent agents' proxies have heard last, by proxy
+        self._silent: dict[int, EndpointUpdate] = {}  # what silent agents' proxies have heard last, by proxy
         self._draining: dict[str, dict[int, float]] = {}  # when each proxy was notified, by backend
         self.registry = Registry(self._entries.values())
 
     @staticmethod
-    def _entry(name: str, port: int, position: int) -> Entry:
+    def _entry(name: str, port: int, position: int) -> EndpointEntry:
         return {
             "name": name,
             "address": f"{HOST}:{port}",
@@ -93,7 +96,7 @@
             "since_ms": 0,
         }
 
-    def snapshot(self) -> dict[str, Any]:
+    def snapshot(self) -> EndpointUpdate:
         """Return the complete list, in discovery's form."""
         return {
             "index": self.registry.state.index,
@@ -101,7 +104,7 @@
             "endpoints": list(self._entries.values()),
         }
 
-    def known_to(self, proxy: int) -> dict[str, Any]:
+    def known_to(self, proxy: int) -> EndpointUpdate:
         """Return the list as a proxy last held it, which is what its next process is started with."""
         return self._silent.get(proxy) or self.snapshot()
 
@@ -117,7 +120,7 @@
 
     def drain(self, name: str) -> None:
         """Let a backend want nothing new."""
-        self._publish(name, status="terminating")
+        self._publish(name, {"status": "terminating"})
         now = time.monotonic()
         notified_at = {proxy: FOREVER if proxy in self._silent else now for proxy in self._proxies}
         self._draining[name] = notified_at
@@ -128,7 +131,7 @@
         if notified_at is not None:
             self._history.drains.append(Drain(name, notified_at, time.monotonic()))
         started_ms = int(time.time() * 1000)
-        self._publish(name, status="in_service", address=f"{HOST}:{port}", since_ms=started_ms)
+        self._publish(name, {"status": "in_service", "address": f"{HOST}:{port}", "since_ms": started_ms})
 
     def finish(self) -> None:
         """Record the drains that have not ended."""
@@ -160,8 +163,8 @@
         """Reset all watches; with `forget_log` they get the complete list when they return."""
         self.registry.reset_connections(list(self.registry.endpoints), forget_log)
 
-    def _publish(self, name: str, **changed: Any) -> None:
-        entry = self._entries[name] | changed
+    def _publish(self, name: str, change: EndpointChange) -> None:
+        entry = changed_entry(self._entries[name], change)
         self._entries[name] = entry
         self.registry.publish(self.registry.state.index + 1, [entry])
 
--- a/testbed/discovery/registry.py
+++ b/testbed/discovery/registry.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from testbed.discovery.entry import Entry
+    from testbed.discovery.entry import EndpointEntry
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,7 +46,7 @@
 class Registry:
     """One control machine: the endpoint list, the endpoints that serve it, and what it spends."""
 
-    def __init__(self, entries: Iterable[Entry], index: int = 1) -> None:
+    def __init__(self, entries: Iterable[EndpointEntry], index: int = 1) -> None:
         self.state = RegistryState(entries, index)
         self.endpoints: dict[str, ControlEndpoint] = {}
 
@@ -77,7 +77,7 @@
         for address in addresses:
             await self.open_endpoint(address.name, address.port, address.view)
 
-    def publish(self, index: int, entries: list[Entry]) -> float:
+    def publish(self, index: int, entries: list[EndpointEntry]) -> float:
         """Apply a change and send it to all watches.
 
         Returns:
--- a/testbed/discovery/registry_state.py
+++ b/testbed/discovery/registry_state.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from testbed.discovery.entry import Entry
+    from testbed.discovery.entry import EndpointEntry, EndpointUpdate
 
 MAX_LOG_ENTRIES = 4096  # changed entries that a watch can resume over
 View = frozenset[str] | None  # the names of the backends that a client sees; None: all of them
@@ -39,15 +39,15 @@
 class RegistryState:
     """The endpoint list, its version, and the log that deltas are made from."""
 
-    def __init__(self, entries: Iterable[Entry], index: int = 1) -> None:
+    def __init__(self, entries: Iterable[EndpointEntry], index: int = 1) -> None:
         self.index = index
         self._entries = {entry["name"]: entry for entry in entries}
-        self._log: deque[tuple[int, Entry]] = deque()
+        self._log: deque[tuple[int, EndpointEntry]] = deque()
         self._oldest_index = index  # the oldest version from which the log holds every change
         self._oldest_resumable = index  # the oldest version that a new watch may resume from
         self._encoded: dict[tuple[View, int], EncodedUpdate | None] = {}
 
-    def change(self, index: int, entries: list[Entry]) -> None:
+    def change(self, index: int, entries: list[EndpointEntry]) -> None:
         """Apply one version's entries.
 
         Raises:
@@ -63,7 +63,7 @@
         self.index = index
         self._encoded.clear()
 
-    def _apply(self, entry: Entry) -> None:
+    def _apply(self, entry: EndpointEntry) -> None:
         if entry["status"] == "terminated":
             self._entries.pop(entry["name"], None)
         else:
@@ -78,7 +78,7 @@
     def snapshot(self, view: View) -> EncodedUpdate:
         """Encode the complete list of the backends in a view."""
         entries = [entry for entry in self._entries.values() if view is None or entry["name"] in view]
-        return EncodedUpdate(self._encode(True, entries), True, True)
+        return EncodedUpdate(self._encode(entries, is_snapshot=True), is_snapshot=True, has_entries=True)
 
     def resume(self, index: int, view: View) -> EncodedUpdate:
         """Encode what a new watch that resumes from a version is sent first."""
@@ -90,14 +90,15 @@
         """Encode what changed after a version; a snapshot if the log doesn't reach back that far."""
         if not self._oldest_index <= index <= self.index:
             return self.snapshot(view)
-        latest: dict[str, Entry] = {}
+        latest: dict[str, EndpointEntry] = {}
         for changed_at, entry in reversed(self._log):
             if changed_at <= index:
                 break
             if view is None or entry["name"] in view:
                 latest.setdefault(entry["name"], entry)
         entries = list(latest.values())[::-1]
-        return EncodedUpdate(self._encode(False, entries), False, bool(entries))
+        line = self._encode(entries, is_snapshot=False)
+        return EncodedUpdate(line, is_snapshot=False, has_entries=bool(entries))
 
     def pending_update(self, index: int, view: View) -> EncodedUpdate | None:
         """Return what an open watch at a version has yet to be sent; None if nothing concerns its view.
@@ -110,6 +111,6 @@
             self._encoded[key] = update if update.has_entries else None
         return self._encoded[key]
 
-    def _encode(self, is_snapshot: bool, entries: list[Entry]) -> bytes:
-        message = {"index": self.index, "snapshot": is_snapshot, "endpoints": entries}
+    def _encode(self, entries: list[EndpointEntry], *, is_snapshot: bool) -> bytes:
+        message: EndpointUpdate = {"index": self.index, "snapshot": is_snapshot, "endpoints": entries}
         return orjson.dumps(message) + b"\n"
--- a/testbed/discovery/watch_stub.py
+++ b/testbed/discovery/watch_stub.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import orjson
 
@@ -12,13 +12,15 @@
 if TYPE_CHECKING:
     from contextlib import AsyncExitStack
 
+    from testbed.discovery.entry import EndpointUpdate
+
 KEEPALIVE_INTERVAL = 2.0  # seconds
 
 
 class StaticWatch(asyncio.Protocol):
     """One watch of an endpoint list that never changes."""
 
-    def __init__(self, snapshot: dict[str, Any]) -> None:
+    def __init__(self, snapshot: EndpointUpdate) -> None:
         self._snapshot_line = orjson.dumps(snapshot) + b"\n"
         self._loop = asyncio.get_running_loop()
         self._keepalive: asyncio.TimerHandle | None = None
@@ -44,7 +46,7 @@
             self._keepalive.cancel()
 
 
-async def serve_snapshot(stack: AsyncExitStack, snapshot: dict[str, Any]) -> int:
+async def serve_snapshot(stack: AsyncExitStack, snapshot: EndpointUpdate) -> int:
     """Serve an endpoint list until the stack ends; return the port."""
     server = await asyncio.get_running_loop().create_server(lambda: StaticWatch(snapshot), HOST, 0)
     stack.callback(server.close)
--- a/testbed/proxy_config.py
+++ b/testbed/proxy_config.py
@@ -3,15 +3,18 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import orjson
 
 from testbed.loopback import HOST
 
 if TYPE_CHECKING:
+    from collections.abc import Mapping
     from pathlib import Path
 
+    from testbed.discovery.entry import EndpointUpdate
+
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 
 
@@ -33,8 +36,8 @@
     port: int
     discovery_port: int
     seed: str
-    known: dict[str, Any]
-    settings: dict[str, Any]
+    known: EndpointUpdate
+    settings: Mapping[str, object]
     version: str | None = None
 
     def write(self, path: Path) -> None:
@@ -43,7 +46,7 @@
         new.write_bytes(orjson.dumps(self._as_dict()))
         new.replace(path)
 
-    def _as_dict(self) -> dict[str, Any]:
+    def _as_dict(self) -> dict[str, object]:
         return {
             "name": self.name,
             "listen": f"{HOST}:{self.port}",
--- a/tests/support/small_fleet.py
+++ b/tests/support/small_fleet.py
@@ -6,12 +6,13 @@
 from typing import TYPE_CHECKING
 
 from emulator.fleet import topology
+from testbed.discovery.entry import changed_entry
 from testbed.discovery.registry import Registry
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from testbed.discovery.entry import Entry
+    from testbed.discovery.entry import EndpointEntry, EndpointStatus
 
 SEED, BACKENDS, SERVICES = 1, 20, 4
 FLEET = topology.build(SEED, BACKENDS, SERVICES)
@@ -19,9 +20,9 @@
 ENDPOINT = "all"  # an endpoint that shows every backend
 
 
-def changed(position: int, status: str = "terminating") -> Entry:
-    """A backend's entry with another status."""
-    return FLEET.entries[position] | {"status": status}
+def changed(position: int, status: EndpointStatus = "terminating") -> EndpointEntry:
+    """Return a backend's entry with another status."""
+    return changed_entry(FLEET.entries[position], {"status": status})
 
 
 @asynccontextmanager
