--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,7 +1,7 @@
-"""A soak test over real processes: many proxies on loopback, overlapping troubles, each request judged.
+"""A soak test with real processes: many proxies on loopback, overlapping faults, every request checked.
 
-Read `run` first: it sets up backends, discovery, proxies and clients, lets the troubles of `schedule` loose,
-and hands what was recorded to `judge`. `records` holds what is recorded; `shim` lets system calls fail and
-steps the clock inside a proxy. The proxies run by the deploy file's command with the shim in the place of
-the program, and nothing in the program knows that.
+Read `run` first: it sets up backends, discovery, proxies and clients, starts the fault injection, and gives
+the history to `history_checker`. `history` describes what is recorded; `shim` makes system calls fail and
+steps the clock inside a proxy. The proxies are started by the deploy file's command with the shim in place
+of the program; the program itself is not changed.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line."""
+"""Runs the command line: `python -m soak`."""
 
 from __future__ import annotations
 
--- a/soak/backends.py
+++ b/soak/backends.py
@@ -1,98 +1,99 @@
-"""Stand-in backends of a run, many in one process: they serve, misbehave by chance, and record what arrives.
+"""Stand-in backends of a run, all in one process: they respond, misbehave by chance, and record what arrives.
 
-Owns the listening sockets, the answers and the arrivals. Which backend drains, hangs or restarts, and when,
-it is told.
+This module owns the listening sockets, the responses and the arrivals. `FaultInjector` decides which backend
+hangs or restarts and when, and calls the fleet over a pipe.
 """
 
 from __future__ import annotations
 
 import asyncio
 import random
-import socket
-import struct
 import time
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from soak.history import Arrival, Execution, SchedulingDelay
+from soak.http_messages import read_headers, reset_on_close
 from soak.scheduling_delay import SchedulingDelayMeter
 from testbed.loopback import HOST, port_of
 
+if TYPE_CHECKING:
+    from soak.backend_behaviour import BackendBehaviour
+
 NOT_PROCESSED = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 ERROR = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
+ACCEPT_BACKLOG = 1024  # connections that may wait to be accepted
 LARGE_BODY_BYTES = 300_000
+TRUNCATION_DELAY = 0.01  # seconds after which a response without a Content-Length is cut off
+DUPLICATE_DELAYS = (0.001, 0.008)  # seconds until a response is sent again, from and to
+MAX_IDLE_CLOSE_DELAY = 0.02  # seconds until an idle connection is closed
 
 
 @dataclass(slots=True, frozen=True)
-class Behaviour:
-    """How backends serve; the chances are of each request.
+class BackendResults:
+    """What a run's backends have recorded.
 
     Attributes:
-        work: Seconds of work, from and to.
-        reset: Chance that the connection is reset after the work.
-        refuse: Chance of a promise that the request did not run.
-        error: Chance of a 500.
-        lengthless: Chance of a whole answer that names no length.
-        broken: Chance of an answer without a length that is reset on the way.
-        twice: Chance that the answer comes twice, the second time some milliseconds later.
-        large: Chance of a large answer.
-        hang: Chance of no answer for `hang_time` seconds.
-        close_idle: Chance that the connection is closed some milliseconds after the answer.
+        arrivals: The requests that they received.
+        scheduling_delays: When their process was scheduled late.
     """
 
-    work: tuple[float, float] = (0.004, 0.05)
-    reset: float = 0.01
-    refuse: float = 0.02
-    error: float = 0.02
-    lengthless: float = 0.02
-    broken: float = 0.01
-    twice: float = 0.01
-    large: float = 0.02
-    hang: float = 0.01
-    hang_time: float = 1.2
-    close_idle: float = 0.02
+    arrivals: list[Arrival]
+    scheduling_delays: list[SchedulingDelay]
 
 
 class BackendFleet:
     """All backends of a run; one that restarts listens at a new port.
 
     Attributes:
-        arrivals: What arrived, at all of them.
+        behaviour: How they respond.
+        rng: Draws everything random of the backends.
+        arrivals: The requests that they have received.
     """
 
-    def __init__(self, names: list[str], seed: int, behaviour: Behaviour) -> None:
+    def __init__(self, names: list[str], seed: int, behaviour: BackendBehaviour) -> None:
         self.arrivals: list[Arrival] = []
         self.behaviour = behaviour
-        self.hanging: set[str] = set()
         self.rng = random.Random(seed)
-        self._names = names
+        self._responsive = {name: asyncio.Event() for name in names}
+        for name in names:
+            self.set_hanging(name, hangs=False)
         self._servers: dict[str, asyncio.Server] = {}
         self._connections: dict[str, set[BackendConnection]] = {name: set() for name in names}
         self._delay_meter = SchedulingDelayMeter()
 
     async def start(self) -> dict[str, int]:
         """Start all backends and return the port of each."""
-        return {name: await self.restart(name) for name in self._names}
+        return {name: await self.restart(name) for name in self._connections}
 
     async def restart(self, name: str) -> int:
-        """Let a backend die, which resets its connections, and return the port at which it comes back."""
+        """End a backend, which resets its connections, start it again, and return its new port."""
         if name in self._servers:
             self._servers[name].close()
-        for connection in tuple(self._connections[name]):
+        connections = self._connections[name]
+        for connection in tuple(connections):
             connection.abort()
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
-            lambda: BackendConnection(self, name, self._connections[name]), HOST, 0, backlog=1024
+            lambda: BackendConnection(self, name, connections), HOST, 0, backlog=ACCEPT_BACKLOG
         )
         self._servers[name] = server
         return port_of(server)
 
-    def set_hanging(self, name: str, hangs: bool) -> None:
-        """Let a backend take requests and answer none, or serve again."""
-        (self.hanging.add if hangs else self.hanging.discard)(name)
+    def set_hanging(self, name: str, *, hangs: bool) -> None:
+        """Make a backend accept requests without responding, or respond again."""
+        if hangs:
+            self._responsive[name].clear()
+        else:
+            self._responsive[name].set()
+
+    async def wait_until_responsive(self, name: str) -> None:
+        """Wait while a backend hangs."""
+        await self._responsive[name].wait()
 
-    def results(self) -> tuple[list[Arrival], list[SchedulingDelay]]:
-        """Return what arrived, and when this process was late."""
-        return self.arrivals, self._delay_meter.delays
+    def results(self) -> BackendResults:
+        """Return what has been recorded."""
+        return BackendResults(self.arrivals, self._delay_meter.delays)
 
 
 class BackendConnection(asyncio.Protocol):
@@ -111,7 +112,7 @@
         self._connections.add(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Stop working for a connection that has ended."""
+        """Stop working on a request whose connection has ended."""
         self._connections.discard(self)
         if self._task is not None:
             self._task.cancel()
@@ -124,7 +125,7 @@
         self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes, and begin with a request once its last byte is there."""
+        """Buffer bytes, and start working on a request once it is complete."""
         if not self._buffer:
             self._began_at = time.monotonic()
         self._buffer += data
@@ -136,6 +137,10 @@
         if len(body) < length:
             return
         self._buffer = body[length:]
+        arrival = self._record_arrival(headers)
+        self._task = asyncio.get_running_loop().create_task(self._respond(arrival))
+
+    def _record_arrival(self, headers: dict[bytes, bytes]) -> Arrival:
         arrival = Arrival(
             headers.get(b"x-request-id", b"").decode(),
             int(headers.get(b"x-soak-proxy", b"-1")),
@@ -145,68 +150,69 @@
             float(headers[b"x-timeout"]),
         )
         self._fleet.arrivals.append(arrival)
-        self._task = asyncio.get_running_loop().create_task(self._serve(arrival))
+        return arrival
 
-    async def _serve(self, arrival: Arrival) -> None:
-        """Work on a request and answer it, or do one of the things that backends do instead."""
+    async def _respond(self, arrival: Arrival) -> None:
+        """Work on a request and respond, or misbehave in one of the ways of `BackendBehaviour`."""
         behaviour, rng = self._fleet.behaviour, self._fleet.rng
         draw = rng.random()
-        if draw < behaviour.refuse:
+        if draw < behaviour.rejection_probability:
             arrival.execution = Execution.NOT_EXECUTED
             self._transport.write(NOT_PROCESSED)
             return
-        draw -= behaviour.refuse
-        await asyncio.sleep(rng.uniform(*behaviour.work))
-        while self._name in self._fleet.hanging:
-            await asyncio.sleep(0.05)
-        if draw < behaviour.hang:
+        draw -= behaviour.rejection_probability
+        await asyncio.sleep(rng.uniform(*behaviour.work_time))
+        await self._fleet.wait_until_responsive(self._name)
+        if draw < behaviour.hang_probability:
             await asyncio.sleep(behaviour.hang_time)
-        draw -= behaviour.hang
-        if 0.0 <= draw < behaviour.reset:
+        draw -= behaviour.hang_probability
+        if 0.0 <= draw < behaviour.reset_probability:
             self.abort()
             return
-        draw -= behaviour.reset
-        if 0.0 <= draw < behaviour.error:
+        draw -= behaviour.reset_probability
+        if 0.0 <= draw < behaviour.error_probability:
             self._transport.write(ERROR)
             return
-        draw -= behaviour.error
-        await self._answer(arrival, draw)
+        draw -= behaviour.error_probability
+        await self._respond_ok(arrival, draw)
+
+    async def _respond_ok(self, arrival: Arrival, draw: float) -> None:
+        """Respond with a 200, which names its length or is delimited by the connection's end.
 
-    async def _answer(self, arrival: Arrival, draw: float) -> None:
-        """Write a 200 in one of its forms."""
+        Args:
+            arrival: The request.
+            draw: A random number, less the probabilities of what the backend could have done instead.
+        """
         behaviour, rng = self._fleet.behaviour, self._fleet.rng
         body = f"{arrival.id} by {arrival.backend}".encode()
-        if rng.random() < behaviour.large:
+        if rng.random() < behaviour.large_body_probability:
             body += b" " * LARGE_BODY_BYTES
         arrival.execution = Execution.CONFIRMED
-        if 0.0 <= draw < behaviour.lengthless + behaviour.broken:
-            arrival.has_length = False
-            self._transport.write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
-            if draw < behaviour.lengthless:
-                arrival.response_completed = True
-                self._transport.close()
-            else:
-                await asyncio.sleep(0.01)
-                self.abort()
-            return
-        answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-        self._transport.write(answer)
-        arrival.response_completed = True
-        after = rng.random()
-        if after < behaviour.twice:
-            await asyncio.sleep(rng.uniform(0.001, 0.008))
-            self._transport.write(answer)
-        elif after < behaviour.twice + behaviour.close_idle:
-            await asyncio.sleep(rng.uniform(0.0, 0.02))
+        if 0.0 <= draw < behaviour.close_delimited_probability:
+            self._write_close_delimited(arrival, body)
+            arrival.response_completed = True
             self._transport.close()
+        elif 0.0 <= draw < behaviour.close_delimited_probability + behaviour.truncated_probability:
+            self._write_close_delimited(arrival, body)
+            await asyncio.sleep(TRUNCATION_DELAY)
+            self.abort()
+        else:
+            await self._respond_with_length(arrival, body)
 
+    def _write_close_delimited(self, arrival: Arrival, body: bytes) -> None:
+        arrival.has_length = False
+        self._transport.write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
 
-def read_headers(head: bytes) -> dict[bytes, bytes]:
-    """Return the headers of a head by their names in lower case."""
-    pairs = (line.partition(b":") for line in head.split(b"\r\n")[1:])
-    return {name.lower(): value.strip() for name, _, value in pairs}
-
-
-def reset_on_close(sock: socket.socket) -> None:
-    """Let the socket's end be a reset."""
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    async def _respond_with_length(self, arrival: Arrival, body: bytes) -> None:
+        """Send a response with a Content-Length; then maybe send it again, or close the idle connection."""
+        behaviour, rng = self._fleet.behaviour, self._fleet.rng
+        response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
+        self._transport.write(response)
+        arrival.response_completed = True
+        draw = rng.random()
+        if draw < behaviour.duplicate_response_probability:
+            await asyncio.sleep(rng.uniform(*DUPLICATE_DELAYS))
+            self._transport.write(response)
+        elif draw < behaviour.duplicate_response_probability + behaviour.idle_close_probability:
+            await asyncio.sleep(rng.uniform(0.0, MAX_IDLE_CLOSE_DELAY))
+            self._transport.close()
--- a/soak/cli.py
+++ b/soak/cli.py
@@ -1,6 +1,6 @@
 """The command line of the soak test: `python -m soak`.
 
-Exits 0 where no rule was broken, 1 where one was, 2 on bad arguments.
+Exits 0 where no rule was violated, 1 where one was, 2 on bad arguments.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 import click
 
-from soak.run import RunReport, run
+from soak.run import RunOptions, RunReport, run
 from soak.scenarios import SCENARIOS
 
-MAX_SHOWN = 20  # violations of a run that are printed in full
-
+MAX_SHOWN = 20  # violations of a run that are printed
+MB = 1 << 20
 
 SCENARIO_HELP = "\b\n" + "\n".join(f"{name}: {SCENARIOS[name].help}" for name in sorted(SCENARIOS))
 
@@ -34,27 +34,28 @@
 def command(
     names: tuple[str, ...], seed: int, seeds: int, seconds: float, proxies: int, keep: Path | None
 ) -> None:
-    """Play scenarios, all by default, over real processes, and judge every request.
+    """Run scenarios, all by default, with real processes, and check every request.
 
     Nothing else should run on the machine meanwhile.
     """
-    broken = 0
+    failed = 0
     for name in names or sorted(SCENARIOS):
         for number in range(seed, seed + seeds):
             folder = keep / f"{name}-{number}" if keep is not None else None
-            report = asyncio.run(run(SCENARIOS[name], number, seconds, proxies, folder))
+            report = asyncio.run(run(SCENARIOS[name], RunOptions(number, seconds, proxies, folder)))
             print_report(f"{name} {number}", report)
-            broken += bool(report.violations)
-    click.echo(f"{broken} runs broke a rule")
-    sys.exit(1 if broken else 0)
+            failed += bool(report.violations)
+    click.echo(f"{failed} runs violated a rule")
+    sys.exit(1 if failed else 0)
 
 
 def print_report(title: str, report: RunReport) -> None:
-    """Print what came of a run."""
-    endings = ", ".join(f"{ending}: {count}" for ending, count in sorted(report.endings.items()))
-    troubles = ", ".join(f"{name} {count}" for name, count in sorted(report.troubles.items()))
-    click.echo(f"{title}: {len(report.violations)} violations; {endings}")
-    click.echo(f"  troubles: {troubles}")
-    click.echo(f"  own lag at most {report.max_lag:.3f} s, memory {report.max_resident / 2**20:.0f} MB")
+    """Print the results of a run."""
+    outcomes = ", ".join(f"{outcome}: {count}" for outcome, count in sorted(report.outcomes.items()))
+    faults = ", ".join(f"{kind} {count}" for kind, count in sorted(report.faults.items()))
+    click.echo(f"{title}: {len(report.violations)} violations; {outcomes}")
+    click.echo(f"  faults: {faults}")
+    memory = f"{report.max_resident / MB:.0f} MB"
+    click.echo(f"  own scheduling delay at most {report.max_scheduling_delay:.3f} s, memory {memory}")
     for violation in report.violations[:MAX_SHOWN]:
         click.echo(f"  {violation.at:.3f} {violation.rule}: {violation.detail}")
--- /dev/null
+++ b/soak/client_connection.py
@@ -0,0 +1,91 @@
+"""A client's connection to a proxy: writing requests, reading responses, closing."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from dataclasses import dataclass
+
+from soak.http_messages import read_headers, reset_on_close
+from testbed.loopback import HOST
+
+SLOW_READ_BYTES = 20_000  # that a slow reader reads at once
+SLOW_READ_PAUSE = 0.02  # seconds between two of its reads
+SMALL_RECEIVE_BUFFER = 4096  # bytes, of a slow reader
+
+
+@dataclass(slots=True, frozen=True)
+class Response:
+    """One response as a client received it.
+
+    Attributes:
+        status: Its status.
+        body: Its body.
+        keeps_connection: Whether the connection stays open after it.
+    """
+
+    status: int
+    body: bytes
+    keeps_connection: bool
+
+
+class ClientConnection:
+    """One connection to a proxy.
+
+    Attributes:
+        reader: Reads from the connection.
+        writer: Writes to the connection.
+        has_served: Whether it has carried a complete response.
+    """
+
+    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.reader, self.writer = reader, writer
+        self.has_served = False
+
+    @property
+    def is_open(self) -> bool:
+        """Whether neither side has closed it yet."""
+        return not self.reader.at_eof() and not self.writer.is_closing()
+
+    def close(self) -> None:
+        """Close the connection."""
+        self.writer.close()
+
+    def reset(self) -> None:
+        """Reset the connection."""
+        reset_on_close(self.writer.get_extra_info("socket"))
+        self.writer.transport.abort()
+
+    async def send(self, data: bytes) -> None:
+        """Write bytes, and wait until the connection takes more; OSError where the connection has ended."""
+        self.writer.write(data)
+        await self.writer.drain()
+
+    async def read_response(self, *, slowly: bool) -> Response:
+        """Read the next response.
+
+        Raises:
+            OSError: The connection was reset.
+            asyncio.IncompleteReadError: The connection was closed before the response was complete.
+        """
+        head = await self.reader.readuntil(b"\r\n\r\n")
+        headers = read_headers(head[:-4])
+        remaining = int(headers.get(b"content-length", b"0"))
+        body = b""
+        while remaining:
+            piece = await self.reader.readexactly(min(remaining, SLOW_READ_BYTES) if slowly else remaining)
+            remaining -= len(piece)
+            body += piece
+            if slowly:
+                await asyncio.sleep(SLOW_READ_PAUSE)
+        return Response(int(head.split(None, 2)[1]), body, headers.get(b"connection") != b"close")
+
+
+async def open_client_connection(port: int, *, small_buffer: bool) -> ClientConnection:
+    """Open a connection to a proxy, maybe with a small receive buffer; OSError where that fails."""
+    sock = socket.socket()
+    sock.settimeout(0.0)  # non-blocking, as the event loop needs it
+    if small_buffer:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_RECEIVE_BUFFER)
+    await asyncio.get_running_loop().sock_connect(sock, (HOST, port))
+    return ClientConnection(*await asyncio.open_connection(sock=sock))
--- /dev/null
+++ b/soak/endpoint_list.py
@@ -0,0 +1,134 @@
+"""The endpoint list of a run, as discovery serves it to the proxies.
+
+It owns the list's changes and when each proxy counts as notified of a drain. `testbed.discovery.registry`
+serves the list. Each proxy has two places of discovery, and a reload may switch between them.
+"""
+
+from __future__ import annotations
+
+import time
+from typing import TYPE_CHECKING
+
+from soak.history import NEVER, Drain
+from soak.proxy_settings import ZONES
+from testbed.discovery.entry import changed_entry
+from testbed.discovery.registry import Registry
+from testbed.loopback import HOST
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from soak.history import History
+    from testbed.discovery.entry import EndpointChange, EndpointEntry, EndpointUpdate
+
+MIN_REACHABLE_TIME = 0.3  # seconds that an agent must have been reachable for its proxy to count as notified
+GROUPS = 3
+
+
+class EndpointList:
+    """The endpoint list and its discovery.
+
+    Attributes:
+        registry: Serves the list.
+    """
+
+    def __init__(self, ports: dict[str, int], proxies: int, history: History) -> None:
+        self._entries = {
+            name: _entry(name, port, position) for position, (name, port) in enumerate(ports.items())
+        }
+        self._history = history
+        self._proxies = range(proxies)
+        self._last_lists: dict[int, EndpointUpdate] = {}  # the last list of each unreachable proxy, by number
+        self._notified_at: dict[str, dict[int, float]] = {}  # of each draining backend: by proxy number
+        self.registry = Registry(self._entries.values())
+
+    def snapshot(self) -> EndpointUpdate:
+        """Return the complete list, in discovery's form."""
+        return {
+            "index": self.registry.state.index,
+            "snapshot": True,
+            "endpoints": list(self._entries.values()),
+        }
+
+    def last_list_of(self, proxy: int) -> EndpointUpdate:
+        """Return the list that a proxy received last, with which its next process is started."""
+        return self._last_lists.get(proxy) or self.snapshot()
+
+    def names_in_service(self) -> list[str]:
+        """Return the names of the backends that are in service."""
+        return [name for name, entry in self._entries.items() if entry["status"] == "in_service"]
+
+    async def open_agents(self, ports: list[tuple[int, int]]) -> None:
+        """Open discovery for each proxy, at its two places."""
+        for proxy, pair in enumerate(ports):
+            for name, port in zip(_agent_names([proxy]), pair, strict=True):
+                await self.registry.open_endpoint(name, port)
+
+    def drain(self, name: str) -> None:
+        """Mark a backend as draining, and notify the proxies that are reachable."""
+        self._publish(name, {"status": "terminating"})
+        now = time.monotonic()
+        self._notified_at[name] = {
+            proxy: NEVER if proxy in self._last_lists else now for proxy in self._proxies
+        }
+
+    def return_to_service(self, name: str, port: int) -> None:
+        """Put a backend back in service, as another process at another port."""
+        notified_at = self._notified_at.pop(name, None)
+        if notified_at is not None:
+            self._history.drains.append(Drain(name, notified_at, time.monotonic()))
+        started_ms = int(time.time() * 1000)
+        self._publish(name, {"status": "in_service", "address": f"{HOST}:{port}", "since_ms": started_ms})
+
+    def record_open_drains(self) -> None:
+        """Record the drains that have not ended."""
+        for name, notified_at in self._notified_at.items():
+            self._history.drains.append(Drain(name, notified_at))
+
+    def silence(self, proxies: list[int]) -> None:
+        """Cut the agents of some proxies off: they send nothing."""
+        for proxy in proxies:
+            self._last_lists.setdefault(proxy, self.snapshot())
+        now = time.monotonic()
+        for notified_at in self._notified_at.values():
+            for proxy in proxies:
+                if notified_at[proxy] > now - MIN_REACHABLE_TIME:
+                    notified_at[proxy] = NEVER  # the notification may not have been delivered
+        self.registry.silence(_agent_names(proxies))
+
+    def heal(self, proxies: list[int]) -> None:
+        """Make these agents reachable again; their proxies count as notified of all drains from now on."""
+        now = time.monotonic()
+        for proxy in proxies:
+            self._last_lists.pop(proxy, None)
+        for notified_at in self._notified_at.values():
+            for proxy in proxies:
+                notified_at[proxy] = min(notified_at[proxy], now)
+        self.registry.heal(_agent_names(proxies))
+
+    def reset_watches(self, *, forget_log: bool) -> None:
+        """Reset all watches; with `forget_log` they receive the complete list when they are opened again."""
+        self.registry.reset_connections(list(self.registry.endpoints), forget_log)
+
+    def _publish(self, name: str, change: EndpointChange) -> None:
+        entry = changed_entry(self._entries[name], change)
+        self._entries[name] = entry
+        self.registry.publish(self.registry.state.index + 1, [entry])
+
+
+def _entry(name: str, port: int, position: int) -> EndpointEntry:
+    return {
+        "name": name,
+        "address": f"{HOST}:{port}",
+        "zone": ZONES[position % len(ZONES)],
+        "type": "k",
+        "group": position % GROUPS,
+        "status": "in_service",
+        "weight": 1.0,
+        "since_ms": 0,
+    }
+
+
+def _agent_names(proxies: Iterable[int]) -> list[str]:
+    """Return the names of the two places of discovery of each of the proxies."""
+    return [f"{proxy}-{place}" for proxy in proxies for place in ("one", "two")]
--- /dev/null
+++ b/soak/fault_injection.py
@@ -0,0 +1,71 @@
+"""Fault injection: a schedule of faults, drawn from a seed so that several overlap.
+
+It owns which fault begins when. The courses of the faults are in `proxy_faults` and `neighbour_faults`.
+Faults of system calls are injected inside the proxies: see `system_call_faults`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import time
+from collections import Counter
+from typing import TYPE_CHECKING
+
+from soak.fault_kinds import ALL_FAULTS, FaultKind
+from soak.fault_log import FaultLog
+from soak.neighbour_faults import BackendFaults, DiscoveryFaults
+from soak.proxy_faults import ProxyFaults
+
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable, Collection
+
+    from soak.environment import TestEnvironment
+
+MEAN_INTERVAL = 0.25  # seconds between the beginnings of two faults
+SETTLING_TIME = 1.0  # seconds at a run's end in which no fault begins
+
+
+class FaultInjector:
+    """Draws faults and injects them.
+
+    Attributes:
+        counts: How many faults of each kind have begun.
+        log: What happened and when.
+    """
+
+    def __init__(
+        self, environment: TestEnvironment, seed: int, kinds: Collection[FaultKind] = ALL_FAULTS
+    ) -> None:
+        self._rng = random.Random(seed)
+        self._kinds = [kind for kind in FaultKind if kind in kinds]
+        self.counts: Counter[FaultKind] = Counter()
+        self.log = FaultLog()
+        proxies = ProxyFaults(environment, self._rng, self.log)
+        backends = BackendFaults(environment, self._rng, self.log)
+        discovery = DiscoveryFaults(environment, self._rng, self.log)
+        self._faults: dict[FaultKind, Callable[[], Awaitable[None]]] = {
+            FaultKind.DRAIN: backends.drain,
+            FaultKind.HANG: backends.hang,
+            FaultKind.PAUSE: proxies.pause,
+            FaultKind.IDLE_CLIENTS: proxies.open_idle_connections,
+            FaultKind.KILL: proxies.kill,
+            FaultKind.RELOAD: proxies.reload,
+            FaultKind.RESET_WATCHES: discovery.reset_watches,
+            FaultKind.SILENCE: discovery.silence,
+            FaultKind.TERMINATE: proxies.terminate,
+        }
+
+    async def run(self, until: float) -> None:
+        """Begin faults until shortly before a moment on the monotonic clock, and wait for the last to end."""
+        async with asyncio.TaskGroup() as group:
+            while time.monotonic() < until - SETTLING_TIME:
+                await asyncio.sleep(self._rng.expovariate(1.0 / MEAN_INTERVAL))
+                kind = self._rng.choice(self._kinds)
+                self.counts[kind] += 1
+                group.create_task(self._inject(kind))
+
+    async def _inject(self, kind: FaultKind) -> None:
+        self.log.write(f"{kind} begins")
+        await self._faults[kind]()
+        self.log.write(f"{kind} ends")
--- /dev/null
+++ b/soak/managed_proxy.py
@@ -0,0 +1,219 @@
+"""One proxy of a run: its configuration file and its process, which is started, signalled and stopped.
+
+It owns the process and the file. `FaultInjector` decides when something happens to them.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+import signal
+import time
+from dataclasses import dataclass, field, replace
+from typing import TYPE_CHECKING, Any
+
+from soak.history import History, ProxyIncarnation, TimeSpan
+from soak.shim_process import resident_memory, shim_command, survives_hangup
+from testbed.loopback import HOST
+from testbed.paths import PROJECT_ROOT
+from testbed.processes import inherited_environment
+
+if TYPE_CHECKING:
+    from asyncio.subprocess import Process
+    from collections.abc import Iterator
+    from pathlib import Path
+
+    from soak.system_call_faults import SystemCallFaults
+    from testbed.proxy_config import ProxyConfig
+
+ACCEPTING_AFTER_TERMINATION = 0.3  # seconds for which clients still open connections after SIGTERM
+HEALTH_POLL_INTERVAL = 0.03  # seconds
+HEALTH_TIMEOUT = 1.0  # seconds for one health check
+HEALTH_REQUEST = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
+START_TIMEOUT = 15.0  # seconds
+MAX_LOG_LINES = 200  # recorded of each process
+START_SEED_STRIDE = 1000  # between the seeds of two runs: each start in a run has a seed of its own
+INVALID_CONFIGURATION = b'{"name": '
+EVENT_LOG_VARIABLE = "RELAY_EVENT_LOG"
+
+
+@dataclass(slots=True)
+class LaunchOptions:
+    """What all proxies of a run are started with.
+
+    Attributes:
+        folder: Where their configuration files and event logs are written.
+        history: Where their processes are recorded.
+        faults: The faults of their system calls.
+        log_events: Whether they write event logs.
+        start_numbers: Numbers the starts of the run, from 1.
+    """
+
+    folder: Path
+    history: History
+    faults: SystemCallFaults
+    log_events: bool
+    start_numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
+
+
+class ManagedProxy:
+    """One proxy: its configuration, and its present or latest process.
+
+    Attributes:
+        incarnation: The record of the present or latest process; None before the first start.
+    """
+
+    def __init__(self, number: int, config: ProxyConfig, options: LaunchOptions) -> None:
+        self._number, self._config, self._options = number, config, options
+        self._path = options.folder / f"{config.name}.json"
+        self._process: Process | None = None
+        self._log_task: asyncio.Task[None] | None = None
+        self.incarnation: ProxyIncarnation | None = None
+
+    @property
+    def port(self) -> int:
+        """Where the proxy listens."""
+        return self._config.port
+
+    def accepts_connections(self) -> bool:
+        """Return whether clients still open new connections to this proxy."""
+        incarnation, now = self.incarnation, time.monotonic()
+        if incarnation is None or incarnation.ready_at > now:
+            return False
+        if incarnation.killed_at <= now or incarnation.ended_at <= now:
+            return False
+        return now < incarnation.terminated_at + ACCEPTING_AFTER_TERMINATION
+
+    def reconfigure(self, **changed: Any) -> None:
+        """Write a changed configuration without sending a signal.
+
+        Args:
+            **changed: Fields of `ProxyConfig` and their new values.
+        """
+        self._config = replace(self._config, **changed)
+        self.repair_config()
+
+    def spoil_config(self) -> None:
+        """Write a file that is no valid configuration."""
+        self._path.write_bytes(INVALID_CONFIGURATION)
+
+    def repair_config(self) -> None:
+        """Write the latest valid configuration again."""
+        self._config.write(self._path)
+
+    async def start(self) -> None:
+        """Start a process, and wait until it is ready or `START_TIMEOUT` has passed."""
+        self.repair_config()
+        environment = self._environment(next(self._options.start_numbers))
+        self.incarnation = incarnation = ProxyIncarnation(self._number, time.monotonic())
+        self._options.history.incarnations.append(incarnation)
+        self._process = process = await asyncio.create_subprocess_shell(
+            shim_command(), cwd=PROJECT_ROOT, env=environment, stderr=asyncio.subprocess.PIPE
+        )
+        self._log_task = asyncio.get_running_loop().create_task(_record_log(process, incarnation))
+        await self._wait_until_ready(process, incarnation)
+
+    def _environment(self, start_number: int) -> dict[str, str]:
+        """Return the environment variables of a new process."""
+        options = self._options
+        faults = replace(options.faults, seed=options.faults.seed * START_SEED_STRIDE + start_number)
+        environment = inherited_environment() | {"RELAY_CONFIG": str(self._path), "PYTHONUNBUFFERED": "1"}
+        if options.log_events:
+            event_log = options.folder / f"{self._config.name}-{start_number}.events"
+            environment[EVENT_LOG_VARIABLE] = str(event_log)
+        return environment | faults.to_environment()
+
+    async def _wait_until_ready(self, process: Process, incarnation: ProxyIncarnation) -> None:
+        while process.returncode is None and time.monotonic() < incarnation.started_at + START_TIMEOUT:
+            if await _is_healthy(self.port):
+                incarnation.ready_at = time.monotonic()
+                return
+            await asyncio.sleep(HEALTH_POLL_INTERVAL)
+
+    def signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process, if one runs."""
+        if self._process is not None and self._process.returncode is None:
+            self._process.send_signal(number)
+
+    def survives_hangup(self) -> bool:
+        """Return whether the process ignores or handles SIGHUP; shortly after its start it may not."""
+        return self._process is not None and survives_hangup(self._process.pid)
+
+    async def pause(self, seconds: float) -> None:
+        """Pause the process by SIGSTOP, and resume it by SIGCONT."""
+        incarnation = self.incarnation
+        paused_at = time.monotonic()
+        self.signal(signal.SIGSTOP)
+        await asyncio.sleep(seconds)
+        self.signal(signal.SIGCONT)
+        if incarnation is not None:
+            incarnation.paused.append(TimeSpan(paused_at, time.monotonic()))
+
+    async def terminate(self, kill_after: float) -> None:
+        """Send SIGTERM, then SIGKILL where the process has not ended after `kill_after` seconds."""
+        process, incarnation = self._process, self.incarnation
+        if process is None or incarnation is None:
+            return
+        self._record_memory(process, incarnation)
+        incarnation.terminated_at = time.monotonic()
+        self.signal(signal.SIGTERM)
+        try:
+            await asyncio.wait_for(process.wait(), kill_after)
+        except TimeoutError:
+            await self._kill(process, incarnation)
+        await self._record_end(process, incarnation)
+
+    async def kill(self) -> None:
+        """End the process by SIGKILL."""
+        process, incarnation = self._process, self.incarnation
+        if process is None or incarnation is None:
+            return
+        self._record_memory(process, incarnation)
+        await self._kill(process, incarnation)
+        await self._record_end(process, incarnation)
+
+    async def _kill(self, process: Process, incarnation: ProxyIncarnation) -> None:
+        incarnation.killed_at = time.monotonic()
+        self.signal(signal.SIGKILL)
+        await process.wait()
+
+    async def _record_end(self, process: Process, incarnation: ProxyIncarnation) -> None:
+        incarnation.ended_at, incarnation.exit_code = time.monotonic(), process.returncode
+        if self._log_task is not None:
+            await self._log_task
+
+    def _record_memory(self, process: Process, incarnation: ProxyIncarnation) -> None:
+        if process.returncode is None:
+            incarnation.resident = resident_memory(process.pid)
+
+    def reap(self) -> None:
+        """Record the end of a process that has exited by itself."""
+        if self._process is None or self.incarnation is None or self._process.returncode is None:
+            return
+        self.incarnation.ended_at = min(self.incarnation.ended_at, time.monotonic())
+        self.incarnation.exit_code = self._process.returncode
+
+
+def was_killed(incarnation: ProxyIncarnation | None) -> bool:
+    """Return whether a process has been sent SIGKILL, or never existed."""
+    return incarnation is None or incarnation.killed_at <= time.monotonic()
+
+
+async def _is_healthy(port: int) -> bool:
+    try:
+        reader, writer = await asyncio.open_connection(HOST, port)
+        writer.write(HEALTH_REQUEST)
+        async with asyncio.timeout(HEALTH_TIMEOUT):
+            line = await reader.readline()
+        writer.close()
+    except (OSError, TimeoutError):
+        return False
+    return line.startswith(b"HTTP/1.1 200")
+
+
+async def _record_log(process: Process, incarnation: ProxyIncarnation) -> None:
+    """Record the first lines that a process writes to standard error, and read the others."""
+    assert process.stderr is not None
+    async for line in process.stderr:
+        if len(incarnation.log) < MAX_LOG_LINES:
+            incarnation.log.append(line.decode(errors="replace").rstrip())
--- /dev/null
+++ b/soak/neighbour_faults.py
@@ -0,0 +1,73 @@
+"""Faults of the proxies' neighbours: backends that drain or hang, and discovery that fails."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import random
+
+    from soak.environment import TestEnvironment
+    from soak.fault_log import FaultLog
+
+DRAIN_TIMES = (0.1, 3.0)  # seconds from a drain to the return to service, from and to
+HANG_TIMES = (0.2, 2.5)  # seconds for which a backend hangs, from and to
+SILENCE_TIMES = (0.5, 4.0)  # seconds for which discovery is silent, from and to
+MIN_IN_SERVICE = 4  # backends that stay in service
+FORGET_LOG_PROBABILITY = 0.5  # that watches receive the complete list after a reset
+
+
+class BackendFaults:
+    """Injects faults into backends."""
+
+    def __init__(self, environment: TestEnvironment, rng: random.Random, log: FaultLog) -> None:
+        self._environment, self._rng, self._log = environment, rng, log
+
+    async def drain(self) -> None:
+        """Drain a backend, and return it to service under its name as another process."""
+        name = self._pick_in_service()
+        if name is None:
+            return
+        self._log.write(f"draining: {name}")
+        self._environment.endpoints.drain(name)
+        await asyncio.sleep(self._rng.uniform(*DRAIN_TIMES))
+        port = self._environment.backends.call("restart", name)
+        self._log.write(f"in service: {name}")
+        self._environment.endpoints.return_to_service(name, port)
+
+    async def hang(self) -> None:
+        """Make a backend accept requests without responding, for a while."""
+        name = self._pick_in_service()
+        if name is None:
+            return
+        self._environment.backends.call("set_hanging", name, hangs=True)
+        await asyncio.sleep(self._rng.uniform(*HANG_TIMES))
+        self._environment.backends.call("set_hanging", name, hangs=False)
+
+    def _pick_in_service(self) -> str | None:
+        """Return the name of a backend in service; None if too few are."""
+        names = self._environment.endpoints.names_in_service()
+        return self._rng.choice(names) if len(names) > MIN_IN_SERVICE else None
+
+
+class DiscoveryFaults:
+    """Injects faults into discovery."""
+
+    def __init__(self, environment: TestEnvironment, rng: random.Random, log: FaultLog) -> None:
+        self._environment, self._rng, self._log = environment, rng, log
+
+    async def silence(self) -> None:
+        """Cut the discovery of some proxies off for a while."""
+        proxies = range(len(self._environment.proxies))
+        chosen = self._rng.sample(proxies, self._rng.randint(1, len(proxies)))
+        self._log.write(f"discovery silent: {sorted(chosen)}")
+        self._environment.endpoints.silence(chosen)
+        await asyncio.sleep(self._rng.uniform(*SILENCE_TIMES))
+        self._log.write(f"discovery reachable: {sorted(chosen)}")
+        self._environment.endpoints.heal(chosen)
+
+    async def reset_watches(self) -> None:
+        """Reset all watches; by chance they receive the complete list when they are opened again."""
+        forget_log = self._rng.random() < FORGET_LOG_PROBABILITY
+        self._environment.endpoints.reset_watches(forget_log=forget_log)
--- a/soak/process_checks.py
+++ b/soak/process_checks.py
@@ -22,7 +22,7 @@
 
 
 def check_incarnation(incarnation: ProxyIncarnation) -> Iterator[Violation]:
-    """Check that a process ended only when it was told to, without an error, and logged no defect."""
+    """Check that a process ended only by a signal of the run, without an error, and logged no defect."""
     was_killed = incarnation.killed_at < NEVER
     was_stopped = incarnation.terminated_at < NEVER or was_killed
     ended_by_error = incarnation.exit_code != 0 and not was_killed
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: real proxies between stand-in backends, clients and discovery, troubles, and the verdict."""
+"""One run: real proxies between stand-in backends, clients and discovery, with faults; then the check."""
 
 from __future__ import annotations
 
@@ -8,139 +8,138 @@
 import time
 from collections import Counter
 from contextlib import ExitStack
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, replace
 from pathlib import Path
 from typing import TYPE_CHECKING
 
 import numpy as np
 
-from soak.backends import BackendFleet, Behaviour
-from soak.clients import ClientMix, Clients
+from soak.backends import BackendFleet, BackendResults
+from soak.clients import Clients
+from soak.endpoint_list import EndpointList
+from soak.environment import TestEnvironment
+from soak.fault_injection import FaultInjector
 from soak.history import History
 from soak.history_checker import HistoryChecker
-from soak.proxies import ProxyFleet
-from soak.schedule import KILL_DELAY, Troubles, World
+from soak.managed_proxy import LaunchOptions
+from soak.proxy_faults import KILL_DELAY
+from soak.proxy_fleet import ProxyFleet
+from soak.proxy_settings import DEADLINE, DEDUPLICATION_WINDOW, proxy_settings
 from soak.scheduling_delay import SchedulingDelayMeter
-from soak.shim import Faults
-from soak.world import DEADLINE, DEDUPLICATION_WINDOW, EndpointList, settings
 from testbed.child_process import ChildProcess
 from testbed.loopback import free_ports
 from testbed.proxy_config import ProxyConfig
 
 if TYPE_CHECKING:
+    from soak.fault_kinds import FaultKind
+    from soak.scenario import Scenario
     from soak.violations import Violation
 
 BACKENDS = 14
 PORTS_PER_PROXY = 3  # of the proxy itself, and of the two places of its discovery
+SEED_BITS = 64  # of the seed in a proxy's configuration
+FAULT_LOG = "faults.log"  # the fault log's file name
 
 
 @dataclass(slots=True, frozen=True)
-class Scenario:
-    """What a run is made of.
+class RunOptions:
+    """How a scenario is run.
 
     Attributes:
-        help: One line on it.
-        faults: What fails inside the proxies.
-        mix: What clients do.
-        behaviour: What backends do.
-        troubles: The kinds of trouble; all where none is named.
+        seed: The seed of everything random in the run. The timing of the processes is not reproducible.
+        seconds: How long clients send requests.
+        proxies: How many proxies there are.
+        folder: Where the proxies' files and event logs are written; None discards them.
     """
 
-    help: str
-    faults: Faults = field(default_factory=Faults)
-    mix: ClientMix = field(default_factory=ClientMix)
-    behaviour: Behaviour = field(default_factory=Behaviour)
-    troubles: tuple[str, ...] = ()
+    seed: int
+    seconds: float
+    proxies: int
+    folder: Path | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class RunReport:
-    """What came of a run.
+    """The results of a run.
 
     Attributes:
-        violations: The broken rules, in the order of time.
-        endings: How many requests ended how, with the status of answers.
-        troubles: How many troubles of each kind there were.
-        max_lag: Seconds by which the run's own processes were late at most.
-        max_resident: Bytes of memory that a proxy had at its end, at most.
+        violations: The violations of rules, in the order of time.
+        outcomes: How many requests had each outcome, with the status of responses.
+        faults: How many faults of each kind were injected.
+        max_scheduling_delay: The longest scheduling delay of the run's own processes in seconds.
+        max_resident: The largest resident memory of a proxy before it was stopped, in bytes.
     """
 
     violations: list[Violation]
-    endings: Counter[str]
-    troubles: dict[str, int]
-    max_lag: float
+    outcomes: Counter[str]
+    faults: Counter[FaultKind]
+    max_scheduling_delay: float
     max_resident: int
 
 
-async def run(
-    scenario: Scenario, seed: int, seconds: float, proxies: int, folder: Path | None = None
-) -> RunReport:
-    """Play a scenario.
-
-    Args:
-        scenario: What to play.
-        seed: For everything random; what the processes do beside each other stays their own.
-        seconds: How long clients send requests.
-        proxies: How many proxies there are.
-        folder: Where the proxies' files and event logs stay; by default nothing stays.
-    """
+async def run(scenario: Scenario, options: RunOptions) -> RunReport:
+    """Run a scenario, and check its history."""
     with ExitStack() as stack:
-        kept = folder or Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="soak-")))
-        kept.mkdir(parents=True, exist_ok=True)
+        folder = options.folder or Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="soak-")))
+        folder.mkdir(parents=True, exist_ok=True)
         names = [f"s{number}" for number in range(BACKENDS)]
-        backends = stack.enter_context(ChildProcess(BackendFleet, names, seed, scenario.behaviour))
-        return await _play(scenario, seed, seconds, proxies, kept, backends, log_events=folder is not None)
-
-
-async def _play(
-    scenario: Scenario,
-    seed: int,
-    seconds: float,
-    proxies: int,
-    folder: Path,
-    backends: ChildProcess,
-    log_events: bool,
-) -> RunReport:
+        backends = stack.enter_context(ChildProcess(BackendFleet, names, options.seed, scenario.backends))
+        return await _run_in(folder, scenario, options, backends)
+
+
+async def _run_in(folder: Path, scenario: Scenario, options: RunOptions, backends: ChildProcess) -> RunReport:
     history = History(deduplication_window=DEDUPLICATION_WINDOW)
-    endpoints = EndpointList(backends.call("start"), proxies, history)
-    ports = free_ports(PORTS_PER_PROXY * proxies, np.random.default_rng(seed))
-    listening, discovery = ports[:proxies], list(zip(ports[proxies::2], ports[proxies + 1 :: 2], strict=True))
-    await endpoints.open_agents(discovery)
-    faults = replace(scenario.faults, seed=seed, punctual_ports=tuple(ports[proxies:]))
-    fleet = ProxyFleet(folder, history, faults, log_events)
-    draw = random.Random(seed)
-    for number, port in enumerate(listening):
-        known, config = endpoints.snapshot(), settings(proxies, number)
-        seed_text = f"{draw.getrandbits(64):016x}"
-        fleet.add(ProxyConfig(f"p{number}", port, discovery[number][0], seed_text, known, config, "0"))
+    environment = await _set_up(folder, scenario, options, backends, history)
     delay_meter = SchedulingDelayMeter()
-    clients = Clients(fleet, history, scenario.mix, seed + 1)
-    troubles = Troubles(World(fleet, backends, endpoints, clients, discovery), seed + 2, scenario.troubles)
+    injector = FaultInjector(environment, options.seed + 2, scenario.faults)
     try:
-        await fleet.start_all()
-        until = time.monotonic() + seconds
-        await asyncio.gather(clients.run(until), troubles.run(until))
-        fleet.note_ended()
+        await environment.proxies.start_all()
+        until = time.monotonic() + options.seconds
+        await asyncio.gather(environment.clients.run(until), injector.run(until))
+        environment.proxies.reap()
     finally:
-        await fleet.stop_all(DEADLINE + KILL_DELAY)
-        (folder / "troubles.log").write_text("\n".join(troubles.lines) + "\n")
-    endpoints.finish()
-    endpoints.registry.close()
-    history.arrivals, delays = backends.call("results")
-    history.scheduling_delays = delays + delay_meter.delays
+        await environment.proxies.stop_all(DEADLINE + KILL_DELAY)
+        (folder / FAULT_LOG).write_text("\n".join(injector.log.lines) + "\n")
+    environment.endpoints.record_open_drains()
+    environment.endpoints.registry.close()
+    results: BackendResults = backends.call("results")
     delay_meter.stop()
-    return _report(history, troubles)
-
-
-def _report(history: History, troubles: Troubles) -> RunReport:
-    endings = Counter(
+    history.arrivals = results.arrivals
+    history.scheduling_delays = results.scheduling_delays + delay_meter.delays
+    return _report(history, injector)
+
+
+async def _set_up(
+    folder: Path, scenario: Scenario, options: RunOptions, backends: ChildProcess, history: History
+) -> TestEnvironment:
+    """Start backends and discovery, and create the proxies, which are not started yet, and the clients."""
+    count = options.proxies
+    endpoints = EndpointList(backends.call("start"), count, history)
+    ports = free_ports(PORTS_PER_PROXY * count, np.random.default_rng(options.seed))
+    proxy_ports, discovery_ports = ports[:count], ports[count:]
+    discovery = list(zip(discovery_ports[::2], discovery_ports[1::2], strict=True))
+    await endpoints.open_agents(discovery)
+    faults = replace(scenario.system_calls, seed=options.seed, punctual_ports=tuple(discovery_ports))
+    log_events = options.folder is not None
+    proxies = ProxyFleet(LaunchOptions(folder, history, faults, log_events))
+    rng = random.Random(options.seed)
+    for number, port in enumerate(proxy_ports):
+        seed = f"{rng.getrandbits(SEED_BITS):0{SEED_BITS // 4}x}"
+        known, settings = endpoints.snapshot(), proxy_settings(count, number)
+        proxies.add(ProxyConfig(f"p{number}", port, discovery[number][0], seed, known, settings, version="0"))
+    clients = Clients(proxies, history, scenario.clients, options.seed + 1)
+    return TestEnvironment(proxies, backends, endpoints, clients, discovery)
+
+
+def _report(history: History, injector: FaultInjector) -> RunReport:
+    outcomes = Counter(
         f"{request.outcome} {request.status}" if request.status else str(request.outcome)
         for request in history.requests
     )
     return RunReport(
         HistoryChecker(history).violations(),
-        endings,
-        troubles.counts,
+        outcomes,
+        injector.counts,
         max((delay.seconds for delay in history.scheduling_delays), default=0.0),
         max((incarnation.resident for incarnation in history.incarnations), default=0),
     )
--- a/soak/scenarios.py
+++ b/soak/scenarios.py
@@ -1,40 +1,60 @@
-"""The scenarios that runs can play, by name."""
+"""The scenarios that runs can perform, by name."""
 
 from __future__ import annotations
 
-from soak.backends import Behaviour
-from soak.clients import ClientMix
-from soak.run import Scenario
-from soak.shim import Faults
+from soak.backend_behaviour import BackendBehaviour
+from soak.client_mix import ClientMix
+from soak.fault_kinds import FaultKind
+from soak.scenario import Scenario
+from soak.system_call_faults import SystemCallFaults
+
+ONE_HOUR = 3600.0  # seconds
 
 SCENARIOS = {
     "quiet": Scenario(
-        "No trouble, backends that only work: nothing but the load.",
-        behaviour=Behaviour(
-            reset=0.0, refuse=0.0, error=0.0, lengthless=0.0, broken=0.0, twice=0.0, hang=0.0, close_idle=0.0
+        "Nothing but the load: no faults but reset watches, and backends that always respond.",
+        backends=BackendBehaviour(
+            reset_probability=0.0,
+            rejection_probability=0.0,
+            error_probability=0.0,
+            close_delimited_probability=0.0,
+            truncated_probability=0.0,
+            duplicate_response_probability=0.0,
+            hang_probability=0.0,
+            idle_close_probability=0.0,
         ),
-        mix=ClientMix(leaves=0.0, stalls=0.0, pipelined=0.0),
-        troubles=("reset_watches",),
+        clients=ClientMix(disconnect_probability=0.0, stall_probability=0.0, pipeline_probability=0.0),
+        faults=(FaultKind.RESET_WATCHES,),
     ),
-    "mixed": Scenario("All troubles, overlapping; system calls work."),
+    "mixed": Scenario("All kinds of faults, overlapping; system calls do not fail."),
     "dials": Scenario(
-        "Connections to backends come up late or not at all.",
-        faults=Faults(slow_connect=0.3, max_connect_delay=0.4, connect=0.05),
-        behaviour=Behaviour(close_idle=0.3, error=0.1, refuse=0.1),
+        "Connections to backends are established late or not at all.",
+        system_calls=SystemCallFaults(slow_connect=0.3, max_connect_delay=0.4, connect=0.05),
+        backends=BackendBehaviour(
+            idle_close_probability=0.3, error_probability=0.1, rejection_probability=0.1
+        ),
     ),
     "transfers": Scenario(
-        "Reads and writes are cut short, and connections break while they are read.",
-        faults=Faults(short=0.3, read=0.003),
+        "Reads and writes transfer only a few bytes, and connections fail during a read.",
+        system_calls=SystemCallFaults(short=0.3, read=0.003),
+    ),
+    "accepts": Scenario(
+        "Accepting a connection fails now and again.", system_calls=SystemCallFaults(accept=0.05)
     ),
-    "accepts": Scenario("Accepting fails for a moment, now and then.", faults=Faults(accept=0.05)),
     "clock": Scenario(
-        "The wall clock steps by an hour.", faults=Faults(clock_step=3600.0, clock_step_after=3.0)
+        "The wall clock steps by an hour.",
+        system_calls=SystemCallFaults(clock_step=ONE_HOUR, clock_step_after=3.0),
     ),
-    "timeouts": Scenario("Clients wait for different times.", mix=ClientMix(timeouts=(0.3, 0.8, 1.5))),
+    "timeouts": Scenario("Clients have different timeouts.", clients=ClientMix(timeouts=(0.3, 0.8, 1.5))),
     "pipelines": Scenario(
-        "Clients send several requests at once, read slowly, and want connections closed.",
-        mix=ClientMix(pipelined=0.4, slow_reader=0.2, last=0.2, leaves=0.02),
-        behaviour=Behaviour(large=0.2),
-        troubles=("terminate", "idle_clients", "hold_up", "drain"),
+        "Clients pipeline requests, read slowly, and ask for connections to be closed.",
+        clients=ClientMix(
+            pipeline_probability=0.4,
+            slow_read_probability=0.2,
+            close_probability=0.2,
+            disconnect_probability=0.02,
+        ),
+        backends=BackendBehaviour(large_body_probability=0.2),
+        faults=(FaultKind.TERMINATE, FaultKind.IDLE_CLIENTS, FaultKind.PAUSE, FaultKind.DRAIN),
     ),
 }
--- a/tests/proxy/test_start_signals.py
+++ b/tests/proxy/test_start_signals.py
@@ -19,7 +19,7 @@
 import pytest
 
 from proxy.process import TERMINATION_SIGNALS, ignore_signals
-from soak.proxies import survives_hangup
+from soak.shim_process import survives_hangup
 from testbed.paths import PROJECT_ROOT
 from tests.support.config_files import raw_config
 from tests.support.loopback import Client, connect, free_port, in_event_loop, with_timeout
--- /dev/null
+++ b/tests/soak/test_fault_injection.py
@@ -0,0 +1,175 @@
+"""The schedule of faults, on stand-ins and in virtual time: a seed's schedule does not change."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from typing import TYPE_CHECKING, cast
+
+from soak import environment
+from soak.fault_injection import SETTLING_TIME, FaultInjector
+from soak.fault_kinds import ALL_FAULTS, FaultKind
+from tests.support.virtual_time import VirtualTimeLoop
+
+if TYPE_CHECKING:
+    from collections.abc import Collection
+
+    import pytest
+
+    from soak.clients import Clients
+    from soak.endpoint_list import EndpointList
+    from soak.managed_proxy import ManagedProxy
+    from soak.proxy_fleet import ProxyFleet
+    from testbed.child_process import ChildProcess
+
+PROXIES = 24
+RESTART_TIME = 1.0  # seconds that ending or starting a process takes
+RUN_TIME = 12.0  # seconds
+
+#: How the schedule of seed 63 begins, as it was drawn before the faults had types.
+SCHEDULE_OF_SEED_63 = """\
+0.147 kill begins
+0.147 proxy 8 restarts
+0.814 drain begins
+0.814 draining: s1
+0.877 drain begins
+0.877 draining: s5
+1.777 idle_clients begins
+1.805 reload begins
+1.805 proxy 3 reloads
+1.865 in service: s1
+1.865 drain ends
+2.050 kill begins
+2.050 proxy 18 restarts
+2.305 reload ends
+2.367 idle_clients ends
+3.053 in service: s5
+3.053 drain ends
+3.103 drain begins
+3.103 draining: s1
+3.210 kill ends
+3.508 reload begins
+3.508 proxy 4 reloads
+3.718 reload ends
+3.792 drain begins
+"""
+
+
+class StubProxy:
+    """A proxy that only takes time."""
+
+    def reconfigure(self, **_changed: object) -> None:
+        """Change nothing."""
+
+    def spoil_config(self) -> None:
+        """Change nothing."""
+
+    def repair_config(self) -> None:
+        """Change nothing."""
+
+    def signal(self, _number: int) -> None:
+        """Receive nothing."""
+
+    def survives_hangup(self) -> bool:
+        return True
+
+    async def pause(self, seconds: float) -> None:
+        await asyncio.sleep(seconds)
+
+    async def start(self) -> None:
+        await asyncio.sleep(RESTART_TIME)
+
+    async def kill(self) -> None:
+        await asyncio.sleep(RESTART_TIME)
+
+    async def terminate(self, _kill_after: float) -> None:
+        await asyncio.sleep(RESTART_TIME)
+
+
+class StubBackends:
+    """Backends that do nothing."""
+
+    def call(self, _method: str, *_args: object, **_kwargs: object) -> int:
+        return 1
+
+
+class StubEndpoints:
+    """An endpoint list that knows only which backends are in service."""
+
+    def __init__(self) -> None:
+        self._draining: set[str] = set()
+
+    def names_in_service(self) -> list[str]:
+        return [name for name in ("s0", "s1", "s2", "s3", "s4", "s5") if name not in self._draining]
+
+    def last_list_of(self, _proxy: int) -> None:
+        """Return no list."""
+
+    def drain(self, name: str) -> None:
+        self._draining.add(name)
+
+    def return_to_service(self, name: str, _port: int) -> None:
+        self._draining.discard(name)
+
+    def silence(self, _proxies: list[int]) -> None:
+        """Cut nothing off."""
+
+    def heal(self, _proxies: list[int]) -> None:
+        """Heal nothing."""
+
+    def reset_watches(self, *, forget_log: bool) -> None:
+        """Reset nothing."""
+
+
+class StubClients:
+    """Clients that open no connections."""
+
+    async def open_idle_connections(self, _proxy: int, _count: int, until: float) -> None:
+        await asyncio.sleep(until - time.monotonic())
+
+
+def stub_environment() -> environment.TestEnvironment:
+    """Return an environment in which faults have no effect but to take their time."""
+    proxies = [cast("ManagedProxy", StubProxy()) for _ in range(PROXIES)]
+    return environment.TestEnvironment(
+        cast("ProxyFleet", proxies),
+        cast("ChildProcess", StubBackends()),
+        cast("EndpointList", StubEndpoints()),
+        cast("Clients", StubClients()),
+        [(2 * number, 2 * number + 1) for number in range(PROXIES)],
+    )
+
+
+def injected(
+    monkeypatch: pytest.MonkeyPatch, seed: int, kinds: Collection[FaultKind] = ALL_FAULTS
+) -> FaultInjector:
+    """Return an injector that has run in virtual time."""
+    injector = FaultInjector(stub_environment(), seed, kinds)
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner, monkeypatch.context() as context:
+        context.setattr(time, "monotonic", runner.get_loop().time)
+        runner.run(injector.run(RUN_TIME))
+    return injector
+
+
+def test_schedule_of_a_seed_does_not_change(monkeypatch: pytest.MonkeyPatch) -> None:
+    expected = SCHEDULE_OF_SEED_63.splitlines()
+    assert injected(monkeypatch, seed=63).log.lines[: len(expected)] == expected
+
+
+def test_kinds_left_out_are_never_injected(monkeypatch: pytest.MonkeyPatch) -> None:
+    kinds = {FaultKind.HANG, FaultKind.PAUSE}
+    assert set(injected(monkeypatch, seed=1, kinds=kinds).counts) == kinds
+
+
+def test_every_kind_is_injected_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+    injector = injected(monkeypatch, seed=63)
+    assert set(injector.counts) == set(FaultKind)
+    for kind, count in injector.counts.items():
+        assert sum(line.endswith(f"{kind} ends") for line in injector.log.lines) == count
+
+
+def test_no_fault_begins_while_a_run_settles(monkeypatch: pytest.MonkeyPatch) -> None:
+    lines = injected(monkeypatch, seed=63).log.lines
+    last = max(float(line.split()[0]) for line in lines if line.endswith("begins"))
+    assert last < RUN_TIME
+    assert last > RUN_TIME - SETTLING_TIME - 1.0
