--- a/proxy/active_request.py
+++ b/proxy/active_request.py
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     import asyncio
 
-    from proxy.downstream.connection import DownstreamConnection
     from proxy.downstream.request_parser import ClientRequest
+    from proxy.response_sink import ResponseSink
     from proxy.upstream import UpstreamAttempt
 
 MIN_TIMEOUT = 0.001  # seconds: the smallest timeout that a backend gets
@@ -29,7 +29,7 @@
         client_request_id: The id that the client gave it.
         request: What the client sent.
         request_class: Its class when it was admitted, narrowed by later settings.
-        connection: The client's connection; None once no answer is due any more.
+        response_sink: Where the final answer goes; None once it is sent or no longer wanted.
         client_deadline: The event loop's time until which the client waits.
         deadline: The event loop's time by which the answer has to be written.
         attempts: All its attempts, in the order in which they were started.
@@ -41,7 +41,7 @@
         "attempts",
         "client_deadline",
         "client_request_id",
-        "connection",
+        "response_sink",
         "deadline",
         "deadline_timer",
         "last_outcome",
@@ -55,7 +55,7 @@
         request_id: str,
         request: ClientRequest,
         request_class: RequestClass,
-        connection: DownstreamConnection,
+        response_sink: ResponseSink,
         client_deadline: float,
         deadline: float,
     ) -> None:
@@ -63,7 +63,7 @@
         self.client_request_id = request.headers[b"x-request-id"]
         self.request = request
         self.request_class = request_class
-        self.connection: DownstreamConnection | None = connection
+        self.response_sink: ResponseSink | None = response_sink
         self.client_deadline = client_deadline
         self.deadline = deadline
         self.attempts: list[UpstreamAttempt] = []
@@ -84,11 +84,11 @@
 
     def is_awaited(self) -> bool:
         """Return whether the client is still there to get an answer."""
-        return self.connection is not None and not self.connection.has_disconnected()
+        return self.response_sink is not None and not self.response_sink.has_disconnected()
 
     def is_over(self) -> bool:
         """Return whether no answer is due and no attempt is in flight."""
-        return self.connection is None and all(attempt.finished for attempt in self.attempts)
+        return self.response_sink is None and all(attempt.finished for attempt in self.attempts)
 
     def serialize(self, timeout: float) -> bytes:
         """Return the request as it is sent to a backend.
--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -37,10 +37,10 @@
     from balancer.settings import RequestClass, Settings
     from proxy.clock import EpochClock
     from proxy.downstream.classification import ClassifiedRequest
-    from proxy.downstream.connection import DownstreamConnection
     from proxy.downstream.request_parser import ClientRequest
     from proxy.endpoint_table import EndpointTable
     from proxy.invariants import InvariantMonitor
+    from proxy.response_sink import ResponseSink
 
 logger = logging.getLogger(__name__)
 
@@ -105,7 +105,7 @@
         self.perform(self._decide(self._balancer.on_endpoints_updated, kind, endpoints))
 
     def on_request(
-        self, request: ClientRequest, classified: ClassifiedRequest, connection: DownstreamConnection
+        self, request: ClientRequest, classified: ClassifiedRequest, response_sink: ResponseSink
     ) -> None:
         """Take up a client's request.
 
@@ -122,13 +122,13 @@
         self._last_request_number += 1
         request_id = str(self._last_request_number)
         active = ActiveRequest(
-            request_id, request, classified.request_class, connection, client_deadline, deadline
+            request_id, request, classified.request_class, response_sink, client_deadline, deadline
         )
         if self._event_log.enabled:
             name = classified.request_class.name
             self._log(Event.REQUEST_RECEIVED, active, class_name=name, deadline=deadline)
         self.active_requests[request_id] = active
-        connection.on_disconnect = partial(self._on_client_disconnected, active)
+        response_sink.on_disconnect = partial(self._on_client_disconnected, active)
         active.deadline_timer = self._loop.call_at(deadline, self._on_deadline, active)
         self.perform(
             self._decide(
@@ -154,7 +154,7 @@
         """Answer now, whatever the decisions say: the client's time is up."""
         for attempt in tuple(active.attempts):
             attempt.expire()
-        if active.connection is not None:
+        if active.response_sink is not None:
             self._abandon(active)
 
     def _on_attempt_finished(
@@ -188,7 +188,7 @@
                 number,
                 outcome,
                 now - attempt.started_at,
-                active.connection is None,
+                active.response_sink is None,
                 about=active,
             )
         )
@@ -296,14 +296,14 @@
 
     def _answer(self, active: ActiveRequest, status: int, head: bytes, body: bytes, reason: str = "") -> None:
         """Give the final answer, if one is still due."""
-        connection = active.connection
-        if connection is not None:
+        response_sink = active.response_sink
+        if response_sink is not None:
             self._monitor.on_answered(active, status)
             if self._event_log.enabled:
                 self._log(Event.RESPONSE_SENT, active, status=status, reason=reason)
         self._settle(active)
-        if connection is not None:
-            connection.send_response(status, head, body)
+        if response_sink is not None:
+            response_sink.send_response(status, head, body)
 
     def _abandon(self, active: ActiveRequest) -> None:
         """Fail a request that the decisions have not answered, and tell them."""
@@ -315,9 +315,9 @@
 
     def _settle(self, active: ActiveRequest) -> None:
         """Note that no answer is due from now on."""
-        if active.connection is not None:
+        if active.response_sink is not None:
             self.client_request_ids.discard(active.client_request_id)
-        active.connection = None
+        active.response_sink = None
         if active.deadline_timer is not None:
             active.deadline_timer.cancel()
         self._forget_if_over(active)
@@ -330,7 +330,7 @@
 
     def _end_unsent_attempts(self, active: ActiveRequest) -> None:
         """Send nothing more for a settled request; what is sent already is the decisions' to cancel."""
-        if active.connection is None:
+        if active.response_sink is None:
             for attempt in tuple(active.attempts):
                 if attempt.connection is None:
                     attempt.finish(Outcome.NOT_SENT)
--- a/proxy/downstream/client_socket.py
+++ b/proxy/downstream/client_socket.py
@@ -50,7 +50,7 @@
         self._written_since = now
         self._unwritten_bytes = self._transport.get_write_buffer_size()
 
-    def is_read_on(self, now: float, longest_deadline: float) -> bool:
+    def has_read_progress(self, now: float, longest_deadline: float) -> bool:
         """Return whether the client has read more of a response since the last call, and may want the rest.
 
         Args:
--- a/proxy/downstream/connection.py
+++ b/proxy/downstream/connection.py
@@ -11,9 +11,9 @@
 import asyncio
 from contextlib import suppress
 from math import inf
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
-from proxy.downstream import eviction
+from proxy.downstream import timeouts
 from proxy.downstream.classification import classify
 from proxy.downstream.client_socket import ClientSocket
 from proxy.downstream.connection_state import (
@@ -37,12 +37,39 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from proxy.downstream.listener import Listener
+    from proxy.config import Config
+    from proxy.downstream.classification import ClassifiedRequest
+    from proxy.downstream.eviction import ConnectionRegistry
+    from proxy.event_log import EventLog
+    from proxy.invariants import InvariantMonitor
+    from proxy.response_sink import ResponseSink
 
 MAX_PIPELINED_REQUESTS = 8  # requests that may wait behind another: clients send one at a time
 MAX_DISCARDED_BYTES = 64 << 20  # bytes read and dropped behind a rejection before the connection is aborted
 
 
+class ConnectionOwner(Protocol):
+    """What a connection needs of its listener, which documents each of these.
+
+    The connection changes `last_accepted_at` and `buffered_bytes`.
+    """
+
+    config: Config
+    version: str
+    on_request: Callable[[ClientRequest, ClassifiedRequest, ResponseSink], None]
+    monitor: InvariantMonitor
+    event_log: EventLog
+    connections: ConnectionRegistry[DownstreamConnection]
+    closing_since: float
+    last_accepted_at: float
+    read_buffer: memoryview
+    buffered_bytes: int
+    max_buffered_bytes: int
+
+    def healthy(self) -> bool:
+        """Return whether clients should send requests to this proxy."""
+
+
 class DownstreamConnection(asyncio.BufferedProtocol):
     """One client's connection.
 
@@ -53,7 +80,7 @@
             Whoever takes a request sets it; the response clears it.
     """
 
-    def __init__(self, listener: Listener) -> None:
+    def __init__(self, listener: ConnectionOwner) -> None:
         self.on_disconnect: Callable[[], None] | None = None
         self._listener = listener
         self._connections = listener.connections
@@ -61,7 +88,7 @@
         self._state: ConnectionState = NEW
         self._queue = RequestQueue()
         self._parser = RequestParser(self._queue.append)
-        self._idle_timeout = eviction.MIN_IDLE_TIMEOUT  # longer once a request of it was forwarded
+        self._idle_timeout = timeouts.MIN_IDLE_TIMEOUT  # longer once a request of it was forwarded
         self._keep_alive = False  # whether the client wants to go on after the request that is served
         self._write_paused = False  # the client does not read its responses
         self._input_ended = False  # a rejection is queued or written: what still comes is discarded
@@ -78,9 +105,9 @@
         self._socket = ClientSocket(transport)
         now = self._listener.last_accepted_at = self._loop.time()
         self._connections.open.add(self)
-        self._enter(NEW, now + eviction.FIRST_REQUEST_TIMEOUT)
+        self._enter(NEW, now + timeouts.FIRST_REQUEST_TIMEOUT)
         # The limit on descriptors holds from here on; where none can go, a request is rejected later.
-        self._connections.make_room(self)
+        self._connections.admit(self)
 
     def eof_received(self) -> None:
         """Take the end of the client's sending for a disconnect.
@@ -129,7 +156,7 @@
         where some are left unread only the sending side is closed, and the rest once the client has left.
         """
         self._record_close(reason)
-        self._enter(CLOSING, self._loop.time() + eviction.CLOSING_TIMEOUT)
+        self._enter(CLOSING, self._loop.time() + timeouts.CLOSING_TIMEOUT)
         if self._reading_stopped and (self.is_writing() or self._socket.has_unread_input()):
             self._end_sending()
         else:
@@ -177,9 +204,9 @@
         """Return whether a part of a response is not written yet."""
         return self._socket.is_writing()
 
-    def is_read_on(self) -> bool:
+    def has_read_progress(self) -> bool:
         """Return whether the client has read more of a response since the last call, and may want more."""
-        return self._socket.is_read_on(self._loop.time(), self._listener.config.longest_deadline)
+        return self._socket.has_read_progress(self._loop.time(), self._listener.config.longest_deadline)
 
     def pause_writing(self) -> None:
         """Note that the client reads more slowly than is written."""
@@ -231,7 +258,7 @@
         if self._state is NEW:  # counted from connecting: single bytes win no more time
             self._enter(READING, self._connections.new[self])
         elif self._state is IDLE:
-            self._enter(READING, self._parser.started_at + eviction.REQUEST_TIMEOUT)
+            self._enter(READING, self._parser.started_at + timeouts.REQUEST_TIMEOUT)
 
     def _discard(self, nbytes: int) -> None:
         """Drop what comes behind a rejection.
@@ -299,9 +326,9 @@
         if path == b"/healthz" and request.method == b"GET":
             self._answer_health_check()
         elif path == b"/api" or path.startswith(b"/api/"):  # a request without a key has no last part
-            if not self._connections.make_room(self, request_complete=True):
+            if not self._connections.admit(self, request_complete=True):
                 raise HttpError(503, "too many connections")
-            self._idle_timeout = eviction.IDLE_TIMEOUT
+            self._idle_timeout = timeouts.IDLE_TIMEOUT
             self._listener.on_request(request, classify(request, self._listener.config), self)
         else:
             raise HttpError(404, "no such path")
@@ -327,7 +354,7 @@
             body = each.reason.encode() + b"\n"
             keep_alive = position < len(errors)
             self._transport.write(encode_response(each.status, b"", body, keep_alive))
-        self._enter(CLOSING, self._loop.time() + eviction.CLOSING_TIMEOUT)
+        self._enter(CLOSING, self._loop.time() + timeouts.CLOSING_TIMEOUT)
         self._end_sending()
 
     def send_response(self, status: int, headers: bytes, body: bytes) -> None:
@@ -352,7 +379,7 @@
             if not self._write_paused:
                 self._loop.call_soon(self._resume)
         elif self._parser.reading:
-            self._enter(READING, now + eviction.REQUEST_TIMEOUT)
+            self._enter(READING, now + timeouts.REQUEST_TIMEOUT)
         else:
             self._enter(IDLE, now + self._idle_timeout)
 
--- a/proxy/downstream/eviction.py
+++ b/proxy/downstream/eviction.py
@@ -1,15 +1,17 @@
-"""Which connections of clients are closed when they take too long, or when there are too many of them.
+"""Closes connections of clients that exceed their time limit, and evicts some when there are too many.
 
-It owns the set of open connections, the deadline of each that owes no response, and the limits. It does not
-change a connection's state: it asks the connection to abort or to reject, and the connection moves itself.
+It owns the set of open connections, the deadline of each that has no pending response, and the limit on their
+number. It does not change a connection's state: it asks the connection to abort or to reject, and the
+connection changes its own state.
 """
 
 from __future__ import annotations
 
 import asyncio
 import itertools
-from typing import TYPE_CHECKING
+from typing import Generic, Protocol, TypeVar
 
+from proxy.downstream import timeouts
 from proxy.downstream.connection_state import (
     CLOSING,
     IDLE,
@@ -21,43 +23,52 @@
 )
 from proxy.downstream.errors import HttpError
 
-if TYPE_CHECKING:
-    from proxy.downstream.connection import DownstreamConnection
+SHORTAGE_THRESHOLD = 0.5  # fraction of the limit on connections above which they are running short
+EXTRA_READING_CONNECTIONS = 8  # above the limit, with a part of a request received: most soon complete
 
-FIRST_REQUEST_TIMEOUT = 2.0  # seconds from connecting to the first complete request: 3 is the protocol's most
-REQUEST_TIMEOUT = 2.0  # seconds from the first byte of a later request to its last one
-IDLE_TIMEOUT = 10.0  # seconds without a request after which a connection that has sent some is closed
-MIN_IDLE_TIMEOUT = 2.0  # seconds, where it has sent none or connections run short: clients may count on them
-CLOSING_TIMEOUT = 2.0  # seconds that a closing connection may take until the client has closed it too
-WRITING_TIMEOUT = 2.0  # seconds in which a client has to read a part of the response that is being written
-SETTLING_TIME = 0.05  # seconds in which the first bytes of a new connection may still be on their way
-SWEEP_INTERVAL = 0.25  # seconds between two looks at the deadlines
-SHORTAGE_THRESHOLD = 0.5  # part of the limit on connections above which they count as running short
-EXTRA_READING_CONNECTIONS = 8  # beyond the limit, while parts of their requests have come: most soon complete
 
-#: Connections in one state, oldest first, each with the loop's time at which it is closed.
-Deadlines = dict["DownstreamConnection", float]
+class EvictableConnection(Protocol):
+    """What the registry needs of a connection."""
 
+    def is_writing(self) -> bool:
+        """Return whether a part of a response has not been written yet."""
 
-class ConnectionRegistry:
-    """The open connections of one listener, and the deadlines of those that owe no response.
+    def has_read_progress(self) -> bool:
+        """Return whether the client has read more of a response since the last call."""
+
+    def abort(self, reason: CloseReason) -> None:
+        """Close the connection immediately."""
+
+    def reject(self, error: HttpError) -> None:
+        """Answer the current request with an error, and close the connection."""
+
+
+ConnectionT = TypeVar("ConnectionT", bound=EvictableConnection)
+
+
+class ConnectionRegistry(Generic[ConnectionT]):
+    """The open connections of one listener, and the deadlines of those without a pending response.
+
+    In each mapping of deadlines, connections are in the order in which they entered the state, each with the
+    event loop's time at which it is closed.
 
     Attributes:
-        open: All connections that hold a descriptor, in whatever state.
-        new, reading, idle, waiting, closing: The connections in that state. Insertion order is the order of
-            eviction; those that wait owe an answer, and are not evicted.
-        deadlines_by_state: The same five, at the position that `ConnectionState` gives. None for SERVING,
-            where the request has a deadline of its own, and for CLOSED.
+        max_connections: The limit on open connections; exceeded for a moment while requests are received.
+        open: All connections that use a descriptor, in any state.
+        new, reading, idle, waiting, closing: The connections in that state, in the order of eviction. Those
+            in `waiting` have a pending response, and are not evicted.
+        deadlines_by_state: The same five mappings, indexed by `ConnectionState`. None for SERVING, where the
+            request has a deadline of its own, and for CLOSED.
     """
 
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
-        self.open: set[DownstreamConnection] = set()
-        self.new: Deadlines = {}
-        self.reading: Deadlines = {}
-        self.idle: Deadlines = {}
-        self.waiting: Deadlines = {}
-        self.closing: Deadlines = {}
+        self.open: set[ConnectionT] = set()
+        self.new: dict[ConnectionT, float] = {}
+        self.reading: dict[ConnectionT, float] = {}
+        self.idle: dict[ConnectionT, float] = {}
+        self.waiting: dict[ConnectionT, float] = {}
+        self.closing: dict[ConnectionT, float] = {}
         by_state = {
             NEW: self.new,
             READING: self.reading,
@@ -67,44 +78,46 @@
         }
         self.deadlines_by_state = tuple(by_state.get(state) for state in ConnectionState)
         self._loop = asyncio.get_running_loop()
-        self._loop.call_later(SWEEP_INTERVAL, self._sweep)
+        self._loop.call_later(timeouts.SWEEP_INTERVAL, self._sweep)
 
-    def make_room(self, newcomer: DownstreamConnection, request_complete: bool = False) -> bool:
-        """Keep to the limit on connections by closing one that is of no use; return whether there is room.
+    def admit(self, connection: ConnectionT, *, request_complete: bool = False) -> bool:
+        """Evict another connection if there are too many; return whether the connection may be served.
 
-        Clients that behave well are kept for as long as possible. So the order is: closing, the oldest one
-        where it is silent since it connected, idle, new, and last one whose request is being read. None is
-        closed whose response is still being written: it would be cut.
+        Well-behaved clients keep their connections for as long as possible. The order of eviction is
+        therefore: closing; the oldest new one, if it has been silent since it connected; idle; new; and last,
+        one whose request is being read. A connection whose response is still being written is never evicted:
+        the response would be truncated.
 
         Args:
-            newcomer: The connection to make room for; it is not closed itself.
-            request_complete: Whether it has sent a complete request. Only for such a one, or further beyond
-                the limit, is a connection closed whose request is being read: many requests that never become
-                complete would otherwise keep out the complete ones and take all descriptors.
+            connection: The connection to admit; it is not evicted itself.
+            request_complete: Whether it has sent a complete request. A connection whose request is being read
+                is evicted only in this case, or far above the limit: otherwise many requests that never
+                become complete would displace complete ones and use up all descriptors.
         """
         excess = len(self.open) - self.max_connections
         if excess <= 0:
             return True
-        settled = self._loop.time() + FIRST_REQUEST_TIMEOUT - SETTLING_TIME
+        settled = self._loop.time() + timeouts.FIRST_REQUEST_TIMEOUT - timeouts.SETTLING_TIME
         oldest = itertools.islice(self.new.items(), 1)
-        silent = [connection for connection, deadline in oldest if deadline < settled]
+        silent = [candidate for candidate, deadline in oldest if deadline < settled]
         reading = self.reading if request_complete or excess > EXTRA_READING_CONNECTIONS else ()
         for candidates in (self.closing, silent, self.idle, self.new, reading):
-            for connection in candidates:
-                if connection is not newcomer and not connection.is_writing():
-                    connection.abort(CloseReason.EVICTED)
+            for candidate in candidates:
+                if candidate is not connection and not candidate.is_writing():
+                    candidate.abort(CloseReason.EVICTED)
                     return True
         return False
 
     def _sweep(self) -> None:
-        """Close what is past its deadline.
+        """Close the connections whose deadline has passed.
 
-        Clients that never end what they began would otherwise hold descriptors and memory for ever.
+        Otherwise clients that never complete a request, or never close, would use descriptors and memory
+        without limit.
         """
-        self._loop.call_later(SWEEP_INTERVAL, self._sweep)
+        self._loop.call_later(timeouts.SWEEP_INTERVAL, self._sweep)
         now = self._loop.time()
         running_short = len(self.open) > SHORTAGE_THRESHOLD * self.max_connections
-        idle_advance = IDLE_TIMEOUT - MIN_IDLE_TIMEOUT if running_short else 0.0
+        idle_advance = timeouts.IDLE_TIMEOUT - timeouts.MIN_IDLE_TIMEOUT if running_short else 0.0
         limited = (
             (self.closing, 0.0),
             (self.new, 0.0),
@@ -113,14 +126,14 @@
         )
         for deadlines, advance in limited:
             for connection in _overdue(deadlines, now, advance):
-                if connection.is_read_on():
-                    deadlines[connection] = now + advance + WRITING_TIMEOUT
+                if connection.has_read_progress():
+                    deadlines[connection] = now + advance + timeouts.WRITING_TIMEOUT
                 else:
                     connection.abort(CloseReason.TIMED_OUT)
         for connection in _overdue(self.reading, now):
             connection.reject(HttpError(408, "the request took too long"))
 
 
-def _overdue(deadlines: Deadlines, now: float, advance: float = 0.0) -> list[DownstreamConnection]:
-    """Return the connections whose deadline, brought forward by `advance` seconds, has come."""
+def _overdue(deadlines: dict[ConnectionT, float], now: float, advance: float = 0.0) -> list[ConnectionT]:
+    """Return the connections whose deadline, brought forward by `advance` seconds, has passed."""
     return [connection for connection, deadline in deadlines.items() if deadline - advance <= now]
--- a/proxy/downstream/listener.py
+++ b/proxy/downstream/listener.py
@@ -26,6 +26,7 @@
     from proxy.downstream.request_parser import ClientRequest
     from proxy.event_log import EventLog
     from proxy.invariants import InvariantMonitor
+    from proxy.response_sink import ResponseSink
 
 BUFFERED_MEMORY_SHARE = 0.25  # of the memory limit, for incomplete bodies and requests that wait
 LISTEN_BACKLOG = 1024  # connections that may wait to be accepted
@@ -55,7 +56,7 @@
         self,
         config: Config,
         max_connections: int,
-        on_request: Callable[[ClientRequest, ClassifiedRequest, DownstreamConnection], None],
+        on_request: Callable[[ClientRequest, ClassifiedRequest, ResponseSink], None],
         monitor: InvariantMonitor,
         event_log: EventLog,
     ) -> None:
@@ -64,7 +65,7 @@
         self.monitor = monitor
         self.event_log = event_log
         self.on_request = on_request
-        self.connections = ConnectionRegistry(max_connections)
+        self.connections: ConnectionRegistry[DownstreamConnection] = ConnectionRegistry(max_connections)
         self.ready = False
         self.serving = False
         self.closing_since = inf
--- a/proxy/invariants.py
+++ b/proxy/invariants.py
@@ -10,7 +10,7 @@
 import logging
 from collections import Counter
 from enum import StrEnum
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
 from balancer.events import NEVER_RAN
 from balancer.settings import DeduplicationScope, Idempotency
@@ -18,7 +18,9 @@
 from proxy.log import RateLimit
 
 if TYPE_CHECKING:
-    from proxy.active_request import ActiveRequest
+    from collections.abc import Sequence
+
+    from balancer.settings import RequestClass
     from proxy.upstream import UpstreamAttempt
 
 logger = logging.getLogger(__name__)
@@ -40,6 +42,30 @@
     DROPPED_UNANSWERED = "dropped_unanswered"
 
 
+class CheckedRequest(Protocol):
+    """What the checks read of a request."""
+
+    @property
+    def client_request_id(self) -> bytes:
+        """The id that the client gave it."""
+
+    @property
+    def request_class(self) -> RequestClass:
+        """Its class when it was admitted, narrowed by later settings."""
+
+    @property
+    def response_sink(self) -> object | None:
+        """Where its final answer goes; None once that is sent or no longer wanted."""
+
+    @property
+    def client_deadline(self) -> float:
+        """The event loop's time until which the client waits."""
+
+    @property
+    def attempts(self) -> Sequence[UpstreamAttempt]:
+        """All its attempts, in the order in which they were started."""
+
+
 class InvariantMonitor:
     """Counts violations and logs them.
 
@@ -52,7 +78,9 @@
         self._event_log = event_log
         self._log_limit = RateLimit()
 
-    def on_written(self, now: float, active: ActiveRequest, attempt: UpstreamAttempt, timeout: float) -> None:
+    def on_written(
+        self, now: float, active: CheckedRequest, attempt: UpstreamAttempt, timeout: float
+    ) -> None:
         """Check an attempt whose first byte was just written.
 
         Args:
@@ -61,7 +89,7 @@
             attempt: The attempt.
             timeout: The seconds that its backend was told it would be waited for.
         """
-        if active.connection is None:
+        if active.response_sink is None:
             self.report(Invariant.SENT_AFTER_ANSWER, active.client_request_id)
         if not attempt.backend.in_service:
             self.report(Invariant.SENT_OUT_OF_SERVICE, active.client_request_id)
@@ -70,7 +98,7 @@
         if len(active.attempts) > 1 and not _may_repeat(now, active, attempt):
             self.report(Invariant.REPEATED_UNSAFELY, active.client_request_id)
 
-    def on_answered(self, active: ActiveRequest, status: int) -> None:
+    def on_answered(self, active: CheckedRequest, status: int) -> None:
         """Check a final answer that is about to be written."""
         if status not in REJECTED_STATUSES:
             return
@@ -94,7 +122,7 @@
         return ", ".join(f"{invariant} {count}" for invariant, count in sorted(self.violations.items()))
 
 
-def _may_repeat(now: float, active: ActiveRequest, attempt: UpstreamAttempt) -> bool:
+def _may_repeat(now: float, active: CheckedRequest, attempt: UpstreamAttempt) -> bool:
     """Return whether an attempt that was just written may run, by what the others may have done."""
     request_class = active.request_class
     others = [other for other in active.attempts if other is not attempt and _may_have_run(other)]
--- /dev/null
+++ b/proxy/response_sink.py
@@ -0,0 +1,34 @@
+"""What the dispatcher needs of the client that a request came from: a place to send the response to.
+
+It owns no state: `proxy.downstream.connection` implements the interface.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Protocol
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+
+class ResponseSink(Protocol):
+    """The receiver of one final response.
+
+    Attributes:
+        on_disconnect: Called once if the client disconnects before its response is sent. The receiver of the
+            request sets it; sending the response clears it.
+    """
+
+    on_disconnect: Callable[[], None] | None
+
+    def send_response(self, status: int, headers: bytes, body: bytes) -> None:
+        """Send the final response.
+
+        Args:
+            status: Its status code.
+            headers: Its end-to-end headers, each with its line end.
+            body: Its complete body.
+        """
+
+    def has_disconnected(self) -> bool:
+        """Return whether the client has closed its connection, even if that is still unread."""
--- a/tests/proxy/downstream/test_limits.py
+++ b/tests/proxy/downstream/test_limits.py
@@ -27,7 +27,7 @@
 async def test_client_that_does_not_finish_its_request_is_disconnected(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("proxy.downstream.eviction.FIRST_REQUEST_TIMEOUT", 0.5)
+    monkeypatch.setattr("proxy.downstream.timeouts.FIRST_REQUEST_TIMEOUT", 0.5)
     async with proxy_with_backends(respond_ok) as (proxy, [backend]):
         client = await proxy.connect()
         client.writer.write(sent)
@@ -41,7 +41,7 @@
 
 @in_event_loop
 async def test_idle_client_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("proxy.downstream.eviction.IDLE_TIMEOUT", 0.1)
+    monkeypatch.setattr("proxy.downstream.timeouts.IDLE_TIMEOUT", 0.1)
     async with proxy_with_backends(respond_ok) as (proxy, _):
         client = await proxy.connect()
         assert status_of(await client.request(post_request())) == 200
@@ -71,8 +71,8 @@
         "IDLE_TIMEOUT",
         "CLOSING_TIMEOUT",
     ):
-        monkeypatch.setattr(f"proxy.downstream.eviction.{name}", 3 * MAX_WAIT)
-    monkeypatch.setattr("proxy.downstream.eviction.SETTLING_TIME", 0.0)
+        monkeypatch.setattr(f"proxy.downstream.timeouts.{name}", 3 * MAX_WAIT)
+    monkeypatch.setattr("proxy.downstream.timeouts.SETTLING_TIME", 0.0)
     async with proxy_with_backends(respond_ok, max_sockets=FOUR_CLIENTS) as (proxy, _):
         listener = proxy.listener
         active, incomplete = await proxy.connect(), await proxy.connect()
--- a/tests/proxy/downstream/test_unread_responses.py
+++ b/tests/proxy/downstream/test_unread_responses.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from proxy.downstream.eviction import CLOSING_TIMEOUT, IDLE_TIMEOUT
+from proxy.downstream.timeouts import CLOSING_TIMEOUT, IDLE_TIMEOUT
 from tests.support.client_scenarios import connect_slow_reader
 from tests.support.loopback import (
     ManualClock,
