--- a/proxy/downstream/request_queue.py
+++ b/proxy/downstream/request_queue.py
@@ -1,7 +1,7 @@
-"""The requests of one client's connection that have been read and wait for their turn, in order.
+"""The requests of one client's connection that have been received and wait for their turn, in order.
 
-It owns them, their memory, and how many were forgotten for want of it. Which limits there are, and when a
-request's turn comes, is `connection`'s.
+It owns them, and the number of those whose memory was released before they were answered. Which limits there
+are is up to `connection_input`, when a request's turn comes to `connection`.
 """
 
 from __future__ import annotations
@@ -16,38 +16,38 @@
 
 
 class RequestQueue:
-    """Requests in the order in which they came, and behind them the error that ends the input, if any."""
+    """Requests in the order received, and behind them the error that ends the input, if any."""
 
-    __slots__ = ("_forgotten", "_items")
+    __slots__ = ("_dropped", "_items")
 
     def __init__(self) -> None:
         self._items: deque[ClientRequest | HttpError] = deque()
-        self._forgotten = 0  # requests that are owed an answer, and whose bytes are not held any more
+        self._dropped = 0  # requests whose answer is pending, and whose memory is released already
 
     def __len__(self) -> int:
         """Return how many requests and errors wait."""
         return len(self._items)
 
     def append(self, item: ClientRequest | HttpError) -> None:
-        """Add a request, or the error that nothing follows."""
+        """Add a request, or the error that ends the input."""
         self._items.append(item)
 
     def pop(self) -> ClientRequest | HttpError:
-        """Take the first one; IndexError where nothing waits."""
+        """Remove and return the first item; IndexError if there is none."""
         return self._items.popleft()
 
     def clear(self) -> None:
-        """Drop all that waits: nobody is there to be answered, or one answer stands for all."""
+        """Drop all items: the client has disconnected, or a single answer covers all of them."""
         self._items.clear()
 
-    def forget_requests(self, has_incomplete: bool) -> None:
-        """Drop the requests but for their number: each is owed an answer.
+    def drop_requests(self, *, has_incomplete: bool) -> None:
+        """Drop the requests to release their memory, but count them: the answer to each is still pending.
 
         Args:
-            has_incomplete: Whether a part of a further request has come. The error that ends the input is its
-                answer; else it is that of the last request dropped here.
+            has_incomplete: Whether a part of a further request has been received. The error that ends the
+                input is the answer to that one; otherwise to the last request dropped here.
         """
-        self._forgotten += len(self._items) - (not has_incomplete)
+        self._dropped += len(self._items) - (not has_incomplete)
         self._items.clear()
 
     def requests(self) -> list[ClientRequest]:
@@ -55,15 +55,15 @@
         return [item for item in self._items if isinstance(item, ClientRequest)]
 
     def buffered_bytes(self) -> int:
-        """Return the bytes that all of them hold."""
+        """Return the bytes of memory that all of them use."""
         return sum(request.buffered_bytes() for request in self.requests())
 
-    def take_answers(self, error: HttpError) -> list[HttpError]:
-        """Return the answers that are owed where an error ends the connection, in order, and drop all.
+    def reject_all(self, error: HttpError) -> list[HttpError]:
+        """Drop all items, as an error ends the connection, and return the pending answers in order.
 
         Args:
             error: The answer to the request whose turn it is.
         """
-        answers = [CONNECTION_ENDS] * self._forgotten + [error] + [CONNECTION_ENDS] * len(self.requests())
+        answers = [CONNECTION_ENDS] * self._dropped + [error] + [CONNECTION_ENDS] * len(self.requests())
         self._items.clear()
         return answers
--- a/proxy/downstream/response_writer.py
+++ b/proxy/downstream/response_writer.py
@@ -1,21 +1,32 @@
-"""How a response to a client looks on the wire; it owns no connection and sends nothing."""
+"""Writes responses to one client, and observes how fast the client reads them.
+
+It owns how much of a response was unwritten at the last check. The order of responses, and whether the
+connection stays open after one, are up to `connection`.
+"""
 
 from __future__ import annotations
 
 from http import HTTPStatus
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import asyncio
+    from collections.abc import Sequence
+
+    from proxy.downstream.errors import HttpError
 
 REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 UNKNOWN_REASON_PHRASE = b"Other"  # backends may send status codes that no standard lists
 
 
-def encode_response(status: int, headers: bytes, body: bytes, keep_alive: bool) -> bytes:
-    """Return a complete response.
+def encode_response(status: int, headers: bytes, body: bytes, *, keep_alive: bool) -> bytes:
+    """Return the bytes of a complete response.
 
     Args:
         status: Its status code.
         headers: Its end-to-end headers, each with its line end.
         body: Its body, sent with a `Content-Length`.
-        keep_alive: Whether the connection stays open; `Connection: close` says that it does not.
+        keep_alive: Whether the connection stays open; if not, the response has `Connection: close`.
     """
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b" % (
         status,
@@ -25,3 +36,51 @@
         b"" if keep_alive else b"Connection: close\r\n",
         body,
     )
+
+
+class ResponseWriter:
+    """Writes the responses of one connection.
+
+    Attributes:
+        paused: Whether the client reads so slowly that no further request is served until it catches up.
+    """
+
+    __slots__ = ("_transport", "_unwritten_bytes", "_written_at", "paused")
+
+    def __init__(self, transport: asyncio.Transport) -> None:
+        self.paused = False
+        self._transport = transport
+        self._unwritten_bytes = 0  # at the last check of the client's progress
+        self._written_at = 0.0  # the event loop's time at which the latest response was written
+
+    def write(self, status: int, headers: bytes, body: bytes, *, keep_alive: bool) -> None:
+        """Write a complete response; the arguments are those of `encode_response`."""
+        self._transport.write(encode_response(status, headers, body, keep_alive=keep_alive))
+
+    def write_rejections(self, errors: Sequence[HttpError]) -> None:
+        """Write the last responses of the connection, each with its reason as the body."""
+        for position, error in enumerate(errors, 1):
+            self.write(error.status, b"", error.reason.encode() + b"\n", keep_alive=position < len(errors))
+
+    def start_progress(self, now: float) -> None:
+        """Measure from now on how the client reads the response that was just written, maybe in part.
+
+        Args:
+            now: The event loop's time.
+        """
+        self._written_at = now
+        self._unwritten_bytes = self._transport.get_write_buffer_size()
+
+    def is_writing(self) -> bool:
+        """Return whether a part of a response has not been written yet: the client reads it slowly."""
+        return self._transport.get_write_buffer_size() > 0
+
+    def has_read_progress(self, now: float, longest_deadline: float) -> bool:
+        """Return whether the client has read more of a response since the last call, and may want the rest.
+
+        Args:
+            now: The event loop's time.
+            longest_deadline: Seconds that any client waits for a response: a later rest is useless to it.
+        """
+        before, self._unwritten_bytes = self._unwritten_bytes, self._transport.get_write_buffer_size()
+        return 0 < self._unwritten_bytes < before and now < self._written_at + longest_deadline
--- a/tests/support/proxy_internals.py
+++ b/tests/support/proxy_internals.py
@@ -85,17 +85,17 @@
 
 def has_pipelined_input(connection: DownstreamConnection) -> bool:
     """Return whether a client has sent a further request, or a part of one, behind the one in progress."""
-    return bool(connection._queue or connection._parser.reading)
+    return bool(connection._input.queue or connection._input.parser.reading)
 
 
 def discards_input(connection: DownstreamConnection) -> bool:
     """Return whether a request was rejected so that what the client still sends is discarded."""
-    return connection._input_ended
+    return connection._input.ended
 
 
 def has_paused_writing(connection: DownstreamConnection) -> bool:
     """Return whether responses wait until the client reads."""
-    return connection._write_paused
+    return connection._writer.paused
 
 
 def unwritten_bytes(connection: DownstreamConnection) -> int:
