--- a/proxy/active_request.py
+++ b/proxy/active_request.py
@@ -1,7 +1,7 @@
-"""One request that the proxy has taken up, from its arrival to its final answer.
+"""One request that the proxy has accepted, until its final answer is sent and its attempts have finished.
 
-Owns what is known of that request: who waits for it, how long, and its attempts so far. Does not decide what
-happens to it, and sends nothing.
+It owns what is known of that request: where its answer goes, its deadlines, and its attempts so far. It does
+not decide what happens to the request, and sends nothing.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
     from proxy.response_sink import ResponseSink
     from proxy.upstream import UpstreamAttempt
 
-MIN_TIMEOUT = 0.001  # seconds: the smallest timeout that a backend gets
+MIN_TIMEOUT = 0.001  # seconds: the smallest timeout that three decimals can express
 
 
 class ActiveRequest:
-    """A request for which a final answer is due, or which still has attempts in flight.
+    """A request with a pending answer or with attempts in flight.
 
     Attributes:
-        request_id: Its id in the decisions, one that no other request of this process has.
+        request_id: The id that the balancer knows it by, unique in this process.
         client_request_id: The id that the client gave it.
         request: What the client sent.
         request_class: Its class when it was admitted, narrowed by later settings.
@@ -34,7 +34,7 @@
         deadline: The event loop's time by which the answer has to be written.
         attempts: All its attempts, in the order in which they were started.
         last_outcome: How its latest attempt ended.
-        deadline_timer: Runs out at the deadline.
+        deadline_timer: Fires at the deadline.
     """
 
     __slots__ = (
@@ -70,31 +70,46 @@
         self.last_outcome = Outcome.NOT_SENT
         self.deadline_timer: asyncio.TimerHandle | None = None
 
+    @property
+    def logged_id(self) -> str:
+        """The client's request id, as text for the event log."""
+        return self.client_request_id.decode("latin-1")
+
     @property
     def is_retryable(self) -> bool:
-        """Whether the request may run at a backend twice."""
+        """Whether the request may run more than once."""
         return self.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
 
     def narrow_class(self, request_class: RequestClass) -> None:
-        """Allow only what both its class so far and the one of new settings allow."""
+        """Restrict the class to what both it and the class of new settings allow."""
         self.request_class = narrow_class(self.request_class, request_class)
         if not self.is_retryable:
             for attempt in self.attempts:
                 attempt.forbid_retry()
 
-    def is_awaited(self) -> bool:
-        """Return whether the client is still there to get an answer."""
+    def client_is_waiting(self) -> bool:
+        """Return whether an answer is pending and the client is still connected."""
         return self.response_sink is not None and not self.response_sink.has_disconnected()
 
-    def is_over(self) -> bool:
-        """Return whether no answer is due and no attempt is in flight."""
+    def is_finished(self) -> bool:
+        """Return whether no answer is pending and no attempt is in flight."""
         return self.response_sink is None and all(attempt.finished for attempt in self.attempts)
 
+    def end_unsent_attempts(self) -> None:
+        """End the attempts that are not written yet if the request is settled.
+
+        The balancer decides whether those that are written already are cancelled.
+        """
+        if self.response_sink is None:
+            for attempt in tuple(self.attempts):
+                if attempt.connection is None:
+                    attempt.finish(Outcome.NOT_SENT)
+
     def serialize(self, timeout: float) -> bytes:
-        """Return the request as it is sent to a backend.
+        """Return the bytes of the request as it is sent to a backend.
 
         Args:
-            timeout: The seconds for which the backend's answer is waited for.
+            timeout: Seconds until the proxy stops waiting for the backend's response.
         """
         request = self.request
         has_length = request.body or request.method != b"GET"
--- /dev/null
+++ b/proxy/dispatch_context.py
@@ -0,0 +1,39 @@
+"""What the dispatcher and the executor of the balancer's actions work with; it owns none of it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from balancer.balancer import Balancer
+    from proxy.clock import EpochClock
+    from proxy.endpoint_table import EndpointTable
+    from proxy.event_log import EventLog
+    from proxy.invariants import InvariantMonitor
+    from proxy.upstream import ConnectionPool
+
+
+@dataclass(slots=True, frozen=True, kw_only=True)
+class DispatchContext:
+    """The collaborators of the dispatcher.
+
+    Attributes:
+        balancer: Decides what happens to each request.
+        clock: Converts between the event loop's time and the balancer's.
+        endpoint_table: The backends that attempts go to.
+        pool: Sends the attempts.
+        poll_endpoints: Asks discovery for the endpoint list.
+        monitor: Checks what is written and answered.
+        event_log: Receives what happens to each request.
+    """
+
+    balancer: Balancer
+    clock: EpochClock
+    endpoint_table: EndpointTable
+    pool: ConnectionPool
+    poll_endpoints: Callable[[], None]
+    monitor: InvariantMonitor
+    event_log: EventLog
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -14,6 +14,7 @@
 from proxy.clock import EpochClock
 from proxy.discovery.endpoint_reader import DiscoveredEndpoint, EndpointReader
 from proxy.discovery.watch import DiscoveryClient
+from proxy.dispatch_context import DispatchContext
 from proxy.dispatcher import Dispatcher
 from proxy.downstream.listener import Listener
 from proxy.endpoint_table import EndpointTable
@@ -70,13 +71,15 @@
             config.discovery, self.reader, config.cached_list["index"], self.on_update, self.event_log
         )
         self.dispatcher = Dispatcher(
-            self.balancer,
-            self.clock,
-            self.endpoint_table,
-            self.pool,
-            self.discovery.open,
-            self.monitor,
-            self.event_log,
+            DispatchContext(
+                balancer=self.balancer,
+                clock=self.clock,
+                endpoint_table=self.endpoint_table,
+                pool=self.pool,
+                poll_endpoints=self.discovery.open,
+                monitor=self.monitor,
+                event_log=self.event_log,
+            )
         )
         self.listener = Listener(
             config, max_clients, self.dispatcher.on_request, self.monitor, self.event_log
--- /dev/null
+++ b/proxy/responder.py
@@ -0,0 +1,56 @@
+"""Sends the one final answer to each request.
+
+It owns the answers that the proxy itself gives: their status and body. Which answer a request gets is up to
+the balancer and the dispatcher; the bytes on the wire are up to `proxy.downstream`.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from balancer.events import Outcome, Reject
+from proxy.event_log import Event, EventLog
+
+if TYPE_CHECKING:
+    from proxy.active_request import ActiveRequest
+    from proxy.invariants import InvariantMonitor
+    from proxy.request_registry import RequestRegistry
+
+
+class Responder:
+    """Answers active requests, each once."""
+
+    def __init__(self, registry: RequestRegistry, monitor: InvariantMonitor, event_log: EventLog) -> None:
+        self._registry = registry
+        self._monitor = monitor
+        self._event_log = event_log
+
+    def answer(self, active: ActiveRequest, status: int, head: bytes, body: bytes, reason: str = "") -> None:
+        """Send the final answer, if one is still pending.
+
+        Args:
+            active: The request.
+            status: The status code of the response.
+            head: Its end-to-end headers, each with its line end.
+            body: Its complete body.
+            reason: Why the request is rejected, for the event log.
+        """
+        response_sink = active.response_sink
+        if response_sink is not None:
+            self._monitor.on_answered(active, status)
+            if self._event_log.enabled:
+                request_id = active.logged_id
+                self._event_log.record(Event.RESPONSE_SENT, id=request_id, status=status, reason=reason)
+        self._registry.settle(active)
+        if response_sink is not None:
+            response_sink.send_response(status, head, body)
+
+    def reject(self, active: ActiveRequest, action: Reject) -> None:
+        """Answer that the request was rejected, so that the client may repeat it without harm."""
+        head = b"Retry-After: %.3f\r\n" % action.retry_after if action.retry_after > 0.0 else b""
+        self.answer(active, 503, head, b"refused\n", action.reason.value)
+
+    def fail(self, active: ActiveRequest) -> None:
+        """Answer that the request failed, without a promise on whether it ran."""
+        status = 504 if active.last_outcome is Outcome.TIMEOUT else 502
+        self.answer(active, status, b"", b"failed\n")
