--- a/proxy/action_executor.py
+++ b/proxy/action_executor.py
@@ -21,7 +21,7 @@
     SetTimer,
     StartAttempt,
 )
-from proxy.event_log import Event
+from proxy.logged_events import AttemptStarted, AttemptWritten
 from proxy.upstream import AttemptCallbacks, UpstreamAttempt, UpstreamResponse
 
 if TYPE_CHECKING:
@@ -124,9 +124,7 @@
         )
         if self._event_log.enabled:
             address = str(attempt.backend.address)
-            self._event_log.record(
-                Event.ATTEMPT_STARTED, id=active.logged_id, attempt=number, endpoint=address
-            )
+            self._event_log.record(AttemptStarted(id=active.logged_id, attempt=number, endpoint=address))
         active.attempts.append(attempt)
         if active.client_is_waiting():
             self._pool.start(attempt)
@@ -138,6 +136,4 @@
         self._monitor.on_written(self._loop.time(), active, attempt, timeout)
         if self._event_log.enabled:
             number = active.attempts.index(attempt)
-            self._event_log.record(
-                Event.ATTEMPT_WRITTEN, id=active.logged_id, attempt=number, timeout=timeout
-            )
+            self._event_log.record(AttemptWritten(id=active.logged_id, attempt=number, timeout=timeout))
--- a/proxy/discovery/watch.py
+++ b/proxy/discovery/watch.py
@@ -12,7 +12,8 @@
 
 from balancer.endpoints import UpdateKind
 from proxy.discovery.watch_connection import Message, WatchConnection
-from proxy.event_log import Event, EventLog
+from proxy.event_log import EventLog
+from proxy.logged_events import WatchClosed, WatchOpened
 
 if TYPE_CHECKING:
     from proxy.config import Address
@@ -109,14 +110,15 @@
                 address.host.encode(),
             )
             connection = WatchConnection(self.on_message, request)
-            self._event_log.record(Event.WATCH_OPENED, address=str(address), index=index)
+            self._event_log.record(WatchOpened(address=str(address), index=index))
             failed_here = await self._follow(address, connection)
             self._event_log.record(
-                Event.WATCH_CLOSED,
-                address=str(address),
-                responded=connection.has_responded,
-                listed=connection.has_listed,
-                failed_here=failed_here,
+                WatchClosed(
+                    address=str(address),
+                    responded=connection.has_responded,
+                    listed=connection.has_listed,
+                    failed_here=failed_here,
+                )
             )
             if connection.has_listed:
                 index = self._index
--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -15,8 +15,8 @@
 
 from balancer.events import Action, Outcome, SendRejection
 from proxy.action_executor import ActionExecutor
-from proxy.event_log import Event
 from proxy.log import RateLimit
+from proxy.logged_events import AttemptFinished, AttemptRejected, ClientDisconnected, RequestReceived
 from proxy.request_registry import RequestRegistry
 from proxy.responder import Responder
 
@@ -86,7 +86,7 @@
         if self._event_log.enabled:
             class_name = classified.request_class.name
             self._event_log.record(
-                Event.REQUEST_RECEIVED, id=active.logged_id, class_name=class_name, deadline=deadline
+                RequestReceived(id=active.logged_id, class_name=class_name, deadline=deadline)
             )
         response_sink.on_disconnect = partial(self.on_client_disconnected, active)
         active.deadline_timer = self._loop.call_at(deadline, self._on_deadline, active)
@@ -106,7 +106,7 @@
     def on_client_disconnected(self, active: ActiveRequest) -> None:
         """End a request whose client has disconnected: no answer is pending any more."""
         if self._event_log.enabled:
-            self._event_log.record(Event.CLIENT_DISCONNECTED, id=active.logged_id)
+            self._event_log.record(ClientDisconnected(id=active.logged_id))
         self._registry.settle(active)
         self._executor.perform(
             self._notify(self._balancer.on_client_disconnected, active.request_id, about=active)
@@ -133,7 +133,7 @@
         active.last_outcome = outcome
         if self._event_log.enabled:
             self._event_log.record(
-                Event.ATTEMPT_FINISHED, id=active.logged_id, attempt=number, outcome=outcome.value
+                AttemptFinished(id=active.logged_id, attempt=number, outcome=outcome.value)
             )
         if response is not None:
             outcome = self._answer_with(active, outcome, response, now)
@@ -188,7 +188,7 @@
             rejection = SendRejection.REQUEST_ENDED
         if rejection is not None and self._event_log.enabled:
             self._event_log.record(
-                Event.ATTEMPT_REJECTED, id=active.logged_id, attempt=number, reason=rejection.value
+                AttemptRejected(id=active.logged_id, attempt=number, reason=rejection.value)
             )
         return rejection
 
--- a/proxy/downstream/closing.py
+++ b/proxy/downstream/closing.py
@@ -10,8 +10,8 @@
 from typing import TYPE_CHECKING, Protocol
 
 from proxy.downstream.connection_state import CloseReason, ConnectionState
-from proxy.event_log import Event
 from proxy.invariants import Invariant
+from proxy.logged_events import ConnectionClosed
 
 if TYPE_CHECKING:
     import asyncio
@@ -80,12 +80,13 @@
         log = self._observer.event_log
         if log.enabled:
             log.record(
-                Event.CONNECTION_CLOSED,
-                reason=reason,
-                state=state.name,
-                queued=len(queue),
-                unwritten=self._transport.get_write_buffer_size(),
-                peer=str(self._transport.get_extra_info("peername")),
+                ConnectionClosed(
+                    reason=reason,
+                    state=state.name,
+                    queued=len(queue),
+                    unwritten=self._transport.get_write_buffer_size(),
+                    peer=str(self._transport.get_extra_info("peername")),
+                )
             )
         if reason is CloseReason.CLIENT_DISCONNECTED:
             return
--- a/proxy/invariants.py
+++ b/proxy/invariants.py
@@ -14,13 +14,14 @@
 
 from balancer.events import NEVER_RAN
 from balancer.settings import DeduplicationScope, Idempotency
-from proxy.event_log import Event, EventLog
 from proxy.log import RateLimit
+from proxy.logged_events import ViolationFound
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from balancer.settings import RequestClass
+    from proxy.event_log import EventLog
     from proxy.upstream import UpstreamAttempt
 
 logger = logging.getLogger(__name__)
@@ -113,7 +114,7 @@
         """Count a violation and log it."""
         self.violations[invariant] += 1
         request_id = client_request_id.decode("latin-1")
-        self._event_log.record(Event.VIOLATION, rule=invariant, id=request_id)
+        self._event_log.record(ViolationFound(rule=invariant, id=request_id))
         if self._log_limit.allows(asyncio.get_running_loop().time()):
             logger.error("violation: %s, request %s", invariant, request_id)
 
--- /dev/null
+++ b/proxy/logged_events.py
@@ -0,0 +1,256 @@
+"""The events of the event log: a type for each, with the fields of its line.
+
+A line is a JSON object: `at` (the event loop's time in seconds), `event` (the event's name), and the fields
+below in their order. It owns the names of events and fields; `event_log` writes the lines.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import ClassVar
+
+
+class Event(StrEnum):
+    """The names of the events, as the log shows them."""
+
+    REQUEST_RECEIVED = "request_received"
+    ATTEMPT_STARTED = "attempt_started"
+    ATTEMPT_REJECTED = "attempt_rejected"
+    ATTEMPT_WRITTEN = "attempt_written"
+    ATTEMPT_FINISHED = "attempt_finished"
+    RESPONSE_SENT = "response_sent"
+    CLIENT_DISCONNECTED = "client_disconnected"
+    CONNECTION_CLOSED = "connection_closed"
+    ENDPOINTS_UPDATED = "endpoints_updated"
+    WATCH_OPENED = "watch_opened"
+    WATCH_CLOSED = "watch_closed"
+    SHUTDOWN = "shutdown"
+    VIOLATION = "violation"
+    DROPPED = "dropped"
+
+
+@dataclass(slots=True, kw_only=True)
+class RequestReceived:
+    """A client's request was accepted.
+
+    Attributes:
+        id: The client's request id.
+        class_name: The name of its class.
+        deadline: The event loop's time in seconds by which the answer has to be written.
+    """
+
+    event: ClassVar = Event.REQUEST_RECEIVED
+    id: str
+    class_name: str
+    deadline: float
+
+
+@dataclass(slots=True, kw_only=True)
+class AttemptStarted:
+    """An attempt was started; it still needs a connection.
+
+    Attributes:
+        id: The client's request id.
+        attempt: The number of the attempt, counted from 0 for each request.
+        endpoint: The backend's address, as `host:port`.
+    """
+
+    event: ClassVar = Event.ATTEMPT_STARTED
+    id: str
+    attempt: int
+    endpoint: str
+
+
+@dataclass(slots=True, kw_only=True)
+class AttemptRejected:
+    """An attempt was not written: when its connection was ready, it was not allowed any more.
+
+    Attributes:
+        id: The client's request id.
+        attempt: The number of the attempt.
+        reason: A value of `balancer.events.SendRejection`.
+    """
+
+    event: ClassVar = Event.ATTEMPT_REJECTED
+    id: str
+    attempt: int
+    reason: str
+
+
+@dataclass(slots=True, kw_only=True)
+class AttemptWritten:
+    """The request was written to a backend.
+
+    Attributes:
+        id: The client's request id.
+        attempt: The number of the attempt.
+        timeout: Seconds, as sent to the backend in `X-Timeout`.
+    """
+
+    event: ClassVar = Event.ATTEMPT_WRITTEN
+    id: str
+    attempt: int
+    timeout: float
+
+
+@dataclass(slots=True, kw_only=True)
+class AttemptFinished:
+    """An attempt ended.
+
+    Attributes:
+        id: The client's request id.
+        attempt: The number of the attempt.
+        outcome: A value of `balancer.events.Outcome`.
+    """
+
+    event: ClassVar = Event.ATTEMPT_FINISHED
+    id: str
+    attempt: int
+    outcome: str
+
+
+@dataclass(slots=True, kw_only=True)
+class ResponseSent:
+    """The final answer to a request was given.
+
+    Attributes:
+        id: The client's request id.
+        status: The status code of the answer.
+        reason: A value of `balancer.events.RejectReason` if the balancer rejected the request, else empty.
+    """
+
+    event: ClassVar = Event.RESPONSE_SENT
+    id: str
+    status: int
+    reason: str
+
+
+@dataclass(slots=True, kw_only=True)
+class ClientDisconnected:
+    """A client disconnected before its answer was sent.
+
+    Attributes:
+        id: The client's request id.
+    """
+
+    event: ClassVar = Event.CLIENT_DISCONNECTED
+    id: str
+
+
+@dataclass(slots=True, kw_only=True)
+class ConnectionClosed:
+    """The proxy closed a client's connection.
+
+    Attributes:
+        reason: A value of `proxy.downstream.connection_state.CloseReason`.
+        state: The name of the `ConnectionState` that the connection was in.
+        queued: How many requests and errors waited on it.
+        unwritten: Bytes of responses that were not written yet.
+        peer: The client's address and port.
+    """
+
+    event: ClassVar = Event.CONNECTION_CLOSED
+    reason: str
+    state: str
+    queued: int
+    unwritten: int
+    peer: str
+
+
+@dataclass(slots=True, kw_only=True)
+class EndpointsUpdated:
+    """An update of the endpoint list is about to be applied.
+
+    Attributes:
+        kind: The name of the `balancer.endpoints.UpdateKind`.
+        endpoints: The name of the `balancer.endpoints.EndpointStatus` by the endpoint's address.
+    """
+
+    event: ClassVar = Event.ENDPOINTS_UPDATED
+    kind: str
+    endpoints: dict[str, str]
+
+
+@dataclass(slots=True, kw_only=True)
+class WatchOpened:
+    """A watch on discovery is about to connect.
+
+    Attributes:
+        address: Discovery's address, as `host:port`.
+        index: The version of the endpoint list from which it asks for changes.
+    """
+
+    event: ClassVar = Event.WATCH_OPENED
+    address: str
+    index: int
+
+
+@dataclass(slots=True, kw_only=True)
+class WatchClosed:
+    """A watch on discovery ended.
+
+    Attributes:
+        address: Discovery's address, as `host:port`.
+        responded: Whether discovery responded on it.
+        listed: Whether an endpoint list was received on it.
+        failed_here: Whether a failing system call of this process ended it.
+    """
+
+    event: ClassVar = Event.WATCH_CLOSED
+    address: str
+    responded: bool
+    listed: bool
+    failed_here: bool
+
+
+@dataclass(slots=True, kw_only=True)
+class ShutdownStarted:
+    """SIGTERM was received: the graceful shutdown begins."""
+
+    event: ClassVar = Event.SHUTDOWN
+
+
+@dataclass(slots=True, kw_only=True)
+class ViolationFound:
+    """A run-time check found that an invariant was violated.
+
+    Attributes:
+        rule: A value of `proxy.invariants.Invariant`.
+        id: The client's request id.
+    """
+
+    event: ClassVar = Event.VIOLATION
+    rule: str
+    id: str
+
+
+@dataclass(slots=True, kw_only=True)
+class LinesDropped:
+    """Lines of this log were dropped, because there were too many or the file did not take them.
+
+    Its line has no `at`: it stands at the next line that could be written.
+
+    Attributes:
+        lines: How many.
+    """
+
+    event: ClassVar = Event.DROPPED
+    lines: int
+
+
+LoggedEvent = (
+    RequestReceived
+    | AttemptStarted
+    | AttemptRejected
+    | AttemptWritten
+    | AttemptFinished
+    | ResponseSent
+    | ClientDisconnected
+    | ConnectionClosed
+    | EndpointsUpdated
+    | WatchOpened
+    | WatchClosed
+    | ShutdownStarted
+    | ViolationFound
+)
--- a/proxy/process.py
+++ b/proxy/process.py
@@ -16,8 +16,9 @@
 
 from proxy.config import Config, ConfigError, load
 from proxy.discovery.endpoint_reader import EndpointReader
-from proxy.event_log import Event, EventLog
+from proxy.event_log import EventLog
 from proxy.log import configure_logging
+from proxy.logged_events import ShutdownStarted
 from proxy.proxy import Proxy
 
 if TYPE_CHECKING:
@@ -63,7 +64,7 @@
     gc.collect()
     gc.freeze()
     await termination_requested.wait()
-    proxy.event_log.record(Event.SHUTDOWN)
+    proxy.event_log.record(ShutdownStarted())
     await proxy.shutdown.run(listening_socket)
     if proxy.monitor.violations:
         logger.error("violations: %s", proxy.monitor.summary())
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -18,8 +18,9 @@
 from proxy.dispatcher import Dispatcher
 from proxy.downstream.listener import Listener
 from proxy.endpoint_table import EndpointTable
-from proxy.event_log import Event, EventLog
+from proxy.event_log import EventLog
 from proxy.invariants import InvariantMonitor
+from proxy.logged_events import EndpointsUpdated
 from proxy.reload import ConfigReloader
 from proxy.shutdown import GracefulShutdown
 from proxy.upstream import ConnectionPool
@@ -119,7 +120,7 @@
     def _update_endpoints(self, kind: UpdateKind, endpoints: list[DiscoveredEndpoint]) -> None:
         if self.event_log.enabled:
             statuses = {str(each.address): each.endpoint.status.name for each in endpoints}
-            self.event_log.record(Event.ENDPOINTS_UPDATED, kind=kind.name, endpoints=statuses)
+            self.event_log.record(EndpointsUpdated(kind=kind.name, endpoints=statuses))
         self.endpoint_table.update(kind, endpoints)
         self.endpoint_table.update_idle_quota(self.balancer.settings.fleet_size)
         self.dispatcher.on_endpoints_updated(kind, [discovered.endpoint for discovered in endpoints])
--- a/proxy/responder.py
+++ b/proxy/responder.py
@@ -9,10 +9,11 @@
 from typing import TYPE_CHECKING
 
 from balancer.events import Outcome, Reject
-from proxy.event_log import Event, EventLog
+from proxy.logged_events import ResponseSent
 
 if TYPE_CHECKING:
     from proxy.active_request import ActiveRequest
+    from proxy.event_log import EventLog
     from proxy.invariants import InvariantMonitor
     from proxy.request_registry import RequestRegistry
 
@@ -39,8 +40,7 @@
         if response_sink is not None:
             self._monitor.on_answered(active, status)
             if self._event_log.enabled:
-                request_id = active.logged_id
-                self._event_log.record(Event.RESPONSE_SENT, id=request_id, status=status, reason=reason)
+                self._event_log.record(ResponseSent(id=active.logged_id, status=status, reason=reason))
         self._registry.settle(active)
         if response_sink is not None:
             response_sink.send_response(status, head, body)
--- a/tests/proxy/test_event_log.py
+++ b/tests/proxy/test_event_log.py
@@ -8,7 +8,8 @@
 
 import orjson
 
-from proxy.event_log import VARIABLE, Event, EventLog
+from proxy.event_log import VARIABLE, EventLog
+from proxy.logged_events import EndpointsUpdated, Event, ShutdownStarted
 from proxy.proxy import Proxy
 from tests.support.loopback import RunningProxy, in_event_loop, respond_ok, stub_backend
 from tests.support.proxy_inputs import endpoint_entry, get_request, proxy_config, status_of
@@ -54,13 +55,13 @@
         while True:
             os.write(writing, b"x" * 4096)
     log = EventLog(writing)
-    log.record(Event.ENDPOINTS_UPDATED)
+    log.record(EndpointsUpdated(kind="DELTA", endpoints={}))
     log.flush()
     os.set_blocking(reading, False)
     with suppress(BlockingIOError):
         while True:
             os.read(reading, 65536)
-    log.record(Event.SHUTDOWN)
+    log.record(ShutdownStarted())
     log.flush()
     lines = [orjson.loads(line) for line in os.read(reading, 65536).splitlines()]
     assert [line["event"] for line in lines] == [Event.SHUTDOWN, Event.DROPPED]
@@ -73,6 +74,6 @@
 async def test_log_is_off_unless_it_is_asked_for_and_can_be_opened(tmp_path: Path) -> None:
     for environ in ({}, {VARIABLE: ""}, {VARIABLE: str(tmp_path)}):
         log = EventLog.from_environment(environ)
-        log.record(Event.ENDPOINTS_UPDATED)
+        log.record(EndpointsUpdated(kind="DELTA", endpoints={}))
         log.flush()
         assert not log.enabled
