--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -10,6 +10,7 @@
 import asyncio
 import logging
 from functools import partial
+from http import HTTPStatus
 from math import inf
 from typing import TYPE_CHECKING
 
@@ -36,7 +37,11 @@
 
 ANSWER_MARGIN = 0.005  # seconds before the client's deadline: the answer still has to reach the client
 #: Statuses of responses by which the request itself is at fault: 4xx, except a timeout or a rate limit.
-REQUEST_FAULT_STATUSES = frozenset(range(400, 500)) - {408, 429}
+REQUEST_FAULT_STATUSES = frozenset(range(400, 500)) - {
+    HTTPStatus.REQUEST_TIMEOUT,
+    HTTPStatus.TOO_MANY_REQUESTS,
+}
+OK = HTTPStatus.OK  # Python 3.11 is slow to look a member up in its class, and each request needs this one
 
 
 class Dispatcher:
@@ -161,7 +166,7 @@
         """
         if response.status in REQUEST_FAULT_STATUSES:
             # It would fail at any other backend as well: a retry would only add load.
-            self._responder.answer(active, response.status, b"", b"rejected\n")
+            self._responder.return_fault(active, response.status)
             self._executor.perform(
                 self._notify(self._balancer.on_client_disconnected, active.request_id, about=active)
             )
@@ -169,7 +174,7 @@
         if outcome is Outcome.SUCCESS:
             if now > active.deadline:  # the deadline's timer was late, but the deadline has passed
                 return Outcome.TIMEOUT
-            self._responder.answer(active, 200, response.head, response.body)
+            self._responder.answer(active, OK, response.head, response.body)
         return outcome
 
     def on_timer(self, token: int) -> None:
@@ -217,7 +222,8 @@
 
     def _fail_undecided(self, active: ActiveRequest) -> None:
         """Fail a request for which the balancer has not decided on an answer, and notify the balancer."""
-        status = 504 if self._loop.time() >= active.deadline else 500
+        is_late = self._loop.time() >= active.deadline
+        status = HTTPStatus.GATEWAY_TIMEOUT if is_late else HTTPStatus.INTERNAL_SERVER_ERROR
         self._responder.answer(active, status, b"", b"")
         self._executor.perform(self._notify(self._balancer.on_client_disconnected, active.request_id))
         for attempt in tuple(active.attempts):
--- a/proxy/downstream/classification.py
+++ b/proxy/downstream/classification.py
@@ -8,6 +8,7 @@
 
 import re
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import TYPE_CHECKING
 
 from balancer.settings import Idempotency, RequestClass
@@ -58,22 +59,22 @@
     """
     get = request.headers.get
     if not REQUEST_ID.fullmatch(get(b"x-request-id", b"")):
-        raise HttpError(400, "no request id, or a malformed one")
+        raise HttpError(HTTPStatus.BAD_REQUEST, "no request id, or a malformed one")
     class_index = config.class_indices.get(get(b"x-priority-class", b"").decode("latin-1"))
     if class_index is None:
-        raise HttpError(400, "unknown class")
+        raise HttpError(HTTPStatus.BAD_REQUEST, "unknown class")
     request_class = config.settings.classes[class_index]
     method, needs_key = METHOD_RULES[request_class.idempotency]
     if request.method != method or (needs_key and not get(b"idempotency-key")):
-        raise HttpError(400, "the method does not fit the class")
+        raise HttpError(HTTPStatus.BAD_REQUEST, "the method does not fit the class")
     tenant_index: int | None = 0
     if config.tenant_indices:
         tenant_index = config.tenant_indices.get(get(b"x-tenant-id", b"").decode("latin-1"))
     if tenant_index is None:
-        raise HttpError(400, "unknown tenant")
+        raise HttpError(HTTPStatus.BAD_REQUEST, "unknown tenant")
     timeout = get(b"x-timeout", b"")
     if not DECIMAL.fullmatch(timeout):
-        raise HttpError(400, "the time is malformed")
+        raise HttpError(HTTPStatus.BAD_REQUEST, "the time is malformed")
     cost = get(b"x-cost", b"")
     return ClassifiedRequest(
         class_index,
--- a/proxy/downstream/connection_input.py
+++ b/proxy/downstream/connection_input.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import TYPE_CHECKING, Protocol
 
 from proxy.downstream.errors import HttpError
@@ -114,12 +115,12 @@
         buffered = self._waiting_bytes() if must_wait else parser.buffered_bytes()
         self._account_for(buffered)
         if buffered and memory.buffered_bytes > memory.max_buffered_bytes:
-            parser.error = HttpError(503, "too many bodies at once")
+            parser.error = HttpError(HTTPStatus.SERVICE_UNAVAILABLE, "too many bodies at once")
             if must_wait:
                 queue.drop_requests(has_incomplete=parser.reading)
         if len(queue) > MAX_PIPELINED_REQUESTS:
             queue.clear()
-            parser.error = HttpError(400, "too many requests at once")
+            parser.error = HttpError(HTTPStatus.BAD_REQUEST, "too many requests at once")
 
     def _waiting_bytes(self) -> int:
         """Return the bytes of an incomplete body and of all requests that wait."""
--- a/proxy/downstream/eviction.py
+++ b/proxy/downstream/eviction.py
@@ -9,6 +9,7 @@
 
 import asyncio
 import itertools
+from http import HTTPStatus
 from typing import Generic, Protocol, TypeVar
 
 from proxy.downstream import timeouts
@@ -131,7 +132,7 @@
                 else:
                     connection.abort(CloseReason.TIMED_OUT)
         for connection in _overdue(self.reading, now):
-            connection.reject(HttpError(408, "the request took too long"))
+            connection.reject(HttpError(HTTPStatus.REQUEST_TIMEOUT, "the request took too long"))
 
 
 def _overdue(deadlines: dict[ConnectionT, float], now: float, advance: float = 0.0) -> list[ConnectionT]:
--- a/proxy/downstream/request_parser.py
+++ b/proxy/downstream/request_parser.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import TYPE_CHECKING
 
 import httptools
@@ -99,21 +100,21 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._fail(400, "the request is malformed")
+            self._fail(HTTPStatus.BAD_REQUEST, "the request is malformed")
         if had_begun and self.reading:
             # One header without end never reaches the callbacks below, and chunk framing without end reaches
             # them in the smallest pieces: both would fill the memory.
             self._wire_bytes += len(data)
             if not self._head_complete and self._wire_bytes > MAX_HEAD_BYTES:
-                self._fail(431, "the head is too large")
+                self._fail(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
             elif self._wire_bytes > MAX_WIRE_BYTES:
-                self._fail(413, "the request is too large")
+                self._fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the request is too large")
 
     def buffered_bytes(self) -> int:
         """Return the bytes of body held for a request that is not complete."""
         return min(self._body_bytes, MAX_BODY_BYTES) if self.reading else 0
 
-    def _fail(self, status: int, reason: str) -> None:
+    def _fail(self, status: HTTPStatus, reason: str) -> None:
         if self.error is None:
             self.error = HttpError(status, reason)
 
@@ -144,24 +145,24 @@
             return
         self._head_bytes += len(name) + len(value) + HEADER_OVERHEAD_BYTES
         if self._head_bytes > MAX_HEAD_BYTES:
-            self._fail(431, "the head is too large")
+            self._fail(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
         elif not value.isascii():  # some backends close the connection on what they can't read
-            self._fail(400, "a header is not plain text")
+            self._fail(HTTPStatus.BAD_REQUEST, "a header is not plain text")
         else:
             self._take_header(name, name.lower(), value)
 
     def _take_header(self, name: bytes, lower: bytes, value: bytes) -> None:
         if lower in INTERPRETED_HEADERS:
             if lower in self._headers:  # a backend might read the other one of the two
-                self._fail(400, "a header comes twice")
+                self._fail(HTTPStatus.BAD_REQUEST, "a header comes twice")
             self._headers[lower] = value
         elif lower == b"connection":
             self._connection_options += b"," + value.lower()
         elif lower == b"content-length" and int(value) > MAX_BODY_BYTES:
-            self._fail(413, "the body is too large")
+            self._fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
         elif lower == b"transfer-encoding" and value.lower() != b"chunked":
             # Others might see the end of the body elsewhere, and take its rest for a request.
-            self._fail(400, "the transfer coding is unknown")
+            self._fail(HTTPStatus.BAD_REQUEST, "the transfer coding is unknown")
         # A name with `_` is not forwarded: a backend that takes `_` for `-` would read a header that was not
         # checked here.
         if lower != b"x-timeout" and lower not in HOP_BY_HOP_HEADERS and b"_" not in lower:
@@ -172,11 +173,11 @@
         self._head_complete = True
         version = self._parser.get_http_version()
         if self._parser.should_upgrade():  # the bytes behind the head would be no request
-            self._fail(400, "no upgrade here")
+            self._fail(HTTPStatus.BAD_REQUEST, "no upgrade here")
         elif version not in SUPPORTED_VERSIONS:
-            self._fail(505, "HTTP/1.1 is spoken here")
+            self._fail(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "HTTP/1.1 is spoken here")
         elif version == "1.1" and b"host" not in self._headers:
-            self._fail(400, "no host")
+            self._fail(HTTPStatus.BAD_REQUEST, "no host")
         elif self._connection_options:
             self._drop_headers(connection_options(self._connection_options))
 
@@ -186,7 +187,7 @@
         One that the proxy reads itself may not be among them, or the request would lose its id on the way.
         """
         if not names.isdisjoint(INTERPRETED_HEADERS):
-            self._fail(400, "a header can't be dropped")
+            self._fail(HTTPStatus.BAD_REQUEST, "a header can't be dropped")
         self._forwarded_headers = without_headers(self._forwarded_headers, names)
 
     def on_body(self, body: bytes) -> None:
@@ -195,14 +196,14 @@
         if self._body_bytes <= MAX_BODY_BYTES:
             self._body.append(body)
         else:
-            self._fail(413, "the body is too large")
+            self._fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
 
     def on_message_complete(self) -> None:
         """Parser callback: the request is complete."""
         self.reading = False
         target = b"".join(self._target)
         if b"#" in target:
-            self._fail(400, "the target is malformed")
+            self._fail(HTTPStatus.BAD_REQUEST, "the target is malformed")
         if self.error is not None:
             return
         self._on_request(
--- a/proxy/downstream/request_queue.py
+++ b/proxy/downstream/request_queue.py
@@ -7,12 +7,13 @@
 from __future__ import annotations
 
 from collections import deque
+from http import HTTPStatus
 
 from proxy.downstream.errors import HttpError
 from proxy.downstream.request_parser import ClientRequest
 
 #: The answer to a request that waits behind one which ends its connection: it has not run.
-CONNECTION_ENDS = HttpError(503, "the connection ends")
+CONNECTION_ENDS = HttpError(HTTPStatus.SERVICE_UNAVAILABLE, "the connection ends")
 
 
 class RequestQueue:
--- a/proxy/downstream/routing.py
+++ b/proxy/downstream/routing.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import TYPE_CHECKING, Protocol, TypeVar
 
 from proxy.downstream import timeouts
@@ -59,14 +60,14 @@
         _answer_health_check(connection, handler)
     elif path == b"/api" or path.startswith(b"/api/"):  # a request without a key has no last path segment
         if not handler.connections.admit(connection, request_complete=True):
-            raise HttpError(503, "too many connections")
+            raise HttpError(HTTPStatus.SERVICE_UNAVAILABLE, "too many connections")
         connection.idle_timeout = timeouts.IDLE_TIMEOUT
         handler.on_request(request, classify(request, handler.config), connection)
     else:
-        raise HttpError(404, "no such path")
+        raise HttpError(HTTPStatus.NOT_FOUND, "no such path")
 
 
 def _answer_health_check(connection: ConnectionT, handler: RequestHandler[ConnectionT]) -> None:
     healthy = handler.healthy()
-    status, verdict = (200, b"ok") if healthy else (503, b"not ready")
+    status, verdict = (HTTPStatus.OK, b"ok") if healthy else (HTTPStatus.SERVICE_UNAVAILABLE, b"not ready")
     connection.send_response(status, b"", b"%b\nversion %b\n" % (verdict, handler.version.encode()))
--- a/proxy/invariants.py
+++ b/proxy/invariants.py
@@ -10,6 +10,7 @@
 import logging
 from collections import Counter
 from enum import StrEnum
+from http import HTTPStatus
 from typing import TYPE_CHECKING, Protocol
 
 from balancer.events import NEVER_RAN
@@ -29,7 +30,8 @@
 TIMEOUT_SLACK = (
     0.15  # seconds by which the timeout that a backend is told may be over what the client has left
 )
-REJECTED_STATUSES = (429, 503)  # by which a client is told that a repeat is harmless
+#: Statuses by which a client learns that its request did not run, so that repeating it is harmless.
+REJECTED_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 class Invariant(StrEnum):
--- a/proxy/request_registry.py
+++ b/proxy/request_registry.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import TYPE_CHECKING
 
 from proxy.active_request import ActiveRequest
@@ -52,7 +53,7 @@
         client_request_id = request.headers[b"x-request-id"]
         if client_request_id in self.client_request_ids:
             # Backends would mistake a second request with the same id for the first one.
-            raise HttpError(409, "a request with this id is open")
+            raise HttpError(HTTPStatus.CONFLICT, "a request with this id is open")
         self.client_request_ids.add(client_request_id)
         self._last_number += 1
         request_id = str(self._last_number)
--- a/proxy/responder.py
+++ b/proxy/responder.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import TYPE_CHECKING
 
 from balancer.events import Outcome, Reject
@@ -18,6 +19,17 @@
     from proxy.request_registry import RequestRegistry
 
 
+# Bodies of the answers that are not a backend's response.
+SHED_BODY = b"refused\n"  # the balancer rejected the request
+FAILED_BODY = b"failed\n"  # the request may have run
+REQUEST_FAULT_BODY = b"rejected\n"  # a backend found the request itself at fault
+
+# Python 3.11 is slow to look a member up in its class, and an overloaded proxy rejects many requests.
+SERVICE_UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
+GATEWAY_TIMEOUT = HTTPStatus.GATEWAY_TIMEOUT
+BAD_GATEWAY = HTTPStatus.BAD_GATEWAY
+
+
 class Responder:
     """Answers active requests, each once."""
 
@@ -48,9 +60,13 @@
     def reject(self, active: ActiveRequest, action: Reject) -> None:
         """Answer that the request was rejected, so that the client may repeat it without harm."""
         head = b"Retry-After: %.3f\r\n" % action.retry_after if action.retry_after > 0.0 else b""
-        self.answer(active, 503, head, b"refused\n", action.reason.value)
+        self.answer(active, SERVICE_UNAVAILABLE, head, SHED_BODY, action.reason.value)
+
+    def return_fault(self, active: ActiveRequest, status: int) -> None:
+        """Answer with the status by which a backend found the request itself at fault."""
+        self.answer(active, status, b"", REQUEST_FAULT_BODY)
 
     def fail(self, active: ActiveRequest) -> None:
         """Answer that the request failed, without a promise on whether it ran."""
-        status = 504 if active.last_outcome is Outcome.TIMEOUT else 502
-        self.answer(active, status, b"", b"failed\n")
+        status = GATEWAY_TIMEOUT if active.last_outcome is Outcome.TIMEOUT else BAD_GATEWAY
+        self.answer(active, status, b"", FAILED_BODY)
