--- a/proxy/downstream/closing.py
+++ b/proxy/downstream/closing.py
@@ -62,7 +62,7 @@
         """Close the transport once everything is written.
 
         Closing it with unread input would reset the connection, and cut off a response in transit. So if
-        there is unread input, only the sending side is closed now; the client's own close ends the connection.
+        there is unread input, only the sending side is closed now; the client's close ends the connection.
         """
         is_writing = self._transport.get_write_buffer_size() > 0
         if self.reading_stopped and (is_writing or self._socket.has_unread_input()):
--- a/tests/proxy/downstream/test_accept_failures.py
+++ b/tests/proxy/downstream/test_accept_failures.py
@@ -1,4 +1,4 @@
-"""Accepting that fails for a moment, with each error that Linux documents: what comes behind it."""
+"""Accepting that fails for a moment, with each error that Linux documents: later connections are served."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 RESOURCE_ERRORS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM]  # of the system or the process
 ACCEPT_ERRORS = [errno.ECONNABORTED, errno.EPROTO, *RESOURCE_ERRORS]  # and of one connection
-MAX_DELAY = 0.02  # seconds by which such failures may hold up a connection
+MAX_DELAY = 0.02  # seconds by which such failures may delay a connection
 FAILURES = 3  # in a row
 
 
 class FailingAccept:
-    """Lets accepting on one proxy's socket fail.
+    """Makes accepting on one proxy's socket fail.
 
     Attributes:
         failures: How many of the next calls fail.
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("error", RESOURCE_ERRORS)
 @in_event_loop
-async def test_connections_after_a_failed_accept_are_taken_within_milliseconds(
+async def test_connections_after_a_failed_accept_are_accepted_within_milliseconds(
     error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = ManualClock()
@@ -68,9 +68,9 @@
         for number in range(3):
             clients.append(RawClient(proxy))
             clients[-1].sock.sendall(post_request(number))
-            began_at = clock.now
+            started_at = clock.now
             while backend.received.qsize() <= number:
-                assert clock.now < began_at + MAX_DELAY, "it is not accepted"
+                assert clock.now < started_at + MAX_DELAY, "the connection is not accepted"
                 await clock.settle()
                 await clock.advance(0.002)
         for client in clients:
@@ -78,7 +78,7 @@
 
 
 @in_event_loop
-async def test_accepting_that_fails_on_and_on_is_tried_at_a_bounded_rate(
+async def test_accepting_that_keeps_failing_is_retried_at_a_bounded_rate(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = ManualClock()
@@ -95,14 +95,14 @@
 
 @pytest.mark.parametrize("error", ACCEPT_ERRORS)
 @in_event_loop
-async def test_shutdown_takes_the_queued_connections_behind_a_failed_accept(
+async def test_shutdown_accepts_the_queued_connections_after_a_failed_accept(
     error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with stub_backend(respond_ok) as backend:
         clock = ManualClock()
         proxy = Proxy(proxy_config([endpoint_entry("a", backend.address)]))
         sock = await proxy.listener.listen()
-        asyncio.get_running_loop().remove_reader(sock.fileno())  # what comes now is queued
+        asyncio.get_running_loop().remove_reader(sock.fileno())  # new connections stay in the accept queue
         running = RunningProxy(proxy, sock.getsockname()[1])
         clients = [RawClient(running) for _ in range(3)]
         for number, client in enumerate(clients):
@@ -119,7 +119,7 @@
 
 @pytest.mark.parametrize("error", ACCEPT_ERRORS)
 @in_event_loop
-async def test_accept_that_fails_is_one_line_in_the_log(
+async def test_failed_accept_is_logged_in_one_line(
     error: int, monkeypatch: pytest.MonkeyPatch, log_lines: Callable[[], list[str]]
 ) -> None:
     clock = ManualClock()
--- a/tests/proxy/downstream/test_client_disconnect.py
+++ b/tests/proxy/downstream/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect while their request waits: nothing more is sent for it."""
+"""Clients that disconnect while their request is pending: no further attempt is sent for it."""
 
 from __future__ import annotations
 
@@ -53,11 +53,11 @@
 @pytest.mark.parametrize("cancellation", CANCELLATION)
 @pytest.mark.parametrize("kind", ["close", "reset"])
 @pytest.mark.parametrize(
-    "sent_behind", [b"", b"\r\n", get_request(2), get_request(2)[:20], b"noise\r\n\r\n" + b"x" * 4000]
+    "sent_after", [b"", b"\r\n", get_request(2), get_request(2)[:20], b"noise\r\n\r\n" + b"x" * 4000]
 )
 @in_event_loop
 async def test_disconnect_during_a_dial_sends_nothing(
-    tier: str, cancellation: str, kind: str, sent_behind: bytes, monkeypatch: pytest.MonkeyPatch
+    tier: str, cancellation: str, kind: str, sent_after: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with proxy_with_backends(respond_ok, settings=disconnect_settings(tier, cancellation)) as (
         proxy,
@@ -67,11 +67,11 @@
         gate = ConnectGate(monkeypatch)
         client.writer.write(post_request(body=b"x" * 5000))
         await wait_until(lambda: gate.held == 1)
-        if sent_behind:  # what comes behind the request must not hide the disconnect
-            client.writer.write(sent_behind)
+        if sent_after:  # input after the request must not hide the disconnect
+            client.writer.write(sent_after)
             connections = proxy.listener.connections.open
             await wait_until(
-                lambda: any(has_pipelined_input(each) for each in connections) or sent_behind == b"\r\n"
+                lambda: any(has_pipelined_input(each) for each in connections) or sent_after == b"\r\n"
             )
         disconnect(client, kind)
         await wait_until(lambda: has_no_requests(proxy))
@@ -96,7 +96,9 @@
         [backend_a, backend_b],
     ):
         client = await proxy.connect()
-        gate = ConnectGate(monkeypatch, unheld=1)  # the first attempt fails, the second one is held
+        gate = ConnectGate(
+            monkeypatch, unheld=1
+        )  # the first attempt fails, the second one waits for its connection
         client.writer.write(get_request())
         await wait_until(lambda: gate.held == 1)
         disconnect(client, kind)
@@ -120,7 +122,7 @@
         [backend_a, backend_b],
     ):
         client = await proxy.connect()
-        for number in (0, 1):  # a latency, by which a hedged request is due
+        for number in (0, 1):  # records latencies, from which the time of a hedged request follows
             client.writer.write(get_request(number))
             sent = number + 1
             await clock.wait_until(lambda sent=sent: requests_received(backend_a, backend_b) == sent)  # type: ignore[misc]
@@ -154,7 +156,7 @@
 
 @pytest.mark.parametrize("kind", ["close", "reset"])
 @in_event_loop
-async def test_disconnect_behind_a_flood_of_pipelined_requests_is_noticed(kind: str) -> None:
+async def test_disconnect_after_a_flood_of_pipelined_requests_is_noticed(kind: str) -> None:
     async with proxy_with_backends(stay_silent) as (proxy, [backend]):
         client = await proxy.connect()
         client.writer.write(post_request(1))
@@ -173,10 +175,11 @@
     response = b"HTTP/1.1 200 OK\r\nContent-Length: 16384\r\n\r\n" + b"x" * 16384
     # The dial's own timeout must not end the attempt.
     async with proxy_with_backends(lambda _: response, dial_timeout=3 * MAX_WAIT) as (proxy, [backend]):
-        sock, connection = await connect_slow_reader(proxy)
+        client = await connect_slow_reader(proxy)
+        sock, connection = client.sock, client.connection
         number = 0
         active = proxy.dispatcher.active_requests
-        while unwritten_bytes(connection) < 24 << 10:  # more than the socket's buffers take
+        while unwritten_bytes(connection) < 24 << 10:  # more than the socket's buffers accept
             sock.send(get_request(number := number + 1))
             await wait_until(lambda sent=number: backend.received.qsize() == sent and not active)  # type: ignore[misc]
         assert not has_paused_writing(connection)
--- a/tests/proxy/downstream/test_client_disconnect_races.py
+++ b/tests/proxy/downstream/test_client_disconnect_races.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect in the same turn of the event loop as something else happens, forced by events."""
+"""Clients that disconnect in the same turn of the event loop in which another event happens."""
 
 from __future__ import annotations
 
@@ -39,26 +39,26 @@
 )
 from tests.support.proxy_internals import all_idle_connections
 
-REUSABLE_AFTER = 0.02  # seconds after a response in which its connection can be reused without a wait
+REUSABLE_AFTER = 0.02  # seconds after a response until its connection can be reused without a delay
 LONG_LIST_LENGTH = 910  # entries
 
 
 def long_endpoint_list(*addresses: str) -> list[dict[str, Any]]:
-    """An endpoint list that keeps the proxy's loop busy for a while; these addresses alone are in service."""
-    rest = range(LONG_LIST_LENGTH - len(addresses))
-    draining = [endpoint_entry(f"r{number}", f"{HOST}:9", "terminating") for number in rest]
+    """Return an endpoint list that keeps the event loop busy; only these addresses are in service."""
+    fillers = range(LONG_LIST_LENGTH - len(addresses))
+    draining = [endpoint_entry(f"r{number}", f"{HOST}:9", "terminating") for number in fillers]
     return draining + [endpoint_entry(f"n{number}", address) for number, address in enumerate(addresses)]
 
 
 async def wait_for_connections(clock: ManualClock, proxy: RunningProxy, count: int) -> None:
-    """Wait until the proxy has accepted so many connections."""
+    """Wait until the proxy has this many open connections."""
     await clock.wait_until(lambda: len(proxy.listener.connections.open) == count)
 
 
 async def fill_idle_connections(
     clock: ManualClock, proxy: RunningProxy, client: Client, backends: list[StubBackend]
 ) -> None:
-    """Send requests until the proxy can reuse an idle connection to each backend without a wait."""
+    """Send requests until the proxy can reuse an idle connection to each backend without a delay."""
     number = 500
     ports = {int(each.address.rpartition(":")[2]) for each in backends}
     while not ports <= {connection.backend.address[1] for connection in all_idle_connections(proxy.pool)}:
@@ -74,7 +74,7 @@
 async def assert_nothing_is_sent(
     clock: ManualClock, proxy: RunningProxy, backends: list[StubBackend]
 ) -> None:
-    """Check that no backend gets anything more, and that the proxy forgets the request."""
+    """Check that no backend receives anything more, and that the proxy removes the request."""
     await clock.wait_until(lambda: has_no_requests(proxy))
     for _ in range(20):
         await clock.advance(0.1)
@@ -85,11 +85,11 @@
 @pytest.mark.parametrize("cancellation", CANCELLATION)
 @pytest.mark.parametrize("kind", DISCONNECTIONS)
 @pytest.mark.parametrize(
-    "sent_behind", [b"", b"\r\n", get_request(2), get_request(2)[:20], post_request(2)[:-2], b"x" * 60_000]
+    "sent_after", [b"", b"\r\n", get_request(2), get_request(2)[:20], post_request(2)[:-2], b"x" * 60_000]
 )
 @in_event_loop
 async def test_disconnect_during_a_long_endpoint_update_starts_no_attempt(
-    tier: str, cancellation: str, kind: str, sent_behind: bytes
+    tier: str, cancellation: str, kind: str, sent_after: bytes
 ) -> None:
     async with stub_backend(respond_ok) as backend:
         clock = ManualClock()
@@ -99,9 +99,9 @@
             raw_client = RawClient(proxy)
             await wait_for_connections(clock, proxy, 2)
             await fill_idle_connections(clock, proxy, client, [backend])
-            raw_client.sock.sendall(post_request(1) + sent_behind)
+            raw_client.sock.sendall(post_request(1) + sent_after)
             raw_client.disconnect(kind)
-            proxy.notify(listed)  # the loop is busy with it, and has not read from the client yet
+            proxy.notify(listed)  # keeps the loop busy before it reads from the client
             await clock.settle()
             await assert_nothing_is_sent(clock, proxy, [backend])
 
@@ -151,7 +151,7 @@
         client = await proxy.connect()
         raw_client = RawClient(proxy)
         await wait_for_connections(clock, proxy, 2)
-        for sent in (1, 2):  # a latency, by which a hedged request is due
+        for sent in (1, 2):  # records latencies, from which the time of a hedged request follows
             client.writer.write(get_request(700 + sent))
             await clock.wait_until(lambda sent=sent: requests_received(backend_a, backend_b) == sent)  # type: ignore[misc]
             await clock.advance(0.05)
@@ -162,7 +162,7 @@
         assert proxy.balancer.hedging.hedges
         (backend_a if backend_a.received.qsize() else backend_b).received.get_nowait()
         raw_client.disconnect(kind)
-        clock.now += 10.0  # the hedged request is due in the loop's turn in which the disconnect is read
+        clock.now += 10.0  # the hedged request is due in the turn in which the loop reads the disconnect
         await clock.settle()
         await clock.advance(0.1)
         assert backend_a.received.empty()
--- a/tests/proxy/downstream/test_descriptor_limits.py
+++ b/tests/proxy/downstream/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Clients that fill the descriptors while discovery is down, on loopback sockets and at a process's limit."""
+"""Clients that use up the descriptors while discovery is down, in this process and in one at its limit."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 import signal
 import socket
 import sys
+from dataclasses import dataclass
 from pathlib import Path
 
 import pytest
@@ -46,9 +47,9 @@
 
 MAX_SOCKETS = 100  # descriptors that the configuration gives
 
-OWN_DESCRIPTORS = 12  # of the process itself: standard streams, the loop's, the listener, two watches
+OWN_DESCRIPTORS = 12  # of the process itself: standard streams, the event loop, the listener, two watches
 
-#: What clients that fill the descriptors send: nothing, a part of a request, or one that is answered.
+#: What clients that use up the descriptors send: nothing, a part of a request, or one that is answered.
 CLIENT_BYTES = {
     "silent": b"",
     "half": post_request(2)[:-1],
@@ -57,10 +58,21 @@
 }
 
 
-async def fill_descriptors(
-    clock: ManualClock, proxy: RunningProxy, sent: bytes
-) -> tuple[list[socket.socket], int]:
-    """Open far more connections than the limit; also returns the peak of those that the proxy had open."""
+@dataclass
+class ExcessClients:
+    """Far more clients than a proxy admits.
+
+    Attributes:
+        sockets: Their sockets.
+        peak: The most connections that the proxy had open at once.
+    """
+
+    sockets: list[socket.socket]
+    peak: int
+
+
+async def connect_excess_clients(clock: ManualClock, proxy: RunningProxy, sent: bytes) -> ExcessClients:
+    """Open far more connections than the limit, and send the same on each."""
     listener = proxy.listener
     client_sockets = []
     peak = 0
@@ -78,13 +90,13 @@
             continue
         await clock.settle()
         peak = max(peak, len(listener.connections.open))
-    return client_sockets, peak
+    return ExcessClients(client_sockets, peak)
 
 
-def socket_that_refuses() -> socket.socket:
-    """Return a socket that refuses connections until it listens.
+def bound_socket() -> socket.socket:
+    """Return a socket that is bound to a port and does not listen yet: connecting to it fails.
 
-    It holds its port: one that is merely free may be taken by another socket before it is needed.
+    It reserves its port: another socket could bind to a port that is merely free.
     """
     sock = socket.socket()
     sock.bind((HOST, 0))
@@ -100,37 +112,38 @@
 @in_event_loop
 async def test_proxy_out_of_descriptors_logs_little_and_recovers(tmp_path: Path) -> None:
     port = free_port()
-    path, listen, nobody = tmp_path / "c.json", f"{HOST}:{port}", f"{HOST}:{NO_DISCOVERY_PORT}"
-    write_config(path, listen, nobody, [endpoint_entry("a", nobody)])
-    environment = environment_with_addresses(path, listen, nobody)
-    with open(tmp_path / "log", "wb") as log:
+    path, log_path = tmp_path / "c.json", tmp_path / "log"
+    listen, unused_address = f"{HOST}:{port}", f"{HOST}:{NO_DISCOVERY_PORT}"
+    write_config(path, listen, unused_address, [endpoint_entry("a", unused_address)])
+    environment = environment_with_addresses(path, listen, unused_address)
+    with log_path.open("wb") as log:
         process = await asyncio.create_subprocess_shell(
             f"ulimit -n 30; exec {sys.executable} -m proxy", cwd=PROJECT_ROOT, env=environment, stderr=log
         )
     await wait_until_ready(port)
     client_sockets = [socket.create_connection((HOST, port)) for _ in range(60)]
-    await wait_until(lambda: b"proxy: accept: Too many open files" in (tmp_path / "log").read_bytes())
+    await wait_until(lambda: b"proxy: accept: Too many open files" in log_path.read_bytes())
     for sock in client_sockets:
         sock.close()
     await wait_until_ready(port)
     process.send_signal(signal.SIGTERM)
     assert await with_timeout(process.wait()) == 0
-    assert (tmp_path / "log").read_bytes().count(b"\n") < 50  # one line a second, while any wait lasts
+    assert log_path.read_bytes().count(b"\n") < 50  # one line a second while descriptors are used up
 
 
 @pytest.mark.parametrize("kind", CLIENT_BYTES)
 @in_event_loop
 async def test_idle_clients_leave_descriptors_for_the_watch_and_for_requests(kind: str) -> None:
     async with stub_backend(respond_ok) as backend:
-        discovery, discovery_socket = StubDiscovery(), socket_that_refuses()
+        discovery, discovery_socket = StubDiscovery(), bound_socket()
         discovery_port = discovery_socket.getsockname()[1]
         clock = ManualClock()
         async with running_proxy(
             [endpoint_entry("a", backend.address)], discovery=discovery_port, max_sockets=MAX_SOCKETS
         ) as proxy:
-            client_sockets, peak = await fill_descriptors(clock, proxy, CLIENT_BYTES[kind])
-            # As many attempts may be in flight, and all together have to fit.
-            assert peak + max_connections(proxy.pool) + OWN_DESCRIPTORS <= MAX_SOCKETS
+            excess = await connect_excess_clients(clock, proxy, CLIENT_BYTES[kind])
+            # The connections to backends have to fit as well.
+            assert excess.peak + max_connections(proxy.pool) + OWN_DESCRIPTORS <= MAX_SOCKETS
             client = await proxy.connect()
             client.writer.write(post_request(1))
             assert status_of(await clock.wait_for(client.response())) == 200
@@ -138,7 +151,7 @@
             await clock.advance(0.5)
             await clock.wait_until(lambda: discovery.watch_requests.qsize() == 1)
             server.close()
-            for sock in client_sockets:
+            for sock in excess.sockets:
                 sock.close()
 
 
@@ -147,7 +160,7 @@
 async def test_process_at_its_descriptor_limit_does_not_spin_and_starts_its_watch(
     tmp_path: Path, kind: str
 ) -> None:
-    discovery, discovery_socket = StubDiscovery(), socket_that_refuses()
+    discovery, discovery_socket = StubDiscovery(), bound_socket()
     port, discovery_port = free_port(), discovery_socket.getsockname()[1]
     async with stub_backend(respond_ok) as backend:
         path, log = tmp_path / "c.json", tmp_path / "log"
@@ -176,7 +189,7 @@
                     continue
             used_before = processor_seconds(process.pid)
             await asyncio.sleep(1.0)
-            assert processor_seconds(process.pid) - used_before < 0.5, "it spins"
+            assert processor_seconds(process.pid) - used_before < 0.5, "the process spins"
             server = await asyncio.start_server(discovery.serve, sock=discovery_socket)
             assert await with_timeout(discovery.watch_requests.get()) == "/v1/servers?follow=1&since=3"
             client = await connect(port)
--- a/tests/proxy/downstream/test_limits.py
+++ b/tests/proxy/downstream/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits on clients: how long they may take, how many there may be, and the memory that they may fill."""
+"""Limits on clients: time, number of connections, and memory."""
 
 from __future__ import annotations
 
@@ -124,14 +124,14 @@
         await wait_until(lambda: discards_input(connection))
         assert proxy.listener.buffered_bytes <= 100 << 10
         backend.writers[0].write(OK_RESPONSE)
-        # Each of the requests that were read gets an answer.
+        # Each of the requests that were received gets an answer.
         assert [status_of(await client.response()) for _ in range(3)] == [200, 503, 503]
         assert await with_timeout(client.reader.read()) == b""
         assert backend.received.empty()
 
 
 @in_event_loop
-async def test_memory_of_requests_that_waited_is_given_back_as_they_are_served() -> None:
+async def test_memory_of_waiting_requests_is_released_as_they_are_served() -> None:
     async with proxy_with_backends(stay_silent) as (proxy, [backend]):
         client = await proxy.connect()
         body = b"x" * (20 << 10)
@@ -142,11 +142,11 @@
         backend.script = respond_ok
         backend.writers[0].write(OK_RESPONSE)
         assert [status_of(await client.response()) for _ in range(3)] == [200, 200, 200]
-        assert proxy.listener.buffered_bytes == 0  # though the connection rests and nothing more comes
+        assert proxy.listener.buffered_bytes == 0  # although the connection is idle and receives nothing more
 
 
 @in_event_loop
-async def test_requests_that_wait_are_counted_behind_a_malformed_one() -> None:
+async def test_memory_of_waiting_requests_is_counted_when_a_malformed_one_follows() -> None:
     async with proxy_with_backends(stay_silent) as (proxy, [backend]):
         client = await proxy.connect()
         body = b"x" * (20 << 10)
--- a/tests/proxy/downstream/test_requests.py
+++ b/tests/proxy/downstream/test_requests.py
@@ -1,4 +1,4 @@
-"""Clients' requests: malformed, split and pipelined ones, and what of them is not forwarded."""
+"""Clients' requests: malformed, split and pipelined ones, and the headers that are not forwarded."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     ],
 )
 @in_event_loop
-async def test_unusual_request_gets_one_response_and_the_proxy_goes_on(
+async def test_unusual_request_gets_one_response_and_the_proxy_keeps_serving(
     request_bytes: bytes, expected_status: int
 ) -> None:
     async with proxy_with_backends(respond_ok) as (proxy, [backend]):
@@ -107,7 +107,7 @@
         for writer in backend.writers:
             writer.write(OK_RESPONSE)
         assert status_of(await client.response()) == 200
-        client.writer.write(post_request(1))  # not in use any more
+        client.writer.write(post_request(1))  # the id is not in use any more
         assert b"id1" in await with_timeout(backend.received.get())
 
 
@@ -129,10 +129,11 @@
 
 
 @in_event_loop
-async def test_unread_responses_hold_up_further_requests() -> None:
+async def test_unread_responses_delay_further_requests() -> None:
     large_response = b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + b"x" * 65536
     async with proxy_with_backends(lambda _: large_response) as (proxy, [backend]):
-        sock, connection = await connect_slow_reader(proxy)
+        client = await connect_slow_reader(proxy)
+        sock, connection = client.sock, client.connection
         number = 0
         while not has_paused_writing(connection):
             sock.send(get_request(number := number + 1))
@@ -145,7 +146,7 @@
 
 @pytest.mark.parametrize("waiting", [1, 3])
 @in_event_loop
-async def test_requests_behind_one_that_ends_the_connection_are_rejected_one_by_one(waiting: int) -> None:
+async def test_requests_after_one_that_ends_the_connection_are_rejected_one_by_one(waiting: int) -> None:
     async with proxy_with_backends(respond_ok) as (proxy, [backend]):
         client = await proxy.connect()
         bad = get_request(0, X_Priority_Class="unknown")
--- a/tests/proxy/downstream/test_unread_responses.py
+++ b/tests/proxy/downstream/test_unread_responses.py
@@ -1,15 +1,14 @@
-"""Responses that their clients read slowly: what a full proxy, a time limit or a shutdown does to them."""
+"""Responses that clients read slowly: eviction, time limits and shutdown must not truncate them."""
 
 from __future__ import annotations
 
 import asyncio
-import socket
 from typing import TYPE_CHECKING
 
 import pytest
 
 from proxy.downstream.timeouts import CLOSING_TIMEOUT, IDLE_TIMEOUT
-from tests.support.client_scenarios import connect_slow_reader
+from tests.support.client_scenarios import SlowReader, connect_slow_reader
 from tests.support.loopback import (
     ManualClock,
     RunningProxy,
@@ -19,35 +18,29 @@
     with_timeout,
 )
 from tests.support.proxy_inputs import OK_RESPONSE, get_request, post_request
-from tests.support.proxy_internals import unwritten_bytes
+from tests.support.proxy_internals import limit_send_buffer, unwritten_bytes
 
 if TYPE_CHECKING:
-    from proxy.downstream.connection import DownstreamConnection
+    import socket
 
 FOUR_CLIENTS = 48 + 8  # descriptors: 48 are reserved, clients may use half of the others
-NEWCOMERS = 12  # clients that come while a response is read
-SMALL_SEND_BUFFER = 4096  # bytes: as much of a response waits in the proxy as on a slow network
+NEW_CLIENTS = 12  # clients that connect while a response is read
+SMALL_SEND_BUFFER = 4096  # bytes, so that most of a response stays in the proxy, as on a slow network
 BODY = b"x" * 300_000
 LARGE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(BODY), BODY)
 
 
-def limit_send_buffer(connection: DownstreamConnection) -> None:
-    """Let the system take a small part of a response at once."""
-    sock = connection._transport.get_extra_info("socket")
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_SEND_BUFFER)
-
-
-async def begin_response(proxy: RunningProxy, request: bytes) -> tuple[socket.socket, DownstreamConnection]:
+async def start_response(proxy: RunningProxy, request: bytes) -> SlowReader:
     """Send a request whose response the client does not read yet."""
-    sock, connection = await connect_slow_reader(proxy)
-    limit_send_buffer(connection)
-    await asyncio.get_running_loop().sock_sendall(sock, request)
-    await wait_until(lambda: unwritten_bytes(connection) > 0)
-    return sock, connection
+    client = await connect_slow_reader(proxy)
+    limit_send_buffer(client.connection, SMALL_SEND_BUFFER)
+    await asyncio.get_running_loop().sock_sendall(client.sock, request)
+    await wait_until(lambda: unwritten_bytes(client.connection) > 0)
+    return client
 
 
 async def read_until_end(sock: socket.socket) -> bytes:
-    """Read all that comes until the connection ends."""
+    """Read until the connection ends, and return all bytes."""
     data = b""
     while piece := await with_timeout(asyncio.get_running_loop().sock_recv(sock, 1 << 16)):
         data += piece
@@ -55,7 +48,7 @@
 
 
 async def read_body(sock: socket.socket) -> bytes:
-    """Read until the large body has come, or the connection ends."""
+    """Read until the large body is complete, or the connection ends."""
     data = b""
     loop = asyncio.get_running_loop()
     while not data.endswith(BODY) and (piece := await with_timeout(loop.sock_recv(sock, 1 << 16))):
@@ -65,15 +58,15 @@
 
 @pytest.mark.parametrize("connection_header", ["keep-alive", "close"])
 @in_event_loop
-async def test_response_that_is_being_read_is_not_cut_for_new_clients(connection_header: str) -> None:
+async def test_response_that_is_being_read_is_not_truncated_for_new_clients(connection_header: str) -> None:
     async with proxy_with_backends(lambda _: LARGE_RESPONSE, max_sockets=FOUR_CLIENTS) as (proxy, _):
-        sock, _ = await begin_response(proxy, get_request(Connection=connection_header))
-        newcomers = [await proxy.connect() for _ in range(NEWCOMERS)]
-        newcomers[0].writer.write(b"GET")  # some of them are evicted, but they have been accepted
+        sock = (await start_response(proxy, get_request(Connection=connection_header))).sock
+        new_clients = [await proxy.connect() for _ in range(NEW_CLIENTS)]
+        new_clients[0].writer.write(b"GET")  # some of them are evicted, but they have been accepted
         await wait_until(lambda: len(proxy.listener.connections.open) <= 4)
         response = await read_body(sock)
         assert response.endswith(BODY)
-        for client in newcomers:
+        for client in new_clients:
             client.writer.close()
         sock.close()
 
@@ -81,14 +74,15 @@
 @pytest.mark.parametrize(
     ("connection_header", "limit"), [("keep-alive", IDLE_TIMEOUT), ("close", CLOSING_TIMEOUT)]
 )
-@pytest.mark.parametrize("reads", [True, False], ids=["reads on", "stands still"])
+@pytest.mark.parametrize("reads", [True, False], ids=["reads", "stalls"])
 @in_event_loop
 async def test_response_that_is_being_read_outlasts_the_limits_of_its_connection(
-    connection_header: str, limit: float, reads: bool
+    connection_header: str, limit: float, *, reads: bool
 ) -> None:
     async with proxy_with_backends(lambda _: LARGE_RESPONSE) as (proxy, _):
         loop = asyncio.get_running_loop()
-        sock, connection = await begin_response(proxy, get_request(Connection=connection_header))
+        client = await start_response(proxy, get_request(Connection=connection_header))
+        sock, connection = client.sock, client.connection
         clock = ManualClock()
         read = b""
         for _ in range(3):
@@ -96,7 +90,7 @@
                 before = unwritten_bytes(connection)
                 while unwritten_bytes(connection) == before:
                     piece = await clock.wait_for(loop.sock_recv(sock, 1 << 14))
-                    assert piece, "the response was cut"
+                    assert piece, "the response was truncated"
                     read += piece
             await clock.advance(0.6 * limit)
         assert (connection in proxy.listener.connections.open) == reads
@@ -110,10 +104,11 @@
 
 
 @in_event_loop
-async def test_request_that_waits_behind_an_unread_response_is_answered_in_a_shutdown() -> None:
+async def test_request_that_waits_for_an_unread_response_is_answered_in_a_shutdown() -> None:
     responses = [OK_RESPONSE, LARGE_RESPONSE]
     async with proxy_with_backends(lambda _: responses.pop()) as (proxy, [backend]):
-        sock, connection = await begin_response(proxy, get_request(1) + post_request(2))
+        client = await start_response(proxy, get_request(1) + post_request(2))
+        sock, connection = client.sock, client.connection
         proxy.listener.stop_keepalive()
         response = await read_until_end(sock)
         assert backend.received.qsize() == 2
--- a/tests/proxy/test_dispatcher.py
+++ b/tests/proxy/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""A request's way through the proxy: forwarding, retries, deadlines, rejections, defects of the decisions."""
+"""The path of a request through the proxy: forwarding, retries, deadlines, rejections, a failing balancer."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
         (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", 502, 1),
         (CLOSE_CONNECTION, 502, 1),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", 502, 1),
-        (b"HTTP/1.1 200 OK\r\n\r\ncut", 200, 1),  # no length: the end of the connection ends it
+        (b"HTTP/1.1 200 OK\r\n\r\ncut", 200, 1),  # no length: the end of the connection ends the body
         (b"nonsense cut", 502, 1),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ndone", 502, 1),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx", 502, 1),
@@ -131,7 +131,7 @@
 
 
 @in_event_loop
-async def test_deadline_holds_when_the_backend_is_silent() -> None:
+async def test_deadline_is_enforced_when_the_backend_is_silent() -> None:
     async with proxy_with_backends(stay_silent) as (proxy, [backend]):
         client = await proxy.connect()
         assert status_of(await client.request(post_request(timeout="0.2"))) == 504
@@ -139,7 +139,9 @@
 
 
 @in_event_loop
-async def test_deadline_holds_when_the_decisions_are_silent(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_deadline_is_enforced_when_the_balancer_returns_no_action(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async with proxy_with_backends(respond_ok) as (proxy, _):
         with monkeypatch.context() as patch:
             patch.setattr(proxy.balancer, "on_request", lambda *_: [])
@@ -148,11 +150,12 @@
         assert status_of(await client.request(post_request(2))) == 200
 
 
-def test_exception_in_the_decisions_fails_one_request_only(
+def test_exception_in_the_balancer_fails_one_request_only(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     def raise_error(*_: object) -> None:
-        raise RuntimeError("odd")
+        message = "odd"
+        raise RuntimeError(message)
 
     async def run_requests() -> None:
         async with proxy_with_backends(respond_ok) as (proxy, _):
@@ -160,7 +163,7 @@
             for event in ("on_request", "on_attempt_finished"):
                 with monkeypatch.context() as patch:
                     patch.setattr(proxy.balancer, event, raise_error)
-                    # A response that came before the exception stands.
+                    # A response that was received before the exception is still sent.
                     assert status_of(await client.request(post_request())) == (
                         500 if event == "on_request" else 200
                     )
@@ -192,7 +195,7 @@
 
 
 @in_event_loop
-async def test_rejection_says_when_to_retry(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_rejection_has_the_retry_after_header(monkeypatch: pytest.MonkeyPatch) -> None:
     async with running_proxy([]) as proxy:
         client = await proxy.connect()
         assert b"Retry-After" not in await client.request(post_request())
@@ -220,10 +223,10 @@
 
 
 @in_event_loop
-async def test_closed_connections_leave_no_objects_behind() -> None:
+async def test_closed_connections_leak_no_objects() -> None:
     async with proxy_with_backends(respond_ok) as (proxy, _):
         gc.collect()
-        gc.disable()  # what only a collection would free counts as left behind
+        gc.disable()  # objects that only a collection would free count as leaked
         try:
             connection_types = (
                 DownstreamConnection,
@@ -242,14 +245,14 @@
                 malformed.writer.close()
             await wait_until(lambda: not proxy.listener.connections.open)
             await asyncio.sleep(0)
-            left_behind = [each for each in gc.get_objects() if isinstance(each, connection_types)]
-            assert len(left_behind) <= 8, left_behind
+            leaked = [each for each in gc.get_objects() if isinstance(each, connection_types)]
+            assert len(leaked) <= 8, leaked
         finally:
             gc.enable()
 
 
 @in_event_loop
-async def test_busy_subset_does_not_hold_up_what_an_idle_backend_could_serve() -> None:
+async def test_request_does_not_wait_for_a_busy_subset_while_another_backend_is_idle() -> None:
     async with proxy_with_backends(stay_silent, stay_silent, settings=settings_with(Instances=2)) as (
         proxy,
         [backend_a, backend_b],
--- a/tests/proxy/test_event_log.py
+++ b/tests/proxy/test_event_log.py
@@ -1,10 +1,10 @@
-"""The event log: what it says of one request, and that it drops lines rather than wait."""
+"""The event log: the events of one request, and dropped lines where writing would block."""
 
 from __future__ import annotations
 
 import os
 from contextlib import suppress
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import orjson
 
@@ -18,13 +18,13 @@
     from pathlib import Path
 
 
-def read_events(path: Path) -> list[dict[str, Any]]:
-    """Return the lines of a log."""
+def read_events(path: Path) -> list[dict[str, object]]:
+    """Return the events of a log."""
     return [orjson.loads(line) for line in path.read_bytes().splitlines()]
 
 
 @in_event_loop
-async def test_log_shows_the_way_of_a_request(tmp_path: Path) -> None:
+async def test_log_shows_the_events_of_a_request(tmp_path: Path) -> None:
     path = tmp_path / "events"
     log = EventLog.from_environment({VARIABLE: str(path)})
     async with stub_backend(respond_ok) as backend:
@@ -48,7 +48,7 @@
 
 
 @in_event_loop
-async def test_log_that_nobody_reads_is_dropped_and_counted() -> None:
+async def test_lines_are_dropped_and_counted_while_the_pipe_is_full() -> None:
     reading, writing = os.pipe()
     os.set_blocking(writing, False)
     with suppress(BlockingIOError):
@@ -71,7 +71,7 @@
 
 
 @in_event_loop
-async def test_log_is_off_unless_it_is_asked_for_and_can_be_opened(tmp_path: Path) -> None:
+async def test_log_is_off_unless_it_is_configured_and_can_be_opened(tmp_path: Path) -> None:
     for environ in ({}, {VARIABLE: ""}, {VARIABLE: str(tmp_path)}):
         log = EventLog.from_environment(environ)
         log.record(EndpointsUpdated(kind="DELTA", endpoints={}))
--- a/tests/proxy/test_invariants.py
+++ b/tests/proxy/test_invariants.py
@@ -1,4 +1,4 @@
-"""The checks at run time: each one reports what it is for, where a part that decides is broken on purpose."""
+"""The run-time checks: each reports its violation when the code that prevents it is broken on purpose."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 
 def allow_everything(*_args: Any) -> None:
-    """Refuse no attempt: a broken `Balancer.send_rejection`."""
+    """Reject no attempt: a broken `Balancer.send_rejection`."""
 
 
 @in_event_loop
-async def test_nothing_is_reported_of_requests_that_keep_the_rules() -> None:
+async def test_nothing_is_reported_for_requests_without_violations() -> None:
     async with proxy_with_backends(respond_ok) as (proxy, _):
         client = await proxy.connect()
         for request in (get_request(1), post_request(2)):
@@ -71,7 +71,7 @@
     serialize = ActiveRequest.serialize
 
     def serialize_late(active: ActiveRequest, timeout: float) -> bytes:
-        active.client_deadline -= 1.0  # so long ago was the clock read
+        active.client_deadline -= 1.0  # as if the clock had been read too early
         return serialize(active, timeout)
 
     monkeypatch.setattr(ActiveRequest, "serialize", serialize_late)
--- a/tests/proxy/test_retry_races.py
+++ b/tests/proxy/test_retry_races.py
@@ -1,7 +1,7 @@
-"""Retries that were allowed when they were decided, and are not any more when their connection comes up.
+"""Retries that were allowed when decided, and are not any more once their connection is established.
 
-A retry may have to dial. Until its first byte is written the deduplication window may pass, a reload may
-narrow what the request's class allows, or the backend may leave the scope in which repeats are discarded.
+A retry may have to dial. Until its first byte is written, the deduplication window may pass, a reload may
+restrict the request's class, or the backend may move out of the scope in which repeats are discarded.
 """
 
 from __future__ import annotations
@@ -45,14 +45,14 @@
     return post_request(X_Priority_Class="once", Idempotency_Key="k1")
 
 
-def let_window_pass(proxy: RunningProxy, clock: ManualClock, _backends: list[StubBackend]) -> None:
-    """Let the deduplication window pass."""
+def pass_window(proxy: RunningProxy, clock: ManualClock, _backends: list[StubBackend]) -> None:
+    """Advance the clock past the deduplication window."""
     assert proxy.dispatcher.active_requests
     clock.now += WINDOW
 
 
 def forbid_repeats(proxy: RunningProxy, _clock: ManualClock, _backends: list[StubBackend]) -> None:
-    """Put settings in force by which the class must not run twice."""
+    """Apply settings by which requests of the class must not run twice."""
     settings = settings_with_once_class(repeat="fragile")
     proxy.dispatcher.reconfigure(settings, settings.classes)
 
@@ -66,13 +66,13 @@
 @pytest.mark.parametrize(
     ("change", "scope"),
     [
-        pytest.param(let_window_pass, "all", id="window passed"),
+        pytest.param(pass_window, "all", id="window passed"),
         pytest.param(forbid_repeats, "all", id="reload"),
         pytest.param(leave_cell, "cell", id="cell left"),
     ],
 )
 @in_event_loop
-async def test_retry_whose_dial_comes_up_too_late_is_not_sent(
+async def test_retry_whose_connection_is_established_too_late_is_not_sent(
     change: Callable[[RunningProxy, ManualClock, list[StubBackend]], None],
     scope: str,
     monkeypatch: pytest.MonkeyPatch,
@@ -96,13 +96,13 @@
         response = await clock.wait_for(client.response())
         assert sum(backend.received.qsize() for backend in backends) == 1
         assert status_of(response) in (502, 503)
-        # The connection that was dialled serves requests that may use it, once it has rested.
+        # The connection is reused for other requests after its cooldown.
         await clock.advance(MIN_REUSE_DELAY)
         assert status_of(await clock.wait_for(client.request(post_request(2)))) == 200
 
 
 @in_event_loop
-async def test_retry_whose_dial_comes_up_in_time_is_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_retry_whose_connection_is_established_in_time_is_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = ManualClock()
     responses = [OK_RESPONSE, ERROR_RESPONSE]
 
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import itertools
 import json
 import signal
 import socket
@@ -98,17 +99,18 @@
         old.send_update(4, [endpoint_entry("b", f"{HOST}:9", "terminating")])
         await wait_until_ready(port)
         path.write_text("{")
-        process.send_signal(signal.SIGHUP)  # can't be read: one line in the log, and nothing changes
+        process.send_signal(signal.SIGHUP)  # invalid: one line in the log, and nothing changes
         assert (await with_timeout(process.stderr.readline())).startswith(b"proxy: reload: ")
         write_config(path, listen, new_address, [])
         for _ in range(3):
             process.send_signal(signal.SIGHUP)
         assert await with_timeout(new.watch_requests.get()) == "/v1/servers?follow=1&since=0"
-        assert old.disconnects.empty(), "the old watch ended before the new one sent anything"
-        old.send_update(5, [endpoint_entry("a", backend.address)])  # still counts
+        assert old.disconnects.empty(), "the old watch was closed before the new one sent anything"
+        old.send_update(5, [endpoint_entry("a", backend.address)])  # the old watch still counts
         client = await connect(port)
-        number = 0
-        while status_of(await client.request(get_request(number := number + 1))) != 200:
+        for number in itertools.count(1):
+            if status_of(await client.request(get_request(number))) == 200:
+                break
             await asyncio.sleep(0.01)
         new.send_update(6, [endpoint_entry("a", backend.address)], snapshot=True)
         await with_timeout(old.disconnects.get())
@@ -127,7 +129,7 @@
         listening_socket = await proxy.listener.listen()
         port = listening_socket.getsockname()[1]
         shutdown = asyncio.create_task(proxy.shutdown.run(listening_socket))
-        await asyncio.sleep(0)  # the drain has begun
+        await asyncio.sleep(0)  # the proxy is draining
         client = await connect(port)
         assert status_of(await client.request(post_request(1))) == 200
         assert status_of(await client.request(HEALTH_REQUEST)) == 503
--- a/tests/proxy/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown, on loopback sockets with the clock moved by hand: what clients do while it goes on."""
+"""Graceful shutdown, on loopback sockets with a manual clock: what clients do meanwhile."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
     import socket
 
 KILL_DELAY = 3.0 + 0.7  # seconds after SIGTERM at which SIGKILL may come, by the protocol
-MAX_SHUTDOWN_TIME = KILL_DELAY + 1.0  # seconds after which a shutdown is given up
-ACCEPT_TIME = 0.7  # seconds after SIGTERM by which new connections are accepted no more
+MAX_SHUTDOWN_TIME = KILL_DELAY + 1.0  # seconds after which a test fails
+ACCEPT_TIME = 0.7  # seconds after SIGTERM after which no connection is accepted
 CLOCK_STEP = 0.02  # seconds
 
 
@@ -48,7 +48,7 @@
         super().__init__(proxy, listening_socket.getsockname()[1])
         self.clock = clock
         self._listening_socket = listening_socket
-        self._began_at = clock.now
+        self._started_at = clock.now
         self._shutdown: asyncio.Task[None] | None = None
 
     async def connect(self) -> Client:
@@ -59,15 +59,15 @@
         """Return a client's next response, which comes without any more time."""
         return await self.clock.wait_for(client.response())
 
-    async def begin_shutdown(self) -> None:
+    async def start_shutdown(self) -> None:
         """Do what SIGTERM does."""
-        self._began_at = self.clock.now
+        self._started_at = self.clock.now
         self._shutdown = asyncio.create_task(self.proxy.shutdown.run(self._listening_socket))
         await self.clock.settle()
 
     async def advance_to(self, seconds: float) -> None:
-        """Let time pass until so long after SIGTERM."""
-        while self.clock.now < self._began_at + seconds:
+        """Advance the clock to this many seconds after SIGTERM."""
+        while self.clock.now < self._started_at + seconds:
             await self.clock.advance(CLOCK_STEP)
 
     def has_ended(self) -> bool:
@@ -76,10 +76,10 @@
         return self._shutdown.done()
 
     async def finish_shutdown(self) -> None:
-        """Let time pass until the shutdown is complete."""
+        """Advance the clock until the shutdown is complete."""
         assert self._shutdown is not None
         while not self.has_ended():
-            assert self.clock.now < self._began_at + MAX_SHUTDOWN_TIME, "the proxy does not end"
+            assert self.clock.now < self._started_at + MAX_SHUTDOWN_TIME, "the proxy does not end"
             await self.clock.advance(CLOCK_STEP)
         await self._shutdown
 
@@ -98,7 +98,7 @@
         client = await proxy.connect()
         client.writer.write(post_request()[:-2])
         await proxy.clock.wait_until(lambda: bool(proxy.listener.connections.reading))
-        await proxy.begin_shutdown()
+        await proxy.start_shutdown()
         await proxy.advance_to(1.5)
         client.writer.write(post_request()[-2:])
         await proxy.clock.wait_until(lambda: backend.received.qsize() == 1)
@@ -107,13 +107,13 @@
         await proxy.finish_shutdown()
 
 
-@pytest.mark.parametrize("state", ["connecting", "sent", "response begun", "partly read", "another queued"])
+@pytest.mark.parametrize("state", ["connecting", "sent", "response started", "partly read", "another queued"])
 @in_event_loop
-async def test_shutdown_answers_what_was_taken_and_closes_each_connection(
+async def test_shutdown_answers_received_requests_and_closes_each_connection(
     state: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def script(_request: bytes) -> bytes | None:
-        return OK_RESPONSE[:-2] if state == "response begun" else None
+        return OK_RESPONSE[:-2] if state == "response started" else None
 
     async with stub_backend(script) as backend:
         proxy = await start_proxy([endpoint_entry("a", backend.address)])
@@ -131,9 +131,9 @@
             client.writer.write(request + (get_request(2) if state == "another queued" else b""))
             await clock.wait_until(lambda: backend.received.qsize() == 1)
 
-        await proxy.begin_shutdown()
+        await proxy.start_shutdown()
         await proxy.advance_to(ACCEPT_TIME)
-        # Nothing can come on an idle connection any more.
+        # No request can follow on an idle connection any more.
         assert await clock.wait_for(idle_client.reader.read()) == b""
         assert not proxy.has_ended()
 
@@ -141,12 +141,12 @@
         if state == "partly read":
             client.writer.write(request[-2:])
         await clock.wait_until(lambda: backend.received.qsize() == 1)
-        backend.writers[0].write(OK_RESPONSE[-2:] if state == "response begun" else OK_RESPONSE)
+        backend.writers[0].write(OK_RESPONSE[-2:] if state == "response started" else OK_RESPONSE)
         response = await proxy.response(client)
-        if state == "another queued":  # the queued one is due a response too
+        if state == "another queued":  # the queued one gets a response too
             assert status_of(response) == 200
             assert b"Connection: close\r\n" not in response
-            client.writer.write(get_request(3))  # what comes now is not taken any more
+            client.writer.write(get_request(3))  # not read any more
             await clock.settle()
             await clock.advance(CLOCK_STEP)  # the connection to the backend may be used again
             await clock.wait_until(lambda: backend.received.qsize() == 2)
@@ -159,21 +159,21 @@
         assert backend.received.qsize() == (2 if state == "another queued" else 1)
 
 
-@pytest.mark.parametrize("leaves", [False, True], ids=["waits", "leaves"])
+@pytest.mark.parametrize("disconnects", [False, True], ids=["waits", "disconnects"])
 @in_event_loop
-async def test_request_sent_behind_another_as_connections_close_is_left_unread(leaves: bool) -> None:
+async def test_request_sent_after_another_as_connections_close_stays_unread(*, disconnects: bool) -> None:
     async with stub_backend(stay_silent) as backend:
         proxy = await start_proxy([endpoint_entry("a", backend.address)])
         clock = proxy.clock
         client = await proxy.connect()
         client.writer.write(post_request(1))
         await clock.wait_until(lambda: backend.received.qsize() == 1)
-        await proxy.begin_shutdown()
+        await proxy.start_shutdown()
         await proxy.advance_to(ACCEPT_TIME)
-        client.writer.write(post_request(2))  # what is read now would be owed an answer
+        client.writer.write(post_request(2))  # if this were read, it would have to be answered
         await clock.settle()
         await clock.advance(CLOCK_STEP)
-        if leaves:  # seen though nothing is read
+        if disconnects:  # noticed although nothing is read
             client.writer.close()
             await clock.settle()
             await clock.advance(CLOCK_STEP)
--- a/tests/support/client_scenarios.py
+++ b/tests/support/client_scenarios.py
@@ -5,6 +5,7 @@
 import asyncio
 import socket
 import struct
+from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
 from balancer.settings_reader import read_settings
@@ -69,19 +70,32 @@
         self.sock.close()
 
 
-async def connect_slow_reader(proxy: RunningProxy) -> tuple[socket.socket, DownstreamConnection]:
-    """Connect a proxy's only client, which reads nothing; returns both ends of the connection."""
+@dataclass
+class SlowReader:
+    """A client that reads only what a test reads from its socket.
+
+    Attributes:
+        sock: The client's socket, with a small receive buffer.
+        connection: The proxy's end of the connection.
+    """
+
+    sock: socket.socket
+    connection: DownstreamConnection
+
+
+async def connect_slow_reader(proxy: RunningProxy) -> SlowReader:
+    """Connect a proxy's only client, which reads nothing by itself."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_READER_BUFFER_BYTES)
     sock.setblocking(False)
     await asyncio.get_running_loop().sock_connect(sock, (HOST, proxy.port))
     await wait_until(lambda: bool(proxy.listener.connections.open))
     [connection] = proxy.listener.connections.open
-    return sock, connection
+    return SlowReader(sock, connection)
 
 
 def has_no_requests(proxy: RunningProxy) -> bool:
-    """Whether neither the dispatcher nor the decisions hold any request."""
+    """Return whether neither the dispatcher nor the balancer has any active request."""
     return not proxy.dispatcher.active_requests and not proxy.balancer.requests
 
 
--- a/tests/support/proxy_internals.py
+++ b/tests/support/proxy_internals.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import socket
 from typing import TYPE_CHECKING
 
 from proxy.upstream.connection import UpstreamConnection
@@ -98,6 +99,12 @@
     return connection._writer.paused
 
 
+def limit_send_buffer(connection: DownstreamConnection, nbytes: int) -> None:
+    """Make the system accept only a small part of a response at once."""
+    sock = connection._transport.get_extra_info("socket")
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, nbytes)
+
+
 def unwritten_bytes(connection: DownstreamConnection) -> int:
     """Return how many bytes of responses the client's socket has not taken yet."""
     return connection._transport.get_write_buffer_size()
