--- a/proxy/action_executor.py
+++ b/proxy/action_executor.py
@@ -31,8 +31,8 @@
     from proxy.responder import Responder
 
 
-class ActionListener(Protocol):
-    """What is notified of timers and attempts that actions have started."""
+class ActionObserver(Protocol):
+    """What is notified of timers and attempts, and asked whether an attempt may be written."""
 
     def on_timer(self, token: int) -> None:
         """Handle a timer that is due.
@@ -66,7 +66,7 @@
         context: DispatchContext,
         registry: RequestRegistry,
         responder: Responder,
-        listener: ActionListener,
+        observer: ActionObserver,
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._clock = context.clock
@@ -77,7 +77,7 @@
         self._event_log = context.event_log
         self._active_requests = registry.active
         self._responder = responder
-        self._listener = listener
+        self._observer = observer
 
     def perform(self, actions: list[Action]) -> None:
         """Carry out actions, in their order."""
@@ -85,7 +85,7 @@
             match action:
                 case SetTimer():
                     due_at = self._clock.to_loop_time(action.at)
-                    self._loop.call_at(due_at, self._listener.on_timer, action.token)
+                    self._loop.call_at(due_at, self._observer.on_timer, action.token)
                 case PollEndpoints():
                     self._poll_endpoints()
                 case _:
@@ -117,8 +117,8 @@
             retryable=active.is_retryable,
             callbacks=AttemptCallbacks(
                 build_request=active.serialize,
-                on_finished=partial(self._listener.on_attempt_finished, active, number),
-                send_rejection=partial(self._listener.send_rejection, active, number),
+                on_finished=partial(self._observer.on_attempt_finished, active, number),
+                send_rejection=partial(self._observer.send_rejection, active, number),
                 on_written=partial(self._on_written, active),
             ),
         )
@@ -129,7 +129,7 @@
         if active.client_is_waiting():
             self._pool.start(attempt)
         else:
-            self._listener.on_client_disconnected(active)
+            self._observer.on_client_disconnected(active)
 
     def _on_written(self, active: ActiveRequest, attempt: UpstreamAttempt, timeout: float) -> None:
         """Check and log an attempt that was just written."""
