--- a/proxy/__init__.py
+++ b/proxy/__init__.py
@@ -1,7 +1,10 @@
-"""The proxy: the decisions of `balancer` on real sockets.
+"""The proxy: connects the decisions of `balancer` to real sockets.
 
-Read `dispatcher` first: it takes a client's request to its answer. `proxy` builds and connects the parts,
-`process` runs one process. `downstream` is the clients' side, `upstream` the backends' side, `discovery`
-the endpoint list; `config` reads the configuration file, `reload` takes over a new one, `shutdown` ends the
-process. Nothing here decides where a request goes, nor whether it is rejected or retried.
+Read `dispatcher` first: it notifies the balancer of what happens to each request. `action_executor` carries
+out the balancer's actions, `request_registry` owns the active requests, and `responder` sends the answers.
+
+`proxy` builds and connects the parts, and `process` runs one process. `downstream` is the clients' side,
+`upstream` the backends' side, `discovery` follows the endpoint list; `config` reads the configuration file,
+`reload` applies a new one, `shutdown` ends the process. Nothing here decides which backend gets a request,
+nor whether a request is rejected or retried.
 """
--- a/proxy/downstream/listener.py
+++ b/proxy/downstream/listener.py
@@ -89,7 +89,7 @@
         """Fail the health check from now on; requests that still arrive are served."""
         self.serving = False
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Return whether clients should send requests here."""
         return self.ready and self.serving
 
--- a/proxy/downstream/request_parser.py
+++ b/proxy/downstream/request_parser.py
@@ -150,9 +150,9 @@
         elif not value.isascii():  # some backends close the connection when they can't decode a header
             self._fail(HTTPStatus.BAD_REQUEST, "a header is not plain text")
         else:
-            self._take_header(name, name.lower(), value)
+            self._process_header(name, name.lower(), value)
 
-    def _take_header(self, name: bytes, lower: bytes, value: bytes) -> None:
+    def _process_header(self, name: bytes, lower: bytes, value: bytes) -> None:
         if lower in INTERPRETED_HEADERS:
             if lower in self._headers:  # a backend might use the other one of the two
                 self._fail(HTTPStatus.BAD_REQUEST, "a header comes twice")
--- a/proxy/downstream/response_writer.py
+++ b/proxy/downstream/response_writer.py
@@ -80,7 +80,7 @@
 
         Args:
             now: The event loop's time.
-            longest_deadline: Seconds that any client waits: what comes later is of no use to it.
+            longest_deadline: Seconds that any client waits at most: later bytes are of no use to it.
         """
         before, self._unwritten_bytes = self._unwritten_bytes, self._transport.get_write_buffer_size()
         return 0 < self._unwritten_bytes < before and now < self._written_at + longest_deadline
--- a/proxy/downstream/routing.py
+++ b/proxy/downstream/routing.py
@@ -43,7 +43,7 @@
     on_request: Callable[[ClientRequest, ClassifiedRequest, ResponseSink], None]
     connections: ConnectionRegistry[ConnectionT]
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Return whether clients should send requests to this proxy."""
 
 
@@ -68,6 +68,8 @@
 
 
 def _answer_health_check(connection: ConnectionT, handler: RequestHandler[ConnectionT]) -> None:
-    healthy = handler.healthy()
-    status, verdict = (HTTPStatus.OK, b"ok") if healthy else (HTTPStatus.SERVICE_UNAVAILABLE, b"not ready")
+    if handler.is_healthy():
+        status, verdict = HTTPStatus.OK, b"ok"
+    else:
+        status, verdict = HTTPStatus.SERVICE_UNAVAILABLE, b"not ready"
     connection.send_response(status, b"", b"%b\nversion %b\n" % (verdict, handler.version.encode()))
--- a/proxy/response_sink.py
+++ b/proxy/response_sink.py
@@ -1,4 +1,4 @@
-"""What the dispatcher needs of the client that a request came from: a place to send the response to.
+"""What the dispatcher needs of the client that sent a request: a receiver of the response.
 
 It owns no state: `proxy.downstream.connection` implements the interface.
 """
@@ -12,7 +12,7 @@
 
 
 class ResponseSink(Protocol):
-    """The receiver of one final response.
+    """The receiver of the final response to one request.
 
     Attributes:
         on_disconnect: Called once if the client disconnects before its response is sent. The receiver of the
--- a/tests/proxy/discovery/test_endpoint_list.py
+++ b/tests/proxy/discovery/test_endpoint_list.py
@@ -81,4 +81,4 @@
 @in_event_loop
 async def test_proxy_starts_without_any_endpoint_list() -> None:
     proxy = Proxy(proxy_config([]))
-    assert not proxy.listener.healthy()
+    assert not proxy.listener.is_healthy()
--- a/tests/proxy/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -14,6 +14,7 @@
     ConnectGate,
     ManualClock,
     RunningProxy,
+    StubBackend,
     connect,
     in_event_loop,
     stay_silent,
@@ -52,11 +53,11 @@
         self._shutdown: asyncio.Task[None] | None = None
 
     async def connect(self) -> Client:
-        """Open a client's connection to it, without any more time."""
+        """Open a client's connection to it without advancing the clock."""
         return await self.clock.wait_for(connect(self.port))
 
     async def response(self, client: Client) -> bytes:
-        """Return a client's next response, which comes without any more time."""
+        """Return a client's next response without advancing the clock."""
         return await self.clock.wait_for(client.response())
 
     async def start_shutdown(self) -> None:
@@ -84,17 +85,17 @@
         await self._shutdown
 
 
-async def start_proxy(entries: list[dict[str, Any]]) -> EndingProxy:
-    """Start a proxy that knows these entries of the endpoint list."""
+async def start_proxy(backend: StubBackend) -> EndingProxy:
+    """Start a proxy whose endpoint list has one backend."""
     clock = ManualClock()
-    proxy = Proxy(proxy_config(entries))
+    proxy = Proxy(proxy_config([endpoint_entry("a", backend.address)]))
     return EndingProxy(proxy, await proxy.listener.listen(), clock)
 
 
 @in_event_loop
 async def test_request_that_is_complete_late_in_a_shutdown_is_answered_before_sigkill() -> None:
     async with stub_backend(stay_silent) as backend:
-        proxy = await start_proxy([endpoint_entry("a", backend.address)])
+        proxy = await start_proxy(backend)
         client = await proxy.connect()
         client.writer.write(post_request()[:-2])
         await proxy.clock.wait_until(lambda: bool(proxy.listener.connections.reading))
@@ -116,7 +117,7 @@
         return OK_RESPONSE[:-2] if state == "response started" else None
 
     async with stub_backend(script) as backend:
-        proxy = await start_proxy([endpoint_entry("a", backend.address)])
+        proxy = await start_proxy(backend)
         clock = proxy.clock
         client, idle_client = await proxy.connect(), await proxy.connect()
         gate = ConnectGate(monkeypatch, unheld=0 if state == "connecting" else UNLIMITED)
@@ -163,7 +164,7 @@
 @in_event_loop
 async def test_request_sent_after_another_as_connections_close_stays_unread(*, disconnects: bool) -> None:
     async with stub_backend(stay_silent) as backend:
-        proxy = await start_proxy([endpoint_entry("a", backend.address)])
+        proxy = await start_proxy(backend)
         clock = proxy.clock
         client = await proxy.connect()
         client.writer.write(post_request(1))
