--- a/tests/balancer/test_bad_input.py
+++ b/tests/balancer/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Input that makes no sense: rejected with the name of the field, or answered by the rules; never a crash."""
+"""Invalid input: rejected with the name of the field, or answered by the rules; it never raises anything else."""
 
 from __future__ import annotations
 
@@ -28,17 +28,15 @@
     "name", ["latency_objective", "deadline", "deduplication_window", "priority_weight", "late_weight"]
 )
 def test_a_bad_number_in_a_class_is_named(name: str, value: Any) -> None:
-    values: dict[str, Any] = {name: value}
     with pytest.raises(ValueError, match=rf"classes\[1\]\.{name}"):
-        Balancer(Settings(classes=(RequestClass(), RequestClass(**values))), 1)
+        Balancer(Settings(classes=(RequestClass(), RequestClass(**{name: value}))), 1)
 
 
 @pytest.mark.parametrize("value", BAD_NUMBERS)
 @pytest.mark.parametrize("name", ["max_attempts", "max_retry_after"])
 def test_a_bad_number_in_the_limits_is_named(name: str, value: Any) -> None:
-    values: dict[str, Any] = {name: value}
     with pytest.raises(ValueError, match=rf"limits\.{name}"):
-        Balancer(Settings(limits=Limits(**values)), 1)
+        Balancer(Settings(limits=Limits(**{name: value})), 1)
 
 
 @pytest.mark.parametrize("value", [math.nan, 2.0, -1.0, "x"])
@@ -50,9 +48,8 @@
 @pytest.mark.parametrize("name", ["ordinal", "tier", "zone"])
 @pytest.mark.parametrize("value", [-1, 1, 0.5, True, "0"])
 def test_an_index_out_of_range_is_named(name: str, value: Any) -> None:
-    values: dict[str, Any] = {name: value}
     with pytest.raises(ValueError, match=name):
-        Balancer(Settings(**values), 1)
+        Balancer(Settings(**{name: value}), 1)
 
 
 def test_settings_without_classes_are_rejected() -> None:
