--- a/tests/balancer/test_bad_input.py
+++ b/tests/balancer/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Invalid input: rejected with the name of the field, or answered by the rules; it never raises anything else."""
+"""Invalid input: rejected with the name of the field, or answered by the rules; no other exception."""
 
 from __future__ import annotations
 
