--- a/emulator/fleet/simulated_proxy.py
+++ b/emulator/fleet/simulated_proxy.py
@@ -16,7 +16,7 @@
 from balancer.settings_reader import read_settings
 from emulator.fleet import topology
 from emulator.measurement.change_ages import AppliedUpdate, Publications, ages_when_applied
-from proxy.config import Address
+from proxy.address import Address
 from proxy.discovery.endpoint_reader import DiscoveredEndpoint, EndpointReader
 from proxy.discovery.watch import DiscoveryClient
 from testbed.loopback import HOST
@@ -24,6 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
+    from proxy.discovery.messages import EndpointListMessage
     from proxy.discovery.watch_connection import WatchConnection
 
 CALL_LATENCY = 0.004  # seconds that a simulated call takes at its backend
@@ -65,7 +66,7 @@
         self.applied: list[AppliedUpdate] = []
         self.cost_by_second: dict[int, float] = {}
 
-    def on_message(self, watch: WatchConnection, message: Mapping[str, Any] | None) -> None:
+    def on_message(self, watch: WatchConnection, message: EndpointListMessage | None) -> None:
         """Handle one message of a watch; None: its end."""
         if message is None:
             super().on_message(watch, message)
--- a/emulator/runs/slopes_balancer.py
+++ b/emulator/runs/slopes_balancer.py
@@ -7,7 +7,7 @@
 
 import gc
 import time
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, cast
 
 import numpy as np
 import orjson
@@ -27,6 +27,7 @@
     from collections.abc import Callable
 
     from emulator.runs.common import RunOptions
+    from proxy.discovery.messages import EndpointEntry
 
 BACKENDS = (12, 91, 300, 910, 1820)
 QUICK_BACKENDS = BACKENDS[:4]
@@ -61,7 +62,7 @@
     def apply_change(self) -> None:
         """Apply a delta with one entry."""
         self._now += UPDATE_INTERVAL
-        row = self._reader.endpoint(self._changes.change_any()).endpoint
+        row = self._reader.endpoint(cast("EndpointEntry", self._changes.change_any())).endpoint
         self._balancer.on_endpoints_updated(self._now, UpdateKind.DELTA, [row])
 
     def apply_snapshot(self) -> None:
--- a/proxy/__main__.py
+++ b/proxy/__main__.py
@@ -1,6 +1,7 @@
 """Starts a proxy: `python -m proxy`, with the configuration that the environment names.
 
-It imports the program only once reload signals are kept: that import takes long, and they may come meanwhile.
+All other modules are imported only once reload signals are recorded: that import takes long, and a
+signal may arrive meanwhile.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 def main() -> int:
-    """Run a proxy and return the process's exit code."""
+    """Run a proxy and return the exit code of its process."""
     hangup = EarlySignal(signal.SIGHUP)
     from proxy import process
 
--- a/proxy/clock.py
+++ b/proxy/clock.py
@@ -1,6 +1,6 @@
-"""The time that the decisions see: seconds since the epoch, on a clock that never steps.
+"""The balancer's time: seconds since the epoch, on a clock that never steps.
 
-Owns the distance between the event loop's time and that clock. Does not own any timer.
+It owns the offset between the event loop's time and that clock. It owns no timers.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 class EpochClock:
     """Converts between the event loop's time and seconds since the epoch.
 
-    The distance between the two is read once, when the process starts. So the start times in the endpoint
-    list are comparable with it, and steps of the system's clock do no harm.
+    The offset between the two is determined once, when the process starts. The start times in the endpoint
+    list are therefore comparable with this clock, and steps of the system clock have no effect on it.
     """
 
     __slots__ = ("_loop", "_offset")
@@ -26,13 +26,13 @@
         self._offset = time.time() - loop.time()
 
     def now(self) -> float:
-        """Return the time now, in seconds since the epoch."""
+        """Return the current time in seconds since the epoch."""
         return self._loop.time() + self._offset
 
     def from_loop_time(self, loop_time: float) -> float:
-        """Return a time of the event loop in seconds since the epoch."""
+        """Convert a time of the event loop to seconds since the epoch."""
         return loop_time + self._offset
 
     def to_loop_time(self, epoch_time: float) -> float:
-        """Return a time in seconds since the epoch as the event loop counts it."""
+        """Convert a time in seconds since the epoch to the event loop's time."""
         return epoch_time - self._offset
--- a/proxy/discovery/endpoint_reader.py
+++ b/proxy/discovery/endpoint_reader.py
@@ -1,61 +1,85 @@
 """Reads the entries of the endpoint list, in discovery's form, into typed values.
 
-Owns the numbers that the names of zones and machine types have in this process. Does not own the list itself,
-nor the connection that it comes on.
+It owns the numbers that the names of zones and machine types have in this process. It owns neither the list
+itself nor the connection that the list arrives on.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, cast
 
 from balancer.endpoints import Endpoint, EndpointId, EndpointStatus
-from proxy.config import Address, Config, ConfigError, read_address
+from proxy.address import Address, read_address
+from proxy.json_values import EntryError, InvalidEntryError, MissingEntryError, require_entry, require_object
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
     from balancer.settings import RequestClass, Settings
+    from proxy.config import Config
+    from proxy.discovery.messages import EndpointEntry
 
 STATUSES = {
     "in_service": EndpointStatus.UP,
     "terminating": EndpointStatus.DRAINING,
     "terminated": EndpointStatus.GONE,
 }
-MAX_NAMES = 4096  # names of zones, or of machine types, that are told apart
+MAX_NAMES = 4096  # names of zones, or of machine types, that are distinguished
 UNKNOWN_NAME = -1  # the number of all names beyond those
+MS_PER_SECOND = 1000.0
 
 Places = tuple[int, ...] | None  # the zones or machine types that a class is bound to; None: any
 
 
 @dataclass(slots=True, frozen=True)
 class DiscoveredEndpoint:
-    """One entry of the list: what the decisions see of a backend, and the address where it listens."""
+    """One entry of the endpoint list.
+
+    Attributes:
+        endpoint: What the balancer sees of the backend.
+        address: Where the backend listens.
+    """
 
     endpoint: Endpoint
     address: Address
 
 
+@dataclass(slots=True, frozen=True)
+class EndpointList:
+    """A complete endpoint list, or a change of it.
+
+    Attributes:
+        index: The version of the list with these endpoints.
+        endpoints: All endpoints, or those that have changed.
+        is_complete: Whether these are all endpoints.
+    """
+
+    index: int
+    endpoints: list[DiscoveredEndpoint]
+    is_complete: bool
+
+
 def endpoint_id(name: str) -> EndpointId:
     """Return the id of an endpoint by its name, the same at every proxy and after every restart."""
     return int.from_bytes(name.encode(), "big")
 
 
 class NameIndex:
-    """The numbers of zones, or of machine types; a name keeps its number while the process lives.
+    """The numbers of zones, or of machine types; a name keeps its number until the process ends.
 
-    So placement stays right across a change of settings: endpoints that were read before it still say where
-    they are, and a number never comes to mean another zone or machine type.
+    Placement therefore stays right when the settings change: endpoints that were read before still state
+    where they are, and a number never comes to mean another zone or machine type.
     """
 
     def __init__(self, names: Mapping[str, int]) -> None:
         self._numbers = dict(names)
 
     def number_of(self, name: str) -> int:
-        """Return the number of a name, a new one for a name that is new.
+        """Return the number of a name, a new one for a new name.
 
-        More than `MAX_NAMES` names are not told apart, or they would fill the memory: `UNKNOWN_NAME` stands
-        for all others.
+        Names beyond the first `MAX_NAMES` would fill the memory: all of them have the number `UNKNOWN_NAME`.
         """
         number = self._numbers.get(name)
         if number is not None:
@@ -68,8 +92,8 @@
         """Return the numbers that places of a configuration have in this process.
 
         Args:
-            places: Places in the configuration's list of names; None stands for any.
-            names: The configuration's names, in its order.
+            places: Positions in the configuration's list of names; None: any.
+            names: The configuration's names, in the order of that list.
         """
         if places is None:
             return None
@@ -78,44 +102,75 @@
 
 
 class EndpointReader:
-    """Turns entries in discovery's form into endpoints; names of zones and machine types become numbers."""
+    """Reads entries in discovery's form into endpoints; names of zones and machine types become numbers."""
 
     def __init__(self, zones: Mapping[str, int], machine_types: Mapping[str, int]) -> None:
+        """Prepare a reader.
+
+        Args:
+            zones: The numbers of the zones that the settings name.
+            machine_types: The numbers of the machine types that the settings name.
+        """
         self._zones = NameIndex(zones)
         self._machine_types = NameIndex(machine_types)
 
-    def endpoint(self, entry: Mapping[str, Any]) -> DiscoveredEndpoint:
-        """Read one entry; no class is bound to a zone or machine type that the settings do not name."""
-        endpoint = Endpoint(
-            endpoint_id(entry["name"]),
-            STATUSES[entry["status"]],
-            self._zones.number_of(entry.get("zone", "")),
-            entry.get("group", 0),
-            entry.get("weight", 1.0),
-            entry.get("since_ms", 0) / 1000.0,
-            self._machine_types.number_of(entry.get("type", "")),
-        )
-        return DiscoveredEndpoint(endpoint, read_address(entry["address"]))
+    def endpoint(self, entry: EndpointEntry) -> DiscoveredEndpoint:
+        """Read one entry; no class is bound to a zone or machine type that the settings do not name.
+
+        Raises:
+            EntryError: An entry is missing or invalid.
+        """
+        try:
+            endpoint = Endpoint(
+                endpoint_id(entry["name"]),
+                STATUSES[entry["status"]],
+                self._zones.number_of(entry.get("zone", "")),
+                entry.get("group", 0),
+                entry.get("weight", 1.0),
+                entry.get("since_ms", 0) / MS_PER_SECOND,
+                self._machine_types.number_of(entry.get("type", "")),
+            )
+            return DiscoveredEndpoint(endpoint, read_address("address", entry["address"]))
+        except EntryError:
+            raise
+        except (KeyError, TypeError, ValueError, AttributeError) as error:
+            raise _error_of(entry) from error
+
+    def endpoints(self, message: Mapping[str, object]) -> list[DiscoveredEndpoint]:
+        """Read all entries of a message.
 
-    def endpoints(self, message: Mapping[str, Any]) -> list[DiscoveredEndpoint]:
-        """Read all entries of a message."""
-        return [self.endpoint(entry) for entry in message["endpoints"]]
+        Raises:
+            EntryError: An entry is missing or invalid.
+        """
+        entries = require_entry(message, "endpoints")
+        if not isinstance(entries, Iterable):
+            raise InvalidEntryError(key="endpoints", value=entries, expected="a list")
+        endpoints: list[DiscoveredEndpoint] = []
+        try:
+            for entry in entries:
+                endpoints.append(self.endpoint(entry))
+        except EntryError as error:
+            path = f"endpoints[{len(endpoints)}]"
+            raise error.within(path) from error
+        return endpoints
 
-    def check(self, message: Mapping[str, Any]) -> None:
-        """Check the list that a configuration names.
+    def read_list(self, message: Mapping[str, object]) -> EndpointList:
+        """Read a message.
 
         Raises:
-            ConfigError: It can not be read.
+            EntryError: An entry is missing or invalid.
         """
+        endpoints = self.endpoints(require_object("the list", message))
+        index = require_entry(message, "index")
         try:
-            int(message["index"])
-            self.endpoints(message)
-        except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise ConfigError(f"the known list can't be read: {error!r}") from error
+            number = int(cast("int", index))
+        except (TypeError, ValueError) as error:
+            raise InvalidEntryError(key="index", value=index, expected="a whole number") from error
+        return EndpointList(number, endpoints, is_complete=bool(message.get("snapshot")))
 
     def settings_of(self, config: Config) -> Settings:
         """Return a configuration's settings with the numbers that zones and machine types have here."""
-        classes = tuple(self._translate_class(row, config) for row in config.settings.classes)
+        classes = tuple(self._translate_class(each, config) for each in config.settings.classes)
         return replace(config.settings, classes=classes)
 
     def _translate_class(self, request_class: RequestClass, config: Config) -> RequestClass:
@@ -124,3 +179,40 @@
         )
         zones = self._zones.translate(request_class.allowed_zones, config.zone_indices)
         return replace(request_class, allowed_machine_types=machine_types, allowed_zones=zones)
+
+
+def _error_of(entry: object) -> EntryError:
+    """Return the error that names what makes an entry unreadable."""
+    if not isinstance(entry, dict):
+        return InvalidEntryError(key="entry", value=entry, expected="an object")
+    for key in REQUIRED_KEYS:
+        if key not in entry:
+            return MissingEntryError(key)
+    for key, is_valid, expected in VALUE_CHECKS:
+        if key in entry and not is_valid(entry[key]):
+            return InvalidEntryError(key=key, value=entry[key], expected=expected)
+    return InvalidEntryError(key="entry", value=entry, expected="a valid entry")
+
+
+def _is_text(value: object) -> bool:
+    return isinstance(value, str)
+
+
+def _is_status(value: object) -> bool:
+    return isinstance(value, str) and value in STATUSES
+
+
+def _is_number(value: object) -> bool:
+    return isinstance(value, (int, float))
+
+
+REQUIRED_KEYS = ("name", "status", "address")
+#: What an entry's values have to be, in the order in which errors are reported: key, check, and its
+#: description.
+VALUE_CHECKS: tuple[tuple[str, Callable[[object], bool], str], ...] = (
+    ("name", _is_text, "a text"),
+    ("status", _is_status, f"one of {', '.join(STATUSES)}"),
+    ("since_ms", _is_number, "a number"),
+    ("zone", _is_text, "a text"),
+    ("type", _is_text, "a text"),
+)
--- /dev/null
+++ b/proxy/discovery/messages.py
@@ -0,0 +1,46 @@
+"""The endpoint list in the form in which discovery sends it and the configuration file states it."""
+
+from __future__ import annotations
+
+from typing import NotRequired, TypedDict
+
+
+class EndpointEntry(TypedDict):
+    """One backend of the endpoint list.
+
+    Attributes:
+        name: Its name, which stays the same when its process restarts.
+        address: Where it listens, as `host:port`.
+        status: `in_service`, `terminating` or `terminated`.
+        zone: The name of its zone.
+        type: The name of its machine type.
+        group: The number of its deduplication cell.
+        weight: Its capacity relative to other backends.
+        since_ms: When its process started, in milliseconds since the epoch.
+    """
+
+    name: str
+    address: str
+    status: str
+    zone: NotRequired[str]
+    type: NotRequired[str]
+    group: NotRequired[int]
+    weight: NotRequired[float]
+    since_ms: NotRequired[float]
+
+
+class EndpointListMessage(TypedDict):
+    """A complete endpoint list, or a change of it.
+
+    Attributes:
+        index: The version of the list after this message.
+        endpoints: The backends, or those that have changed.
+        snapshot: Whether the list is complete; by default it is a change.
+    """
+
+    index: int
+    endpoints: list[EndpointEntry]
+    snapshot: NotRequired[bool]
+
+
+EMPTY_LIST: EndpointListMessage = {"index": 0, "endpoints": []}
--- a/proxy/discovery/watch.py
+++ b/proxy/discovery/watch.py
@@ -1,7 +1,7 @@
-"""Keeps one watch on discovery open: follows changes, reconnects, resumes where it was.
+"""Keeps one watch on discovery open: receives changes, reconnects, and resumes at the last version.
 
-Owns the address that is watched and the version of the list that was received last. Does not own the list:
-each update goes to a callback.
+It owns the address that is watched and the version of the list that was received last. It does not own the
+list: each update is passed to a callback.
 """
 
 from __future__ import annotations
@@ -11,33 +11,34 @@
 from typing import TYPE_CHECKING, Protocol
 
 from balancer.endpoints import UpdateKind
-from proxy.discovery.watch_connection import Message, WatchConnection
+from proxy.discovery.watch_connection import WatchConnection
 from proxy.event_log import EventLog
 from proxy.logged_events import WatchClosed, WatchOpened
 
 if TYPE_CHECKING:
-    from proxy.config import Address
+    from proxy.address import Address
     from proxy.discovery.endpoint_reader import DiscoveredEndpoint, EndpointReader
+    from proxy.discovery.messages import EndpointListMessage
 
-CONNECT_TIMEOUT = 0.25  # seconds: the agent is on this machine
-#: Seconds before a watch is opened anew that had responded, or that a failing call of the system kept from
-#: being opened: both are over in a moment.
+CONNECT_TIMEOUT = 0.25  # seconds: the agent runs on this machine
+#: Seconds before the next watch if the last one had responded, or if a failed system call of this machine
+#: prevented it: both causes pass quickly.
 REOPEN_DELAY = 0.02
-#: Seconds before one that had not. A short delay costs next to nothing, and once the agent is back, what it
-#: has counts as delivered: a growing backoff would hold it up.
+#: Seconds before the next watch otherwise. A short delay costs almost nothing, and once the agent is back,
+#: its changes count as delivered: an exponential backoff would delay them.
 RETRY_DELAY = 0.1
-MIN_JITTER = 0.5  # the least factor of a delay; the largest is 1 more
+MIN_JITTER = 0.5  # the smallest random factor of a delay; the largest is 1 more
 
 
 class UpdateHandler(Protocol):
-    """Takes updates of the endpoint list."""
+    """Receives updates of the endpoint list."""
 
     def __call__(self, kind: UpdateKind, endpoints: list[DiscoveredEndpoint], /) -> None:
-        """Take one update; a delta without entries says only that discovery responds."""
+        """Handle one update; an empty delta only shows that discovery responds."""
 
 
 class DiscoveryClient:
-    """Keeps one watch open, whatever happens to it, and hands on the updates that come on it."""
+    """Keeps one watch open, reopens it after every end, and reports the updates that arrive on it."""
 
     def __init__(
         self,
@@ -53,8 +54,8 @@
             address: Where discovery listens.
             reader: Reads the entries of the list.
             index: The version of the list that is known already.
-            on_update: Takes the updates.
-            event_log: Takes when watches begin and end; by default nothing does.
+            on_update: Receives the updates.
+            event_log: Receives an event when a watch begins or ends; by default there is no log.
         """
         self._address = address
         self._reader = reader
@@ -62,15 +63,16 @@
         self._on_update = on_update
         self._event_log = event_log or EventLog()
         self._task: asyncio.Task[None] | None = None
-        self._previous_task: asyncio.Task[None] | None = None  # watches the address before, until ours lists
+        #: Watches the previous address until the current watch has received a list.
+        self._previous_task: asyncio.Task[None] | None = None
 
     def open(self) -> None:
-        """Start the watch; nothing happens where it runs already."""
+        """Start the watch, unless it runs already."""
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._run(self._address, self._index))
 
     def move(self, address: Address) -> None:
-        """Watch at another address; the old one's updates count until the new one has sent its list."""
+        """Watch another address; updates from the old one count until the new one has sent its list."""
         if address == self._address:
             return
         self._address = address
@@ -78,32 +80,32 @@
             return
         if self._previous_task is None:
             self._previous_task = self._task
-        else:  # The watch between the two, of several reloads in a row, has sent nothing yet.
+        else:  # The current watch, of a reload shortly before, has received nothing yet.
             self._task.cancel()
-        # From version 0 the answer is the complete list: no change falls between the two services.
+        # From version 0 on the answer is the complete list: no change is lost between the two services.
         self._task = asyncio.get_running_loop().create_task(self._run(address, 0))
 
-    def on_message(self, connection: WatchConnection, message: Message | None) -> None:
-        """Take one message of a watch; None says only that it is alive."""
+    def on_message(self, connection: WatchConnection, message: EndpointListMessage | None) -> None:
+        """Handle one message of a watch; None only shows that the watch is alive."""
         if connection.task is not self._task and connection.task is not self._previous_task:
-            return  # It has been replaced and is not closed yet: the list must not go by it any more.
+            return  # The watch has been replaced and is not closed yet: its updates are out of date.
         if message is None:
             connection.has_responded = True
             self._on_update(UpdateKind.DELTA, [])
             return
-        endpoints = self._reader.endpoints(message)
-        index = int(message["index"])
-        connection.has_responded = True  # only now: what can't be read is not to be called for at once
+        endpoint_list = self._reader.read_list(message)
+        connection.has_responded = True  # only now, as an unreadable list must not be requested again at once
         previous_task = self._previous_task
         if previous_task is not None and connection.task is not previous_task:
             previous_task.cancel()
             self._previous_task = None
         connection.has_listed = True
-        self._index = index
-        self._on_update(UpdateKind.SNAPSHOT if message.get("snapshot") else UpdateKind.DELTA, endpoints)
+        self._index = endpoint_list.index
+        kind = UpdateKind.SNAPSHOT if endpoint_list.is_complete else UpdateKind.DELTA
+        self._on_update(kind, endpoint_list.endpoints)
 
     async def _run(self, address: Address, index: int) -> None:
-        """Watch one address, again and again, from a version of the list on."""
+        """Watch one address repeatedly, from a version of the list on."""
         while True:
             request = b"GET /v1/servers?follow=1&since=%d HTTP/1.1\r\nHost: %b\r\n\r\n" % (
                 index,
@@ -126,7 +128,11 @@
             await asyncio.sleep(delay * (MIN_JITTER + random.random()))
 
     async def _follow(self, address: Address, connection: WatchConnection) -> bool:
-        """Keep one watch until it ends; return whether a call of this machine's system failed instead."""
+        """Run one watch until it ends.
+
+        Returns:
+            Whether a failed system call of this machine ended it.
+        """
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 await asyncio.get_running_loop().create_connection(lambda: connection, *address)
--- a/proxy/early_signal.py
+++ b/proxy/early_signal.py
@@ -1,7 +1,8 @@
-"""Keeps a signal that comes before there is anything that could act on it.
+"""Records a signal that arrives before the process can handle it.
 
-By default SIGHUP ends a process, and operators send it to whole fleets, some of whose processes are just
-starting. Owns whether the signal has come; what follows from that is up to whoever takes the signal over.
+By default SIGHUP ends a process, and operators send it to complete fleets, some of whose processes are just
+starting. This module owns whether the signal has arrived; the code that installs the final handler acts on
+it.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 
 
 class EarlySignal:
-    """Notes that a signal has come, until another handler takes it over.
+    """Records that a signal has arrived, until another handler is installed for it.
 
     Attributes:
-        was_received: Whether it has come.
+        was_received: Whether the signal has arrived.
     """
 
     def __init__(self, number: signal.Signals) -> None:
         self.was_received = False
-        signal.signal(number, self._note)
+        signal.signal(number, self._record)
 
-    def _note(self, _number: int, _frame: FrameType | None) -> None:
+    def _record(self, _number: int, _frame: FrameType | None) -> None:
         self.was_received = True
--- a/proxy/endpoint_table.py
+++ b/proxy/endpoint_table.py
@@ -1,6 +1,6 @@
 """The backends of the endpoint list, by their id.
 
-Owns which backends there are. Does not choose among them, does not read the list (`proxy.discovery` does),
+It owns the set of backends. It does not choose among them, does not read the list (`proxy.discovery` does),
 and does not own the connections to them (`proxy.upstream` does).
 """
 
@@ -16,7 +16,7 @@
 
 
 class EndpointTable:
-    """Keeps one `Backend` for each endpoint of the list.
+    """One `Backend` for each endpoint of the list.
 
     Attributes:
         backends: The backends by the id of their endpoint.
@@ -27,10 +27,14 @@
         self.backends: dict[EndpointId, Backend] = {}
 
     def update(self, kind: UpdateKind, endpoints: list[DiscoveredEndpoint]) -> None:
-        """Take over an update of the endpoint list.
+        """Apply an update of the endpoint list.
 
-        A backend with another address or start time is another incarnation: connections to the one before are
-        not used any more, which `ConnectionPool.update_backend` sees to.
+        A backend with another address or start time is another incarnation: connections to the previous one
+        are not used any more, which `ConnectionPool.update_backend` ensures.
+
+        Args:
+            kind: Whether the update is a complete list or a change.
+            endpoints: The endpoints in it.
         """
         if kind is not UpdateKind.DELTA:
             listed = {discovered.endpoint.id for discovered in endpoints}
@@ -49,14 +53,14 @@
         """Limit the idle connections to this proxy's quota.
 
         Args:
-            fleet_size: How many proxies connect to the same backends.
+            fleet_size: The number of proxies that connect to the same backends.
         """
         self._pool.set_idle_quota(len(self.backends), fleet_size)
 
     def _remove(self, endpoint_id: EndpointId) -> None:
-        """Forget a backend that is gone for good, or memory would fill with them.
+        """Remove a terminated backend: without this, backends would accumulate in memory.
 
-        Attempts that are in flight to it keep the object that they have.
+        Attempts in flight to it keep their reference to the object.
         """
         backend = self.backends.pop(endpoint_id, None)
         if backend is not None:
--- a/proxy/process.py
+++ b/proxy/process.py
@@ -1,6 +1,7 @@
 """The process of one proxy, from its configuration to its exit code.
 
-Owns the process: its signals, its exit codes, and the garbage collector. Owns nothing of what the proxy does.
+It owns the process: its signals, its exit codes and the garbage collector's settings. What the proxy does
+belongs to `proxy.proxy` and its parts.
 """
 
 from __future__ import annotations
@@ -12,11 +13,13 @@
 import os
 import signal
 import sys
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
-from proxy.config import Config, ConfigError, load
+from proxy.config import CachedListError, Config, ConfigError
+from proxy.config_file import load
 from proxy.discovery.endpoint_reader import EndpointReader
 from proxy.event_log import EventLog
+from proxy.json_values import EntryError
 from proxy.log import configure_logging
 from proxy.logged_events import ShutdownStarted
 from proxy.proxy import Proxy
@@ -32,10 +35,15 @@
 TERMINATION_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-def report_exception(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Report a defect of a callback, but not that a client has reset a connection whose sending just ends."""
-    fault = context.get("exception")
-    if not (isinstance(fault, OSError) and fault.errno == errno.ENOTCONN):
+def report_exception(loop: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
+    """Report an exception of a callback, except for a reset by a client while a connection is being closed.
+
+    Args:
+        loop: The event loop.
+        context: The event loop's description of the error.
+    """
+    error = context.get("exception")
+    if not (isinstance(error, OSError) and error.errno == errno.ENOTCONN):
         loop.default_exception_handler(context)
 
 
@@ -44,7 +52,7 @@
 
     Args:
         config: The configuration.
-        hangup: Whether a reload was asked for while the process started; the file may have changed since.
+        hangup: Whether a reload was requested during the start; the file may have changed since it was read.
     """
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(report_exception)
@@ -56,11 +64,11 @@
     if hangup is not None and hangup.was_received:
         proxy.reloader.reload(os.environ)
     proxy.listener.bind()
-    # Backends may have begun to drain before this process started: discovery knows, and the list that the
-    # configuration names may not. So connections wait in the accept queue until discovery's list has come.
+    # Backends may have begun to drain before this process started, which discovery knows and the cached list
+    # may not: connections wait in the accept queue until discovery's list has arrived.
     await proxy.endpoints_loaded.wait()
     listening_socket = await proxy.listener.listen()
-    # What is there now stays: the garbage collector need not look at it again.
+    # All objects of the start are permanent: the garbage collector need not examine them again.
     gc.collect()
     gc.freeze()
     await termination_requested.wait()
@@ -72,9 +80,9 @@
 
 
 def ignore_signals() -> None:
-    """Ignore the signals that `serve` handled: all is done, and one that comes now must look like no crash.
+    """Ignore the signals that `serve` handled: one that arrives after a shutdown must not look like a crash.
 
-    Call it in the event loop, which would else give them back their default action, to end the process.
+    Call it in the event loop, whose end would restore the signals' default action, to end the process.
     """
     loop = asyncio.get_running_loop()
     for number in (*TERMINATION_SIGNALS, signal.SIGHUP):
@@ -82,22 +90,38 @@
         signal.signal(number, signal.SIG_IGN)
 
 
-async def _serve_to_the_end(config: Config, hangup: EarlySignal | None) -> None:
+async def _serve_and_ignore_signals(config: Config, hangup: EarlySignal | None) -> None:
     await serve(config, hangup)
     ignore_signals()
 
 
+def _check_cached_list(config: Config) -> None:
+    """Read the cached endpoint list on trial: an error in it has to show before the process listens.
+
+    Raises:
+        CachedListError: The list is invalid.
+    """
+    try:
+        EndpointReader(config.zone_indices, config.machine_type_indices).read_list(config.cached_list)
+    except EntryError as error:
+        raise CachedListError(error) from error
+
+
 def run(hangup: EarlySignal | None = None) -> int:
-    """Run a proxy and return the process's exit code; `hangup` is as for `serve`."""
+    """Run a proxy and return the exit code of its process.
+
+    Args:
+        hangup: Whether a reload was requested during the start.
+    """
     try:
         config = load(os.environ)
-        EndpointReader(config.zone_indices, config.machine_type_indices).check(config.cached_list)
+        _check_cached_list(config)
     except ConfigError as error:
         print(f"proxy: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIG
     configure_logging()
     try:
-        asyncio.run(_serve_to_the_end(config, hangup))
+        asyncio.run(_serve_and_ignore_signals(config, hangup))
     except OSError as error:
         print(f"proxy: {config.listen}: {error}", file=sys.stderr)
         return EXIT_CAN_NOT_LISTEN
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -1,11 +1,13 @@
-"""Builds one proxy: makes its parts and connects them.
+"""Builds one proxy: creates its parts and connects them.
 
-Owns the parts, and whether the endpoint list is loaded. Each part's own module says what that part does.
+It owns the parts, and whether the endpoint list is loaded. Each part's own module describes what the part
+does.
 """
 
 from __future__ import annotations
 
 import asyncio
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 from balancer.balancer import Balancer
@@ -21,55 +23,74 @@
 from proxy.event_log import EventLog
 from proxy.invariants import InvariantMonitor
 from proxy.logged_events import EndpointsUpdated
-from proxy.reload import ConfigReloader
+from proxy.reload import ConfigReloader, ReconfigurableParts
 from proxy.shutdown import GracefulShutdown
 from proxy.upstream import ConnectionPool
 
 if TYPE_CHECKING:
     from proxy.config import Config
 
-RESERVED_SOCKETS = 48  # descriptors for the listener, discovery, the loop, and clients beyond the limit
+RESERVED_SOCKETS = 48  # descriptors for the listener, discovery, the event loop, and clients beyond the limit
 MIN_SOCKETS = 8  # descriptors for connections, however few the configuration allows
-CLIENT_SOCKET_SHARE = 0.5  # the clients' part of the descriptors that are not reserved
-CACHED_LIST_DELAY = 0.3  # seconds to wait for discovery's list before the configuration's one serves
+CLIENT_SOCKET_FRACTION = 0.5  # the clients' part of the descriptors that are not reserved
+CACHED_LIST_DELAY = 0.3  # seconds to wait for discovery's list before the cached one is used
 EMPTY_LIST_DELAY = 6.0  # seconds to wait for any list: an update counts as delivered by then
 
 
+@dataclass(slots=True, frozen=True)
+class ConnectionLimits:
+    """How many connections there may be on each side of the proxy.
+
+    Attributes:
+        clients: Connections of clients.
+        backends: Connections to backends.
+    """
+
+    clients: int
+    backends: int
+
+
+def connection_limits(max_sockets: int) -> ConnectionLimits:
+    """Divide the descriptors that a process may use between its two sides."""
+    available = max(MIN_SOCKETS, max_sockets - RESERVED_SOCKETS)
+    clients = int(CLIENT_SOCKET_FRACTION * available)
+    return ConnectionLimits(clients=clients, backends=available - clients)
+
+
 class Proxy:
-    """One running proxy: the decisions between clients, backends and discovery.
+    """One running proxy: the balancer between clients, backends and discovery.
 
     Attributes:
-        clock: The decisions' time.
+        clock: The balancer's time.
         reader: Reads the entries of the endpoint list.
-        balancer: The decisions.
+        balancer: Decides where requests are sent.
         pool: The connections to backends.
-        endpoint_table: The backends of the list.
+        endpoint_table: The backends of the endpoint list.
         discovery: The watch on discovery.
         dispatcher: Takes requests to their answers.
         listener: The clients' connections.
         shutdown: Ends the proxy.
-        reloader: Takes over new configurations.
-        event_log: Takes what happens to requests and connections; off unless the environment asks for it.
-        monitor: Counts violations of the rules.
-        endpoints_loaded: Set once the endpoint list has come, or nobody is there to send it.
+        reloader: Applies new configurations.
+        event_log: Receives the events of requests and connections; off unless the environment enables it.
+        monitor: Counts violations of the invariants.
+        endpoints_loaded: Set once the endpoint list has arrived, or the wait for it has ended.
     """
 
     def __init__(self, config: Config, event_log: EventLog | None = None) -> None:
-        loop = asyncio.get_running_loop()
-        max_sockets = max(MIN_SOCKETS, config.max_sockets - RESERVED_SOCKETS)
-        max_clients = int(CLIENT_SOCKET_SHARE * max_sockets)
         self.endpoints_loaded = asyncio.Event()
         self.event_log = event_log or EventLog()
         self.monitor = InvariantMonitor(self.event_log)
-        self.clock = EpochClock(loop)
+        self.clock = EpochClock(asyncio.get_running_loop())
         self.reader = EndpointReader(config.zone_indices, config.machine_type_indices)
         self.balancer = Balancer(self.reader.settings_of(config), config.seed)
+        limits = connection_limits(config.max_sockets)
         self.pool = ConnectionPool(
-            max_sockets - max_clients, config.backend_idle_timeout, config.dial_timeout, config.memory_limit
+            limits.backends, config.backend_idle_timeout, config.dial_timeout, config.memory_limit
         )
         self.endpoint_table = EndpointTable(self.pool)
+        cached_list = self.reader.read_list(config.cached_list)
         self.discovery = DiscoveryClient(
-            config.discovery, self.reader, config.cached_list["index"], self.on_update, self.event_log
+            config.discovery, self.reader, cached_list.index, self.on_update, self.event_log
         )
         self.dispatcher = Dispatcher(
             DispatchContext(
@@ -83,36 +104,37 @@
             )
         )
         self.listener = Listener(
-            config, max_clients, self.dispatcher.on_request, self.monitor, self.event_log
+            config, limits.clients, self.dispatcher.on_request, self.monitor, self.event_log
         )
         self.shutdown = GracefulShutdown(self.listener, self.dispatcher)
-        self.reloader = ConfigReloader(
-            self.reader,
-            self.listener,
-            self.dispatcher,
-            self.endpoint_table,
-            self.pool,
-            self.discovery,
-            self.shutdown.has_begun,
+        self.reloader = ConfigReloader(self._reconfigurable_parts(), self.shutdown.has_started)
+        self._start(config, cached_list.endpoints)
+
+    def _reconfigurable_parts(self) -> ReconfigurableParts:
+        return ReconfigurableParts(
+            reader=self.reader,
+            listener=self.listener,
+            dispatcher=self.dispatcher,
+            endpoint_table=self.endpoint_table,
+            pool=self.pool,
+            discovery=self.discovery,
         )
-        self._start(config)
 
-    def _start(self, config: Config) -> None:
-        """Begin with the list that the configuration names, and wait for discovery to send a newer one."""
+    def _start(self, config: Config, cached_endpoints: list[DiscoveredEndpoint]) -> None:
+        """Start with the list that the configuration states, and wait for discovery to send a newer one."""
         loop = asyncio.get_running_loop()
-        self._update_endpoints(UpdateKind.CACHED, self.reader.endpoints(config.cached_list))
+        self._update_endpoints(UpdateKind.CACHED, cached_endpoints)
         self.dispatcher.start()
         if config.settings.discovery is DiscoveryMode.PUSHED:
             self.discovery.open()
-        # Where discovery is down at the start, an old list serves better than none.
-        has_cached_list = bool(config.cached_list["endpoints"])
-        on_delay = self._mark_loaded if has_cached_list else self.endpoints_loaded.set
+        # Where discovery is unavailable at the start, an old list serves better than none.
+        on_delay = self._mark_loaded if cached_endpoints else self.endpoints_loaded.set
         loop.call_later(CACHED_LIST_DELAY, on_delay)
         # A tier may start without any list while discovery is down: its proxies have to be ready in 10 s.
         loop.call_later(EMPTY_LIST_DELAY, self._mark_loaded)
 
     def on_update(self, kind: UpdateKind, endpoints: list[DiscoveredEndpoint]) -> None:
-        """Take an update of the endpoint list; a delta without entries says only that discovery responds."""
+        """Apply an update of the endpoint list; an empty delta only shows that discovery responds."""
         if endpoints or kind is not UpdateKind.DELTA:
             self._update_endpoints(kind, endpoints)
         self._mark_loaded()
--- a/proxy/reload.py
+++ b/proxy/reload.py
@@ -1,16 +1,17 @@
-"""Takes over a new configuration while the proxy runs.
+"""Applies a new configuration while the proxy runs.
 
-Owns how many configurations have been put in force. Does not read the file (`proxy.config` does); the
-configuration in force is the listener's.
+It owns the number of configurations applied so far. It does not read the file (`proxy.config_file` does); the
+configuration in force belongs to the listener.
 """
 
 from __future__ import annotations
 
 import logging
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from proxy.config import Config, ConfigError, load
+from proxy.config import Config, ConfigError
+from proxy.config_file import load
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
@@ -24,7 +25,8 @@
 
 logger = logging.getLogger(__name__)
 
-#: What identifies the process, and so needs a restart to change: the field, and what the log calls it.
+#: What identifies the process, and therefore needs a restart to change: the fields of `Config`, and the
+#: entries of the file that the log names.
 IDENTITY_FIELDS = {
     "name": "name",
     "listen": "listen",
@@ -35,83 +37,105 @@
 }
 
 
+@dataclass(slots=True, frozen=True)
+class ReconfigurableParts:
+    """The parts of a proxy that a new configuration affects.
+
+    Attributes:
+        reader: Knows the numbers of zones and machine types.
+        listener: Owns the configuration in force.
+        dispatcher: Applies the settings to the balancer and to active requests.
+        endpoint_table: Applies the fleet's size to the limit on idle connections.
+        pool: Applies the timeouts of connections to backends.
+        discovery: Applies the address of discovery.
+    """
+
+    reader: EndpointReader
+    listener: Listener
+    dispatcher: Dispatcher
+    endpoint_table: EndpointTable
+    pool: ConnectionPool
+    discovery: DiscoveryClient
+
+
 class ConfigReloader:
-    """Puts new configurations in force, each complete and in one instant, or not at all."""
-
-    def __init__(
-        self,
-        reader: EndpointReader,
-        listener: Listener,
-        dispatcher: Dispatcher,
-        endpoint_table: EndpointTable,
-        pool: ConnectionPool,
-        discovery: DiscoveryClient,
-        is_shutting_down: Callable[[], bool],
-    ) -> None:
-        self._reader = reader
-        self._listener = listener
-        self._dispatcher = dispatcher
-        self._endpoint_table = endpoint_table
-        self._pool = pool
-        self._discovery = discovery
+    """Applies new configurations, each completely and within one turn of the event loop, or not at all."""
+
+    def __init__(self, parts: ReconfigurableParts, is_shutting_down: Callable[[], bool]) -> None:
+        """Prepare for reloads.
+
+        Args:
+            parts: The parts to reconfigure.
+            is_shutting_down: Returns whether the process is shutting down.
+        """
+        self._parts = parts
         self._is_shutting_down = is_shutting_down
-        self._config_count = 1  # configurations in force so far, with the one of the start
+        self._config_count = 1  # configurations applied so far, with the one at the start
 
     def reload(self, environ: Mapping[str, str]) -> None:
-        """Read the configuration file again and log what came of it.
+        """Read the configuration file again, apply it and log the result.
+
+        A file that can't be applied changes nothing, and is reported in one line.
 
-        A file that can not be taken changes nothing, and says so in one line.
+        Args:
+            environ: Names the file, as for `load`.
         """
-        # The environment still names the discovery of the start: where it is now is up to the file.
+        # The environment still names the discovery of the start: the current one is up to the file.
         environ = {name: value for name, value in environ.items() if name != "RELAY_DISCOVERY"}
         try:
             lines = self.apply(load(environ))
         except ConfigError as error:
-            logger.warning("reload: refused, version %s stays: %s", self._listener.version, error)
+            logger.warning("reload: refused, version %s stays: %s", self._parts.listener.version, error)
             return
         for line in lines:
             logger.info("reload: %s", line)
 
     def apply(self, proposed: Config) -> list[str]:
-        """Take over what a new configuration may change: its settings, and where discovery is.
+        """Apply what a new configuration may change: its settings, and the address of discovery.
 
         Returns:
-            A line of text for each thing to log.
+            The lines to log.
 
         Raises:
             ConfigError: The settings need a restart; nothing has changed.
         """
-        in_force = self._listener.config
+        listener = self._parts.listener
+        in_force = listener.config
         identity = {field: getattr(in_force, field) for field in IDENTITY_FIELDS}
         lines = [
             f"{IDENTITY_FIELDS[field]} is another, which needs a restart: the one of the start stays"
             for field, value in identity.items()
             if getattr(proposed, field) != value
         ]
-        only_moved = replace(in_force, discovery=proposed.discovery)
         config = replace(proposed, **identity)
-        version = self._listener.version
-        if config != only_moved and self._is_shutting_down():
-            # The shutdown goes by the settings that it began with; the endpoint list still counts.
+        with_discovery_only = replace(in_force, discovery=proposed.discovery)
+        version = listener.version
+        if config != with_discovery_only and self._is_shutting_down():
+            # A shutdown keeps the settings that it began with; the endpoint list still matters.
             lines.append(f"the process is ending: version {version} stays")
-            config = only_moved
-        elif config != only_moved:
+            config = with_discovery_only
+        elif config != with_discovery_only:
             self._apply_settings(config)
             self._config_count += 1
             version = config.version(self._config_count)
             lines.append(f"version {version} is in force")
         if config.discovery != in_force.discovery:
             lines.append(f"discovery is at {config.discovery}")
-        self._listener.apply_config(config, version)
-        self._discovery.move(config.discovery)
+        listener.apply_config(config, version)
+        self._parts.discovery.move(config.discovery)
         return lines
 
     def _apply_settings(self, config: Config) -> None:
-        """Put settings in force; ConfigError, with nothing changed, where they need a restart."""
+        """Apply settings.
+
+        Raises:
+            ConfigError: They need a restart; nothing has changed.
+        """
+        parts = self._parts
         try:
-            self._dispatcher.reconfigure(self._reader.settings_of(config), config.settings.classes)
+            parts.dispatcher.reconfigure(parts.reader.settings_of(config), config.settings.classes)
         except ValueError as error:
             raise ConfigError(str(error)) from error
-        self._pool.reconfigure(config.backend_idle_timeout, config.dial_timeout)
-        self._endpoint_table.update_idle_quota(config.settings.fleet_size)
-        self._dispatcher.end_misplaced_attempts()
+        parts.pool.reconfigure(config.backend_idle_timeout, config.dial_timeout)
+        parts.endpoint_table.update_idle_quota(config.settings.fleet_size)
+        parts.dispatcher.end_misplaced_attempts()
--- a/proxy/upstream/backend.py
+++ b/proxy/upstream/backend.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from proxy.config import Address
+    from proxy.address import Address
 
 
 class Backend:
--- a/proxy/upstream/connection_pool.py
+++ b/proxy/upstream/connection_pool.py
@@ -18,7 +18,7 @@
 from proxy.upstream.memory_budget import MemoryBudget
 
 if TYPE_CHECKING:
-    from proxy.config import Address
+    from proxy.address import Address
     from proxy.upstream.attempt import UpstreamAttempt
     from proxy.upstream.backend import Backend
 
--- a/tests/emulator/test_proxy_config.py
+++ b/tests/emulator/test_proxy_config.py
@@ -10,13 +10,15 @@
 from emulator.fleet.stub_fleet import endpoint_snapshot, stub_proxy_settings
 from emulator.runs.latency_trials import ALL_ROWS
 from emulator.runs.settings_changes import settings_after
-from proxy.config import Config, load
+from proxy.config_file import load
 from testbed.health_check import has_label
 from testbed.proxy_config import ProxyConfig
 
 if TYPE_CHECKING:
     from pathlib import Path
 
+    from proxy.config import Config
+
 
 @pytest.fixture
 def path(tmp_path: Path) -> Path:
--- /dev/null
+++ b/tests/proxy/discovery/test_endpoint_reader.py
@@ -0,0 +1,91 @@
+"""Reading the endpoint list: the errors of entries that can't be read, and the numbers of zones."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import pytest
+
+from proxy.discovery.endpoint_reader import EndpointReader
+from proxy.json_values import EntryError
+from tests.support.proxy_inputs import HOST, endpoint_entry
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+
+@pytest.fixture
+def reader() -> EndpointReader:
+    """Return a reader whose settings name the zones of the usual entries."""
+    return EndpointReader({"here": 0, "there": 1}, {"k": 0})
+
+
+@pytest.mark.parametrize(
+    ("change", "problem"),
+    [
+        ({"name": 7}, "name: 7 is not a text"),
+        ({"status": "asleep"}, "status: 'asleep' is not one of in_service, terminating, terminated"),
+        ({"status": []}, "status: [] is not one of in_service, terminating, terminated"),
+        ({"address": "nowhere"}, "address: 'nowhere' is not an address of the form host:port"),
+        ({"address": 7}, "address: 7 is not an address of the form host:port"),
+        ({"address": f"{HOST}:65536"}, f"address: '{HOST}:65536' is not an address of the form host:port"),
+        ({"since_ms": "now"}, "since_ms: 'now' is not a number"),
+        ({"zone": []}, "zone: [] is not a text"),
+        ({"type": {}}, "type: {} is not a text"),
+    ],
+)
+def test_error_names_the_entry_the_value_and_what_is_expected(
+    reader: EndpointReader, change: Mapping[str, object], problem: str
+) -> None:
+    entries = [endpoint_entry("a", f"{HOST}:1"), endpoint_entry("b", f"{HOST}:2") | dict(change)]
+    with pytest.raises(EntryError) as caught:
+        reader.read_list({"index": 7, "endpoints": entries})
+    assert str(caught.value) == f"endpoints[1].{problem}"
+
+
+@pytest.mark.parametrize("key", ["name", "status", "address"])
+def test_missing_value_of_an_entry_is_named(reader: EndpointReader, key: str) -> None:
+    entry = endpoint_entry("a", f"{HOST}:1")
+    del entry[key]
+    with pytest.raises(EntryError, match=rf"endpoints\[0\]\.{key} is missing"):
+        reader.read_list({"index": 7, "endpoints": [entry]})
+
+
+@pytest.mark.parametrize(
+    ("message", "problem"),
+    [
+        ({"endpoints": []}, "index is missing"),
+        ({"index": 7}, "endpoints is missing"),
+        ({"index": 7, "endpoints": 7}, "endpoints: 7 is not a list"),
+        ({"index": 7, "endpoints": ["a"]}, "endpoints[0].entry: 'a' is not an object"),
+        ({"index": "x", "endpoints": []}, "index: 'x' is not a whole number"),
+        ({"index": None, "endpoints": []}, "index: None is not a whole number"),
+    ],
+)
+def test_error_of_a_message_names_its_key(
+    reader: EndpointReader, message: Mapping[str, object], problem: str
+) -> None:
+    with pytest.raises(EntryError) as caught:
+        reader.read_list(message)
+    assert str(caught.value) == problem
+
+
+def test_list_that_is_no_object_is_rejected(reader: EndpointReader) -> None:
+    with pytest.raises(EntryError, match="is not an object"):
+        reader.read_list([])  # type: ignore[arg-type]  # what discovery sends may be anything
+
+
+def test_long_values_are_shortened_in_errors(reader: EndpointReader) -> None:
+    with pytest.raises(EntryError) as caught:
+        reader.read_list({"index": "x" * 10_000, "endpoints": []})
+    assert len(str(caught.value)) < 100
+
+
+def test_entries_become_endpoints_with_the_numbers_of_the_settings(reader: EndpointReader) -> None:
+    entries = [endpoint_entry("a", f"{HOST}:1", since_ms=2500), endpoint_entry("b", f"{HOST}:2")]
+    entries[1] |= {"zone": "elsewhere", "type": "k"}
+    endpoint_list = reader.read_list({"index": 7, "snapshot": True, "endpoints": entries})
+    first, second = endpoint_list.endpoints
+    assert (endpoint_list.index, endpoint_list.is_complete) == (7, True)
+    assert (first.endpoint.zone, first.endpoint.started, first.address) == (0, 2.5, (HOST, 1))
+    assert (second.endpoint.zone, second.endpoint.machine_type) == (2, 0)  # the first number that is free
--- a/tests/proxy/test_config.py
+++ b/tests/proxy/test_config.py
@@ -8,10 +8,11 @@
 
 import pytest
 
-from proxy.config import ConfigError, load
+from proxy.config import ConfigError
+from proxy.config_file import load
 from proxy.process import run
-from tests.support.config_files import BAD_FILES, file_with, file_with_settings, raw_config
-from tests.support.proxy_inputs import HOST
+from tests.support.config_files import BAD_FILES, READ_CLASS, file_with, file_with_settings, raw_config
+from tests.support.proxy_inputs import HOST, endpoint_entry
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -30,6 +31,55 @@
     assert line.startswith(f"proxy: {config_path}: " if "is not an address" not in line else "proxy: ")
 
 
+@pytest.mark.parametrize(
+    ("content", "problem"),
+    [
+        (b"[]", "the file: [] is not an object"),
+        (file_with(settings=None), "settings is missing"),
+        (file_with(limits={}), "limits.sockets is missing"),
+        (file_with(limits={"sockets": "many"}), "limits.sockets: 'many' is not a number from 1 to 1e+09"),
+        (file_with(seed="xyz"), "seed: 'xyz' is not a text of hexadecimal digits"),
+        (file_with(discovery="nowhere"), "discovery: 'nowhere' is not an address of the form host:port"),
+        (file_with_settings(Services=[7]), "Services[0]: 7 is not an object"),
+        (file_with_settings(Zones=["a", "a"]), "Zones: ['a', 'a'] is not a list of different names"),
+        (
+            file_with_settings(Services=[READ_CLASS | {"AllowedIn": [2]}]),
+            "Services[0].AllowedIn: [2] is not a list of positions in Zones",
+        ),
+        (
+            file_with_settings(RegistryMode="asked"),
+            "RegistryMode: 'asked' is not one of pushed, on_request",
+        ),
+    ],
+)
+def test_error_names_the_key_the_value_and_what_is_expected(
+    config_path: Path, content: bytes, problem: str
+) -> None:
+    config_path.write_bytes(content)
+    with pytest.raises(ConfigError) as caught:
+        load(os.environ)
+    assert str(caught.value) == f"{config_path}: {problem}"
+
+
+def test_error_in_the_environment_names_the_variable(
+    config_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    config_path.write_bytes(file_with())
+    monkeypatch.setenv("RELAY_LISTEN", "nowhere")
+    with pytest.raises(ConfigError, match="RELAY_LISTEN: 'nowhere' is not an address"):
+        load(os.environ)
+
+
+def test_proxy_does_not_start_from_a_bad_endpoint_list(
+    config_path: Path, log_lines: Callable[[], list[str]]
+) -> None:
+    entry = endpoint_entry("a", f"{HOST}:1", status="asleep")
+    config_path.write_bytes(file_with(known={"index": 7, "endpoints": [entry]}))
+    assert run() == 2
+    [line] = log_lines()
+    assert line.startswith("proxy: the known list can't be read: endpoints[0].status: 'asleep' is not one of")
+
+
 def test_digest_goes_by_the_settings_alone_and_not_by_the_order_of_the_file(config_path: Path) -> None:
     reversed_file = json.dumps(dict(reversed(raw_config().items()))).encode()
     versions = set()
--- a/tests/proxy/test_startup.py
+++ b/tests/proxy/test_startup.py
@@ -11,7 +11,7 @@
 import pytest
 
 from balancer.settings_reader import read_settings
-from proxy.config import Address
+from proxy.address import Address
 from proxy.process import serve
 from tests.support.loopback import (
     UNLIMITED,
--- a/tests/support/pool_scenario.py
+++ b/tests/support/pool_scenario.py
@@ -7,7 +7,7 @@
 
 from balancer.events import Outcome
 from balancer.settings_reader import read_settings
-from proxy.config import Address
+from proxy.address import Address
 from proxy.upstream.attempt import AttemptCallbacks, UpstreamAttempt
 from proxy.upstream.backend import Backend as PoolBackend
 from proxy.upstream.connection_pool import ConnectionPool
--- a/tests/support/proxy_inputs.py
+++ b/tests/support/proxy_inputs.py
@@ -5,7 +5,8 @@
 from typing import TYPE_CHECKING, Any
 
 from balancer.settings_reader import read_settings
-from proxy.config import Address, Config
+from proxy.address import Address
+from proxy.config import Config
 
 if TYPE_CHECKING:
     from balancer.settings import Settings
--- a/tests/support/reloadable_proxy.py
+++ b/tests/support/reloadable_proxy.py
@@ -7,7 +7,7 @@
 from contextlib import asynccontextmanager
 from typing import TYPE_CHECKING, Any
 
-from proxy.config import load
+from proxy.config_file import load
 from proxy.proxy import Proxy
 from tests.support.config_files import raw_config
 from tests.support.loopback import RunningProxy, Script, StubBackend, stub_backend
