--- a/balancer/admission_control.py
+++ b/balancer/admission_control.py
@@ -54,7 +54,7 @@
         self.admitted_alone = ADMITTED_ALONE if settings.fleet_size <= settings.zone_count else 0.0
 
     def rejection(
-        self, now: float, pool: EndpointPool, class_index: int, within_quota: bool
+        self, now: float, pool: EndpointPool, class_index: int, *, is_within_quota: bool
     ) -> RejectReason | None:
         """Return why not to admit a request that is counted as pending already; None to admit it.
 
@@ -68,7 +68,7 @@
             return None
         shrink = min(1.0, FAILING_SLOPE * pool.breaker.failure_ratio(now))
         budget = self._wait_budget(class_index, shrink)
-        if not within_quota:
+        if not is_within_quota:
             budget *= 1.0 - (1.0 - self._settings.over_quota_weight) * shrink
         age = now - pool.first_request_at
         # At the start nothing can have been served yet, and smoothed rates still count from zero.
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -22,6 +22,8 @@
     NEVER_RAN,
     Action,
     Fail,
+    IncomingRequest,
+    MisplacedAttempt,
     Outcome,
     Reject,
     RejectReason,
@@ -86,33 +88,25 @@
             pool.set_ready(ready)
         self.subsetting.resize(now, self.assignment.pools)
 
-    def on_request(
-        self,
-        now: float,
-        request_id: RequestId,
-        class_index: int = 0,
-        tenant: int = 0,
-        deadline: float | None = None,
-        cost: float = 0.0,
-        retry: bool = False,
-    ) -> list[Action]:
+    def on_request(self, now: float, incoming: IncomingRequest) -> list[Action]:
         """Take a new request; from here on exactly one final answer is pending."""
-        self.settings.check_request(class_index, tenant, deadline, cost)
+        request_id, class_index, deadline = incoming.request_id, incoming.class_index, incoming.deadline
+        self.settings.check_request(incoming)
         if request_id in self.requests:
-            raise InvalidValueError("request_id", f"{request_id!r} is open already")
+            raise InvalidValueError(field="request_id", problem=f"{request_id!r} is open already")
         request_class, limits = self.settings.classes[class_index], self.settings.limits
         if deadline is None:
             deadline = now + request_class.deadline
-        until = self.client_timeouts.useful_until(now, class_index, deadline, retry)
+        until = self.client_timeouts.useful_until(now, class_index, deadline, is_retry=incoming.is_retry)
         pool, budget = self.assignment.by_class[class_index], self.admission.wait_budgets[class_index]
         request = RequestState(request_id, class_index, request_class, limits, pool, budget, deadline, until)
-        request.cost = cost or 1.0
+        request.cost = incoming.cost or 1.0
         self.requests[request_id] = request
         self.retry_budgets.record_request(now)
         pool.record_request(now)
         if now >= self.subsetting.resize_at:
             self.subsetting.resize(now, self.assignment.pools)
-        rejection = self._rejection(now, request, tenant)
+        rejection = self._rejection(now, request, incoming.tenant)
         if rejection is not None:
             return self._answer(now, request, rejection)
         # All endpoints but the warming ones stand in for a dead subset: other subsets share the budget.
@@ -127,7 +121,7 @@
         within_quota = self.tenant_quotas.take_token(now, tenant)
         if not in_time:
             return RejectReason.NO_TIME
-        return self.admission.rejection(now, request.pool, request.class_index, within_quota)
+        return self.admission.rejection(now, request.pool, request.class_index, is_within_quota=within_quota)
 
     def _dispatch(self, now: float, request: RequestState, endpoints: list[EndpointState]) -> list[Action]:
         """Start an attempt at the best candidate whose breaker lets it through; no actions if none does."""
@@ -147,7 +141,7 @@
         target.in_flight[attempt] = None
         pool = request.pool
         pool.sent_rate.add(now)
-        pool.warm_rate.add(now, pool.warm_fraction >= 1.0)
+        pool.warm_rate.add(now, is_warm=pool.warm_fraction >= 1.0)
         request.attempts.append(attempt)
         request.open_attempts += 1
         timeout = request.useful_until - now if request.useful_until < request.deadline else 0.0
@@ -155,7 +149,7 @@
         return [StartAttempt(request.id, target.endpoint.id, timeout), *hedge]
 
     def send_rejection(
-        self, now: float, request_id: RequestId, number: int, client_disconnected: bool = False
+        self, now: float, request_id: RequestId, number: int, *, client_disconnected: bool = False
     ) -> SendRejection | None:
         """Return why an attempt may not be written to its endpoint now; None if it may.
 
@@ -189,6 +183,7 @@
         number: int,
         outcome: Outcome,
         latency: float,
+        *,
         last: bool = False,
     ) -> list[Action]:
         """Learn from an attempt that ended, then retry, answer or wait; `last`: its outcome is the answer."""
@@ -273,10 +268,10 @@
             self._rebuild_pools(now)
         return []
 
-    def misplaced_attempts(self) -> list[tuple[RequestId, int]]:
+    def misplaced_attempts(self) -> list[MisplacedAttempt]:
         """Return the open attempts that `reconfigure` has left misplaced; end those that are not sent yet."""
         return [
-            (request.id, number)
+            MisplacedAttempt(request.id, number)
             for request in self.requests.values()
             for number, attempt in enumerate(request.attempts)
             if attempt.is_open and not request.pool.allows(attempt.target.endpoint)
--- a/balancer/client_timeouts.py
+++ b/balancer/client_timeouts.py
@@ -24,7 +24,7 @@
         self.usual = [self.usual[n] if n >= 0 else 0 for n in previous]
         self._settings = settings
 
-    def useful_until(self, now: float, class_index: int, deadline: float, retry: bool) -> float:
+    def useful_until(self, now: float, class_index: int, deadline: float, *, is_retry: bool) -> float:
         """Return until when an answer to a new request is of use.
 
         Classes whose late answers lose half of their weight or more are not waited for beyond their latency
@@ -35,7 +35,7 @@
             return deadline
         began = now
         if self._settings.tier == 0:
-            may_be_retry = retry or not self._settings.clients_mark_retries
+            may_be_retry = is_retry or not self._settings.clients_mark_retries
             if self._is_unusual(class_index, deadline - now) and may_be_retry:
                 began = min(now, deadline - request_class.deadline)
         elif self._settings.propagates_deadline:
--- a/balancer/events.py
+++ b/balancer/events.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import KW_ONLY, dataclass, field
 from enum import Enum
 from typing import TYPE_CHECKING
 
@@ -61,6 +61,43 @@
     ATTEMPTS_FAILED = "attempts_failed"  # each attempt failed, and none may follow
 
 
+@dataclass(slots=True)
+class IncomingRequest:
+    """A new request, as the caller of `Balancer.on_request` describes it; the balancer never changes it.
+
+    Not frozen: a frozen dataclass takes more than twice as long to create, and each request needs one.
+
+    Attributes:
+        request_id: Its id, which no open request has.
+        class_index: Its class, as an index into `Settings.classes`.
+        tenant: Its tenant, as an index into `Settings.tenants`; 0 where there are none.
+        deadline: When its client gives up, in seconds on the caller's clock; None: a class deadline from now.
+        cost: The work that it is expected to need, in any unit that all requests share; 0: not known.
+        is_retry: Whether the client has marked it as a retry.
+    """
+
+    request_id: RequestId
+    _: KW_ONLY
+    class_index: int = 0
+    tenant: int = 0
+    deadline: float | None = None
+    cost: float = 0.0
+    is_retry: bool = False
+
+
+@dataclass(slots=True)
+class MisplacedAttempt:
+    """An open attempt at an endpoint that new settings do not allow its request; see `Balancer.reconfigure`.
+
+    Attributes:
+        request: The id of its request.
+        attempt: Its number among the attempts of the request, counted from 0.
+    """
+
+    request: RequestId
+    attempt: int
+
+
 @dataclass(slots=True)
 class StartAttempt:
     """Send the request to an endpoint; `timeout` 0 means until the client gives up."""
--- a/balancer/rate_estimators.py
+++ b/balancer/rate_estimators.py
@@ -33,14 +33,14 @@
     def __init__(self) -> None:
         self._at = self._events = self._time = 0.0
 
-    def add(self, now: float, warm: bool) -> None:
+    def add(self, now: float, *, is_warm: bool) -> None:
         """Count one event and the time since the last, unless endpoints were warming up then or are now."""
-        if warm and self._at > 0.0:
+        if is_warm and self._at > 0.0:
             gap = now - self._at
             decay = exp(-gap / WARM_RATE_SPAN)
             self._events = decay * self._events + 1.0
             self._time = decay * self._time + gap
-        self._at = now if warm else 0.0
+        self._at = now if is_warm else 0.0
 
     def read(self) -> float:
         """Return the rate; infinite while too little is known."""
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -18,6 +18,8 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
+    from balancer.events import IncomingRequest
+
 MAX_COUNT = 1 << 20  # instances, tiers or zones: one part of so many must not vanish among the figures
 
 
@@ -183,7 +185,7 @@
     def check(self) -> None:
         """Raise InvalidValueError naming the first field that makes no sense."""
         if not self.classes:
-            raise InvalidValueError("classes", "at least one is needed")
+            raise InvalidValueError(field="classes", problem="at least one is needed")
         for i, request_class in enumerate(self.classes):
             request_class.check(f"classes[{i}]")
         for i, tenant in enumerate(self.tenants):
@@ -212,13 +214,13 @@
             if len(set(names)) < len(names):
                 raise InvalidValueError(name, "two have the same name")
 
-    def check_request(self, class_index: int, tenant: int, deadline: float | None, cost: float) -> None:
-        """Raise InvalidValueError naming the argument of a request that makes no sense."""
-        check_index("class_index", class_index, len(self.classes))
-        check_index("tenant", tenant, max(1, len(self.tenants)))
-        if deadline is not None:
-            check_number("deadline", deadline, -math.inf)
-        check_number("cost", cost)
+    def check_request(self, request: IncomingRequest) -> None:
+        """Raise InvalidValueError naming the first field of a request that makes no sense."""
+        check_index("class_index", request.class_index, len(self.classes))
+        check_index("tenant", request.tenant, max(1, len(self.tenants)))
+        if request.deadline is not None:
+            check_number("deadline", request.deadline, -math.inf)
+        check_number("cost", request.cost)
 
 
 def _intersection(one: tuple[int, ...] | None, other: tuple[int, ...] | None) -> tuple[int, ...] | None:
--- a/balancer/simulator/session.py
+++ b/balancer/simulator/session.py
@@ -8,7 +8,7 @@
 
 from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, UpdateKind
-from balancer.events import Action
+from balancer.events import Action, IncomingRequest
 from balancer.settings_reader import read_settings
 from balancer.simulator.messages import OUTCOMES, UPDATE_KINDS, WireError, read_endpoint
 
@@ -93,17 +93,22 @@
 
 
 def _read_request(balancer: Balancer, message: Message) -> Call:
-    request, class_index = message["Ref"], message.get("Kind", 0)
-    tenant, deadline = message.get("ClientGroup", 0), message.get("Deadline")
-    cost, retry = message.get("Effort", 0.0), message.get("Retry", False)
-    return lambda now: balancer.on_request(now, request, class_index, tenant, deadline, cost, retry)
+    request = IncomingRequest(
+        message["Ref"],
+        class_index=message.get("Kind", 0),
+        tenant=message.get("ClientGroup", 0),
+        deadline=message.get("Deadline"),
+        cost=message.get("Effort", 0.0),
+        is_retry=message.get("Retry", False),
+    )
+    return lambda now: balancer.on_request(now, request)
 
 
 def _read_outcome(balancer: Balancer, message: Message) -> Call:
     outcome = OUTCOMES[message["How"]]
     request, attempt = message["Ref"], message.get("RoundNo", 0)
-    latency, final = message.get("CostTime", 0.0), message.get("Last", False)
-    return lambda now: balancer.on_attempt_finished(now, request, attempt, outcome, latency, final)
+    latency, last = message.get("CostTime", 0.0), message.get("Last", False)
+    return lambda now: balancer.on_attempt_finished(now, request, attempt, outcome, latency, last=last)
 
 
 def _read_timer(balancer: Balancer, message: Message) -> Call:
--- a/balancer/validation.py
+++ b/balancer/validation.py
@@ -14,13 +14,13 @@
         raise InvalidValueError(field, f"{value!r} is not a number from {low} to {high}")
 
 
-def check_flag(field: str, value: bool) -> None:
+def check_flag(field: str, value: object) -> None:
     """Require a boolean."""
     if not isinstance(value, bool):
         raise InvalidValueError(field, f"{value!r} is neither true nor false")
 
 
-def check_text(field: str, value: str) -> None:
+def check_text(field: str, value: object) -> None:
     """Require a string."""
     if not isinstance(value, str):
         raise InvalidValueError(field, f"{value!r} is not a text")
--- a/emulator/fleet/simulated_proxy.py
+++ b/emulator/fleet/simulated_proxy.py
@@ -12,7 +12,7 @@
 
 from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
-from balancer.events import Outcome, StartAttempt
+from balancer.events import IncomingRequest, Outcome, StartAttempt
 from balancer.settings_reader import read_settings
 from emulator.fleet import topology
 from emulator.measurement.change_ages import AppliedUpdate, Publications, ages_when_applied
@@ -42,9 +42,11 @@
 def simulate_call(balancer: Balancer, now: float, number: int) -> None:
     """Feed one call to a balancer, from its arrival to its answer."""
     request_id = str(number)
-    actions = balancer.on_request(now, request_id, number % CLASSES)
+    actions = balancer.on_request(now, IncomingRequest(request_id, class_index=number % CLASSES))
     if any(isinstance(action, StartAttempt) for action in actions):
-        balancer.on_attempt_finished(now + CALL_LATENCY, request_id, 0, Outcome.SUCCESS, CALL_LATENCY, True)
+        balancer.on_attempt_finished(
+            now + CALL_LATENCY, request_id, 0, Outcome.SUCCESS, CALL_LATENCY, last=True
+        )
 
 
 class MeteredDiscovery(DiscoveryClient):
--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -14,7 +14,7 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from balancer.events import Action, Outcome, SendRejection
+from balancer.events import Action, IncomingRequest, Outcome, SendRejection
 from proxy.action_executor import ActionExecutor
 from proxy.log import RateLimit
 from proxy.logged_events import AttemptFinished, AttemptRejected, ClientDisconnected, RequestReceived
@@ -98,12 +98,14 @@
         self._executor.perform(
             self._notify(
                 self._balancer.on_request,
-                active.request_id,
-                classified.class_index,
-                classified.tenant_index,
-                self._clock.from_loop_time(deadline),
-                classified.cost,
-                classified.is_retry,
+                IncomingRequest(
+                    active.request_id,
+                    class_index=classified.class_index,
+                    tenant=classified.tenant_index,
+                    deadline=self._clock.from_loop_time(deadline),
+                    cost=classified.cost,
+                    is_retry=classified.is_retry,
+                ),
                 about=active,
             )
         )
@@ -145,12 +147,11 @@
         self._registry.remove_if_finished(active)
         self._executor.perform(
             self._notify(
-                self._balancer.on_attempt_finished,
+                partial(self._balancer.on_attempt_finished, last=active.response_sink is None),
                 active.request_id,
                 number,
                 outcome,
                 now - attempt.started_at,
-                active.response_sink is None,
                 about=active,
             )
         )
@@ -186,7 +187,7 @@
         client_disconnected = not active.client_is_waiting()
         try:
             rejection = self._balancer.send_rejection(
-                self._clock.now(), active.request_id, number, client_disconnected
+                self._clock.now(), active.request_id, number, client_disconnected=client_disconnected
             )
         except Exception:  # noqa: BLE001 - a defect of the balancer must not end the other requests
             self._log_balancer_error()
@@ -252,8 +253,8 @@
 
     def end_misplaced_attempts(self) -> None:
         """End unsent attempts that new settings place at another backend."""
-        for request_id, number in self._balancer.misplaced_attempts():
-            active = self.active_requests.get(request_id)
+        for misplaced in self._balancer.misplaced_attempts():
+            active = self.active_requests.get(misplaced.request)
             attempts = active.attempts if active is not None else []
-            if attempts and attempts[number].connection is None:
-                attempts[number].finish(Outcome.NOT_SENT)
+            if attempts and attempts[misplaced.attempt].connection is None:
+                attempts[misplaced.attempt].finish(Outcome.NOT_SENT)
--- a/tests/balancer/test_admission_control.py
+++ b/tests/balancer/test_admission_control.py
@@ -8,7 +8,7 @@
 import pytest
 
 from balancer.endpoints import Endpoint, UpdateKind
-from balancer.events import Outcome, Reject, StartAttempt
+from balancer.events import IncomingRequest, Outcome, Reject, StartAttempt
 from balancer.settings import Idempotency, Limits, RequestClass, Settings
 from tests.support.decision_helpers import (
     ENDPOINTS,
@@ -29,14 +29,17 @@
     now = 100.0
     for n in range(400):  # 100 a second, each served at once
         now += 0.01
-        balancer.on_request(now, f"w{n}", 1, 0, now + 4.0)
-        balancer.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS, 0.1, True)
+        balancer.on_request(now, IncomingRequest(f"w{n}", class_index=1, deadline=now + 4.0))
+        balancer.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS, 0.1, last=True)
     rejected = {0: 0, 1: 0}
     for n in range(120):  # then nothing comes back any more
         now += 0.001
         for class_index in (0, 1):
             if isinstance(
-                balancer.on_request(now, f"x{class_index}{n}", class_index, 0, now + 4.0)[0], Reject
+                balancer.on_request(
+                    now, IncomingRequest(f"x{class_index}{n}", class_index=class_index, deadline=now + 4.0)
+                )[0],
+                Reject,
             ):
                 rejected[class_index] += 1
         if n == 30:
@@ -58,10 +61,15 @@
             now += 1 / 40
             while in_flight and in_flight[0][0] <= now:
                 end, request_id = in_flight.pop(0)
-                balancer.on_attempt_finished(end, request_id, 0, Outcome.SUCCESS, latency, True)
+                balancer.on_attempt_finished(end, request_id, 0, Outcome.SUCCESS, latency, last=True)
             request_id = f"r{round(40 * now)}"
             class_index = round(40 * now) % 2
-            if isinstance(balancer.on_request(now, request_id, class_index, 0, now + 4.0)[0], StartAttempt):
+            if isinstance(
+                balancer.on_request(
+                    now, IncomingRequest(request_id, class_index=class_index, deadline=now + 4.0)
+                )[0],
+                StartAttempt,
+            ):
                 in_flight.append((now + latency, request_id))
             else:
                 rejected[class_index] += 1
@@ -107,13 +115,17 @@
 
 def test_lower_tiers_never_reject_for_overload() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT, NON_IDEMPOTENT), tier=1, tier_count=2))
-    answers = [balancer.on_request(100.0 + n / 1000, f"x{n}", 0, 0, 104.0)[0] for n in range(200)]
+    answers = [
+        balancer.on_request(100.0 + n / 1000, IncomingRequest(f"x{n}", deadline=104.0))[0] for n in range(200)
+    ]
     assert all(isinstance(a, StartAttempt) for a in answers)
 
 
 def test_nothing_served_yet_is_no_overload() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)))
-    answers = [balancer.on_request(100.0 + n / 100, f"x{n}", 0, 0, 110.0)[0] for n in range(30)]
+    answers = [
+        balancer.on_request(100.0 + n / 100, IncomingRequest(f"x{n}", deadline=110.0))[0] for n in range(30)
+    ]
     assert sum(isinstance(a, StartAttempt) for a in answers) >= 27
 
 
@@ -122,10 +134,15 @@
     now = 100.0
     for n in range(8):  # one call a second, all lost
         now += 1.0
-        if isinstance(balancer.on_request(now, f"r{n}", 1, 0, now + 4.0)[0], StartAttempt):
+        if isinstance(
+            balancer.on_request(now, IncomingRequest(f"r{n}", class_index=1, deadline=now + 4.0))[0],
+            StartAttempt,
+        ):
             balancer.on_attempt_finished(now + 0.98, f"r{n}", 0, Outcome.TIMEOUT, 0.98)
-    answers = [balancer.on_request(now + 1.0, f"s{n}", 0, 0, now + 5.0)[0] for n in range(2)]
-    later = balancer.on_request(now + 60.0, "t", 0, 0, now + 64.0)[0]
+    answers = [
+        balancer.on_request(now + 1.0, IncomingRequest(f"s{n}", deadline=now + 5.0))[0] for n in range(2)
+    ]
+    later = balancer.on_request(now + 60.0, IncomingRequest("t", deadline=now + 64.0))[0]
     assert any(isinstance(a, Reject) for a in answers)
     assert isinstance(later, StartAttempt), "a loss long ago still counts"
 
@@ -144,11 +161,13 @@
     now = 100.0
     for n in range(100):  # the only endpoint open to the restricted class answers nothing
         now += 0.02
-        balancer.on_request(now, f"b{n}", 1, 0, now + 4.0)
-        balancer.on_request(now, f"f{n}", 0, 0, now + 4.0)
-        balancer.on_attempt_finished(now, f"f{n}", 0, Outcome.SUCCESS, 0.1, True)
-    assert isinstance(balancer.on_request(now, "restricted", 1, 0, now + 4.0)[0], Reject)
-    assert isinstance(balancer.on_request(now, "free", 0, 0, now + 4.0)[0], StartAttempt)
+        balancer.on_request(now, IncomingRequest(f"b{n}", class_index=1, deadline=now + 4.0))
+        balancer.on_request(now, IncomingRequest(f"f{n}", deadline=now + 4.0))
+        balancer.on_attempt_finished(now, f"f{n}", 0, Outcome.SUCCESS, 0.1, last=True)
+    assert isinstance(
+        balancer.on_request(now, IncomingRequest("restricted", class_index=1, deadline=now + 4.0))[0], Reject
+    )
+    assert isinstance(balancer.on_request(now, IncomingRequest("free", deadline=now + 4.0))[0], StartAttempt)
 
 
 @pytest.mark.parametrize(
@@ -159,8 +178,8 @@
     balancer = make_balancer(Settings(classes=(NON_IDEMPOTENT,)))
     now = serve_with_failures(balancer, 0, fifth)
     for n in range(27):  # the wait budget allows 0.7 x 50, or 0.4 x 40
-        balancer.on_request(now, f"x{n}", 0, 0, now + 4.0)
-    assert isinstance(balancer.on_request(now, "y", 0, 0, now + 4.0)[0], answer)
+        balancer.on_request(now, IncomingRequest(f"x{n}", deadline=now + 4.0))
+    assert isinstance(balancer.on_request(now, IncomingRequest("y", deadline=now + 4.0))[0], answer)
 
 
 @pytest.mark.parametrize("protection", [1.0, 1000.0])
@@ -172,7 +191,7 @@
     sent = 0
     for n in range(20):  # four a second, each at another endpoint, none answered
         now = 100.0 + n / 4.0
-        actions = balancer.on_request(now, f"r{n}", 0, 0, now + 4.0)
+        actions = balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0))
         if isinstance(actions[0], StartAttempt):
             sent += 1
             balancer.on_attempt_finished(now + 0.2, f"r{n}", 0, Outcome.TIMEOUT, 0.2)
@@ -187,24 +206,34 @@
     now = 100.0
     for n in range(50):
         now += 1.0
-        balancer.on_request(now, f"r{n}", 0, 0, now + 4.0, 0.1)
-        balancer.on_attempt_finished(now + 0.2, f"r{n}", 0, Outcome.SUCCESS, 0.2, True)
-    assert isinstance(balancer.on_request(now + 1.0, "heavy", 0, 0, now + 5.0, 5.0)[0], Reject)
-    assert isinstance(balancer.on_request(now + 1.0, "light", 0, 0, now + 5.0, 0.1)[0], StartAttempt)
+        balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0, cost=0.1))
+        balancer.on_attempt_finished(now + 0.2, f"r{n}", 0, Outcome.SUCCESS, 0.2, last=True)
+    assert isinstance(
+        balancer.on_request(now + 1.0, IncomingRequest("heavy", deadline=now + 5.0, cost=5.0))[0], Reject
+    )
+    assert isinstance(
+        balancer.on_request(now + 1.0, IncomingRequest("light", deadline=now + 5.0, cost=0.1))[0],
+        StartAttempt,
+    )
 
 
 def test_unfair_first_samples_reject_nothing() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)))
     for n in range(3):  # 90 times their cost: they stood in a queue
-        balancer.on_request(100.0 + n, f"r{n}", 0, 0, 104.0 + n, 0.01)
-        balancer.on_attempt_finished(100.9 + n, f"r{n}", 0, Outcome.SUCCESS, 0.9, True)
-    assert isinstance(balancer.on_request(110.0, "s", 0, 0, 114.0, 0.1)[0], StartAttempt)
+        balancer.on_request(100.0 + n, IncomingRequest(f"r{n}", deadline=104.0 + n, cost=0.01))
+        balancer.on_attempt_finished(100.9 + n, f"r{n}", 0, Outcome.SUCCESS, 0.9, last=True)
+    assert isinstance(
+        balancer.on_request(110.0, IncomingRequest("s", deadline=114.0, cost=0.1))[0], StartAttempt
+    )
 
 
 def test_an_unfair_cost_baseline_does_not_reject_for_good() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)))
     balancer.statistics.latency_per_cost, balancer.statistics.sample_count = 90.0, 100
-    answers = [balancer.on_request(110.0 + n, f"s{n}", 0, 0, 114.0 + n, 0.1)[0] for n in range(60)]
+    answers = [
+        balancer.on_request(110.0 + n, IncomingRequest(f"s{n}", deadline=114.0 + n, cost=0.1))[0]
+        for n in range(60)
+    ]
     assert isinstance(answers[0], Reject)
     assert any(isinstance(a, StartAttempt) for a in answers)
 
@@ -214,8 +243,8 @@
     now = 100.0
     for n in range(250):
         now += 0.02
-        balancer.on_request(now, f"w{n}", 0, 0, now + 4.0)
-        balancer.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS, 0.1, True)
+        balancer.on_request(now, IncomingRequest(f"w{n}", deadline=now + 4.0))
+        balancer.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS, 0.1, last=True)
     sent: dict[str, float] = {}
     for n in range(500):  # ten seconds in which every attempt ends by its timeout alone
         now += 0.02
@@ -223,10 +252,13 @@
             if ends_by <= now:
                 del sent[request_id]
                 balancer.on_attempt_finished(now, request_id, 0, Outcome.TIMEOUT, 0.98)
-        if isinstance(balancer.on_request(now, f"x{n}", 0, 0, now + 4.0)[0], StartAttempt):
+        if isinstance(
+            balancer.on_request(now, IncomingRequest(f"x{n}", deadline=now + 4.0))[0], StartAttempt
+        ):
             sent[f"x{n}"] = now + 0.98
     tried = sum(
-        isinstance(balancer.on_request(now, f"y{n}", 0, 0, now + 4.0)[0], StartAttempt) for n in range(2)
+        isinstance(balancer.on_request(now, IncomingRequest(f"y{n}", deadline=now + 4.0))[0], StartAttempt)
+        for n in range(2)
     )
     assert len(sent) + tried > 2, "only what is always admitted was sent"
 
@@ -265,6 +297,6 @@
     balancer = checker.balancer
     # Nowhere to go: rejected, whatever the capacity.
     balancer.on_endpoints_updated(checker.now, UpdateKind.SNAPSHOT, [])
-    [rejection] = balancer.on_request(checker.now, "r", 0, 0, checker.now + 4.0)
+    [rejection] = balancer.on_request(checker.now, IncomingRequest("r", deadline=checker.now + 4.0))
     assert isinstance(rejection, Reject)
     assert shortest <= rejection.retry_after <= longest
--- a/tests/balancer/test_bad_input.py
+++ b/tests/balancer/test_bad_input.py
@@ -10,7 +10,7 @@
 
 from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
-from balancer.events import Fail, Outcome, Reject, StartAttempt
+from balancer.events import Fail, IncomingRequest, Outcome, Reject, StartAttempt
 from balancer.settings import Limits, RequestClass, Rules, Settings, Tenant
 
 BAD_NUMBERS: list[Any] = [math.nan, math.inf, -math.inf, -1.0, "1", None]
@@ -81,23 +81,23 @@
 def test_a_request_that_makes_no_sense_changes_nothing(name: str, values: dict[str, Any]) -> None:
     balancer, twin = ready_balancer(), ready_balancer()
     for one in (balancer, twin):
-        one.on_request(2.0, "open")
+        one.on_request(2.0, IncomingRequest("open"))
     with pytest.raises(ValueError, match=name):
-        balancer.on_request(3.0, **{"request_id": "new", **values})
+        balancer.on_request(3.0, IncomingRequest(**{"request_id": "new", **values}))
     assert list(balancer.requests) == ["open"]
     assert balancer.assignment.pools[0].pending == twin.assignment.pools[0].pending
     # the same random numbers follow: nothing was drawn either
-    assert balancer.on_request(4.0, "next") == twin.on_request(4.0, "next")
+    assert balancer.on_request(4.0, IncomingRequest("next")) == twin.on_request(4.0, IncomingRequest("next"))
 
 
 def test_a_deadline_already_past_is_answered_at_once() -> None:
-    assert ready_balancer().on_request(5.0, "late", 0, 0, 4.0) == [Reject("late")]
+    assert ready_balancer().on_request(5.0, IncomingRequest("late", deadline=4.0)) == [Reject("late")]
 
 
 def test_events_for_unknown_or_ended_requests_are_ignored() -> None:
     balancer = ready_balancer()
-    assert isinstance(balancer.on_request(2.0, "r")[0], StartAttempt)
-    balancer.on_attempt_finished(2.1, "r", 0, Outcome.SUCCESS, 0.1, True)
+    assert isinstance(balancer.on_request(2.0, IncomingRequest("r"))[0], StartAttempt)
+    balancer.on_attempt_finished(2.1, "r", 0, Outcome.SUCCESS, 0.1, last=True)
     for request_id in ("r", "never"):
         assert balancer.on_attempt_finished(3.0, request_id, 0, Outcome.SUCCESS, 0.1) == []
         assert balancer.on_attempt_finished(3.0, request_id, 7, Outcome.ERROR, 0.1) == []
@@ -117,12 +117,12 @@
 def test_a_request_is_rejected_where_no_endpoint_is_up(endpoints: list[Endpoint]) -> None:
     balancer = Balancer(Settings(), 1)
     balancer.on_endpoints_updated(1.0, UpdateKind.CACHED, endpoints)
-    assert balancer.on_request(2.0, "r") == [Reject("r")]
+    assert balancer.on_request(2.0, IncomingRequest("r")) == [Reject("r")]
 
 
 def test_every_request_is_answered_where_all_endpoints_warm_up() -> None:
     balancer = Balancer(Settings(), 1)
     balancer.on_endpoints_updated(100.0, UpdateKind.CACHED, [Endpoint(i, started=100.0) for i in range(4)])
     for n in range(50):
-        [action] = balancer.on_request(100.0 + n / 100, f"r{n}")
+        [action] = balancer.on_request(100.0 + n / 100, IncomingRequest(f"r{n}"))
         assert isinstance(action, StartAttempt | Reject | Fail)
--- a/tests/balancer/test_client_timeouts.py
+++ b/tests/balancer/test_client_timeouts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from balancer.events import Fail, Outcome, Reject, StartAttempt
+from balancer.events import Fail, IncomingRequest, Outcome, Reject, StartAttempt
 from balancer.settings import Idempotency, Limits, RequestClass, Settings
 from tests.support.decision_helpers import IDEMPOTENT, NON_IDEMPOTENT, make_balancer
 
@@ -16,7 +16,7 @@
 
 def test_attempts_end_at_the_latency_objective_where_late_answers_have_no_weight() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)))
-    [send] = balancer.on_request(100.0, "r", 0, 0, 104.0)
+    [send] = balancer.on_request(100.0, IncomingRequest("r", deadline=104.0))
     assert isinstance(send, StartAttempt)
     assert send.timeout == pytest.approx(0.98)
     [answer] = balancer.on_attempt_finished(100.98, "r", 0, Outcome.TIMEOUT, 0.98)
@@ -30,7 +30,7 @@
     late = RequestClass(
         "a", latency_objective=1.0, deadline=4.0, idempotency=Idempotency.IDEMPOTENT, late_weight=late_weight
     )
-    [send] = make_balancer(Settings(classes=(late,))).on_request(100.0, "r", 0, 0, 104.0)
+    [send] = make_balancer(Settings(classes=(late,))).on_request(100.0, IncomingRequest("r", deadline=104.0))
     assert isinstance(send, StartAttempt)
     assert send.timeout == pytest.approx(timeout)
 
@@ -40,8 +40,8 @@
     actions = []
     for n, timeout in enumerate(timeouts):
         now = 200.0 + n
-        actions.append(type(balancer.on_request(now, f"t{n}", 0, 0, now + timeout)[0]))
-        balancer.on_attempt_finished(now + 0.01, f"t{n}", 0, Outcome.SUCCESS, 0.01, True)
+        actions.append(type(balancer.on_request(now, IncomingRequest(f"t{n}", deadline=now + timeout))[0]))
+        balancer.on_attempt_finished(now + 0.01, f"t{n}", 0, Outcome.SUCCESS, 0.01, last=True)
     return actions
 
 
@@ -57,7 +57,9 @@
 ) -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,), clients_mark_retries=marks))
     first_actions(balancer, [3.0] * 5)
-    assert isinstance(balancer.on_request(300.0, "s", 0, 0, 301.5, 0.0, retry)[0], answer)
+    assert isinstance(
+        balancer.on_request(300.0, IncomingRequest("s", deadline=301.5, is_retry=retry))[0], answer
+    )
 
 
 def test_a_long_last_attempt_does_not_make_first_attempts_late() -> None:
@@ -67,13 +69,13 @@
 
 def test_a_lower_tier_keeps_to_the_deadline_that_its_caller_propagates() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,), tier=1, tier_count=2))
-    assert isinstance(balancer.on_request(100.0, "r", 0, 0, 103.0)[0], StartAttempt)
-    [send] = balancer.on_request(110.0, "s", 0, 0, 110.5)
+    assert isinstance(balancer.on_request(100.0, IncomingRequest("r", deadline=103.0))[0], StartAttempt)
+    [send] = balancer.on_request(110.0, IncomingRequest("s", deadline=110.5))
     assert isinstance(send, StartAttempt)
     assert send.timeout == 0.0
 
 
 def test_a_non_idempotent_request_that_may_have_run_fails_at_its_latency_objective() -> None:
     balancer = make_balancer(Settings(classes=(NON_IDEMPOTENT,), limits=Limits(max_attempts=4)))
-    balancer.on_request(100.0, "r", 0, 0, 104.0)
+    balancer.on_request(100.0, IncomingRequest("r", deadline=104.0))
     assert balancer.on_attempt_finished(100.98, "r", 0, Outcome.TIMEOUT, 0.98) == [Fail("r")]
--- a/tests/balancer/test_endpoint_selection.py
+++ b/tests/balancer/test_endpoint_selection.py
@@ -7,7 +7,7 @@
 import pytest
 
 from balancer.endpoints import Endpoint
-from balancer.events import Outcome, StartAttempt
+from balancer.events import IncomingRequest, Outcome, StartAttempt
 from balancer.settings import Limits, Settings
 from tests.support.decision_helpers import IDEMPOTENT, make_balancer
 
@@ -20,14 +20,14 @@
     [own] = balancer.assignment.pools[0].subset
     for n in range(40):  # the only endpoint of the subset cannot be reached
         now = 100.0 + n / 10
-        actions = balancer.on_request(now, f"r{n}", 0, 0, now + 4.0)
+        actions = balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0))
         if isinstance(actions[0], StartAttempt) and actions[0].endpoint == own.endpoint.id:
             [retry] = balancer.on_attempt_finished(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
             assert not isinstance(retry, StartAttempt) or retry.endpoint != own.endpoint.id
             if isinstance(retry, StartAttempt):
-                balancer.on_attempt_finished(now + 0.02, f"r{n}", 1, Outcome.SUCCESS, 0.01, True)
+                balancer.on_attempt_finished(now + 0.02, f"r{n}", 1, Outcome.SUCCESS, 0.01, last=True)
         elif isinstance(actions[0], StartAttempt):
-            balancer.on_attempt_finished(now + 0.02, f"r{n}", 0, Outcome.SUCCESS, 0.01, True)
+            balancer.on_attempt_finished(now + 0.02, f"r{n}", 0, Outcome.SUCCESS, 0.01, last=True)
     used = {s.endpoint.id for s in balancer.endpoints.states.values() if s.breaker is not None}
     assert len(used) > 8
 
@@ -42,11 +42,11 @@
         sent = set()
         for n in range(60):  # never more than the subset can hold is answered in the meantime
             now = 100.0 + n / 100
-            [send] = balancer.on_request(now, f"r{n}", 0, 0, now + 4.0)
+            [send] = balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0))
             assert isinstance(send, StartAttempt)
             sent.add(send.endpoint)
             if n >= 3:
-                balancer.on_attempt_finished(now, f"r{n - 3}", 0, Outcome.SUCCESS, 0.03, True)
+                balancer.on_attempt_finished(now, f"r{n - 3}", 0, Outcome.SUCCESS, 0.03, last=True)
         assert own < sent
         assert len(sent) <= 5
         used.update(sent)
@@ -64,13 +64,13 @@
 
 def test_the_age_of_the_oldest_attempt_in_flight_is_a_sample() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)), [Endpoint(1)])
-    balancer.on_request(100.0, "r", 0, 0, 104.0)
+    balancer.on_request(100.0, IncomingRequest("r", deadline=104.0))
     assert balancer.endpoints.states[1].score(100.9, 0.1) == pytest.approx(0.9 * 2.0)
 
 
 def test_a_failure_counts_as_the_latency_objective() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)), [Endpoint(1)])
-    balancer.on_request(100.0, "r", 0, 0, 104.0)
+    balancer.on_request(100.0, IncomingRequest("r", deadline=104.0))
     balancer.on_attempt_finished(100.001, "r", 0, Outcome.ERROR, 0.001)
     assert balancer.endpoints.states[1].mean_latency == pytest.approx(1.0)
 
@@ -78,8 +78,8 @@
 def test_one_slow_first_answer_makes_no_latency_baseline() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)), [Endpoint(1)])
     balancer.statistics.tier_latency = 0.1
-    balancer.on_request(100.0, "r", 0, 0, 104.0)
-    balancer.on_attempt_finished(100.9, "r", 0, Outcome.SUCCESS, 0.9, True)
+    balancer.on_request(100.0, IncomingRequest("r", deadline=104.0))
+    balancer.on_attempt_finished(100.9, "r", 0, Outcome.SUCCESS, 0.9, last=True)
     breaker = balancer.endpoints.states[1].breaker
     assert breaker is not None
     assert breaker.latency_baseline < 0.11
--- a/tests/balancer/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from balancer.events import CancelAttempt, Outcome, SetTimer, StartAttempt
+from balancer.events import CancelAttempt, IncomingRequest, Outcome, SetTimer, StartAttempt
 from balancer.settings import Idempotency, Limits, RequestClass, Settings
 from tests.support.decision_helpers import IDEMPOTENT, make_balancer, serve_sequentially
 
@@ -22,14 +22,14 @@
 
 def test_an_attempt_that_is_never_answered_is_hedged_elsewhere() -> None:
     balancer = hedging_balancer()
-    send, timer = balancer.on_request(200.0, "r", 0, 0, 204.0)
+    send, timer = balancer.on_request(200.0, IncomingRequest("r", deadline=204.0))
     assert isinstance(send, StartAttempt)
     assert isinstance(timer, SetTimer)
     assert 200.09 < timer.at < 200.5  # far over the usual 50 ms, with time left for the hedged request
     [hedge] = balancer.on_timer(timer.at, timer.token)
     assert isinstance(hedge, StartAttempt)
     assert hedge.endpoint != send.endpoint
-    assert balancer.on_attempt_finished(timer.at + 0.05, "r", 1, Outcome.SUCCESS, 0.05, True) == [
+    assert balancer.on_attempt_finished(timer.at + 0.05, "r", 1, Outcome.SUCCESS, 0.05, last=True) == [
         CancelAttempt("r", 0)
     ]
     balancer.on_attempt_finished(timer.at + 0.05, "r", 0, Outcome.CANCELLED, timer.at - 199.95)
@@ -40,13 +40,13 @@
 
 def test_an_attempt_that_ended_in_time_is_not_hedged() -> None:
     balancer = hedging_balancer()
-    _, timer = balancer.on_request(200.0, "r", 0, 0, 204.0)
+    _, timer = balancer.on_request(200.0, IncomingRequest("r", deadline=204.0))
     retry, later = balancer.on_attempt_finished(200.05, "r", 0, Outcome.ERROR, 0.05)
     assert isinstance(retry, StartAttempt)
     assert isinstance(timer, SetTimer)
     assert isinstance(later, SetTimer)
     assert balancer.on_timer(timer.at, timer.token) == []  # the second attempt has a timer of its own
-    balancer.on_attempt_finished(200.1, "r", 1, Outcome.SUCCESS, 0.05, True)
+    balancer.on_attempt_finished(200.1, "r", 1, Outcome.SUCCESS, 0.05, last=True)
     assert balancer.on_timer(later.at, later.token) == []
 
 
@@ -60,7 +60,7 @@
     upper = make_balancer(Settings(classes=(IDEMPOTENT,), limits=limits, tier_count=2))
     serve_sequentially(upper)
     for balancer in (hedging_balancer(non_idempotent), hedging_balancer(hedging=False), slow, upper):
-        [send] = balancer.on_request(200.0, "r", 0, 0, 204.0)
+        [send] = balancer.on_request(200.0, IncomingRequest("r", deadline=204.0))
         assert isinstance(send, StartAttempt)
 
 
@@ -69,11 +69,11 @@
     hedges = 0
     for n in range(20):
         now = 200.0 + n / 4.0
-        _, timer = balancer.on_request(now, f"r{n}", 0, 0, now + 4.0)
+        _, timer = balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0))
         assert isinstance(timer, SetTimer)
         hedges += len(balancer.on_timer(timer.at, timer.token))
         balancer.on_attempt_finished(
-            timer.at + 0.01, f"r{n}", 0, Outcome.SUCCESS, timer.at + 0.01 - now, True
+            timer.at + 0.01, f"r{n}", 0, Outcome.SUCCESS, timer.at + 0.01 - now, last=True
         )
     assert 0 < hedges <= 3
     assert not balancer.retry_budgets.retries._retries
--- a/tests/balancer/test_reconfigure.py
+++ b/tests/balancer/test_reconfigure.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
-from balancer.events import CancelAttempt, Fail, Outcome, StartAttempt
+from balancer.events import CancelAttempt, Fail, MisplacedAttempt, Outcome, StartAttempt
 from balancer.settings import (
     DeduplicationScope,
     DiscoveryMode,
@@ -336,7 +336,7 @@
     assert sum(pool.pending for pool in checker.balancer.assignment.pools) == 3
     misplaced_attempts = checker.balancer.misplaced_attempts()
     assert misplaced_attempts == [
-        (request_id, 0) for request_id in request_ids if sent(checker, request_id) != [one]
+        MisplacedAttempt(request_id, 0) for request_id in request_ids if sent(checker, request_id) != [one]
     ]
     checker.finish_attempt(request_ids[0], 0, Outcome.NOT_SENT)
     assert sent(checker, request_ids[0])[1:] == [one]
--- a/tests/balancer/test_simulator.py
+++ b/tests/balancer/test_simulator.py
@@ -11,7 +11,7 @@
 import pytest
 
 from balancer.balancer import Balancer
-from balancer.events import Outcome
+from balancer.events import Action, IncomingRequest, Outcome
 from balancer.settings import DiscoveryMode, Idempotency
 from balancer.settings_reader import read_settings
 from balancer.simulator.session import Session
@@ -241,19 +241,32 @@
 
 
 def test_costs_reach_the_decisions_and_reports_do_no_harm(monkeypatch: pytest.MonkeyPatch) -> None:
-    seen: list[tuple[Any, ...]] = []
+    requests: list[IncomingRequest] = []
+    finished: list[tuple[str, int, Outcome]] = []
 
-    def note(_: Balancer, *given: Any) -> list[Any]:
-        seen.append(given)
+    def record_request(_: Balancer, _now: float, incoming: IncomingRequest) -> list[Action]:
+        requests.append(incoming)
         return []
 
-    for name in ("on_request", "on_attempt_finished"):
-        monkeypatch.setattr(Balancer, name, note)
+    def record_finished(
+        _: Balancer,
+        _now: float,
+        request_id: str,
+        number: int,
+        outcome: Outcome,
+        *_rest: object,
+        **_flags: object,
+    ) -> list[Action]:
+        finished.append((request_id, number, outcome))
+        return []
+
+    monkeypatch.setattr(Balancer, "on_request", record_request)
+    monkeypatch.setattr(Balancer, "on_attempt_finished", record_finished)
     session = Session()
     for event in opened(0):
         session.read(event)(1.0)
     session.read({"m": "Call", "ProxyId": 0, "Ref": "a", "Deadline": 3.0, "Effort": 0.5, "Retry": True})(2.0)
     session.read({"m": "Returned", "ProxyId": 0, "Ref": "a", "How": "success", "Telemetry": [3, 1]})(2.0)
     assert session.read({"m": "PingResult", "ProxyId": 0, "Backend": 70, "How": "success"})(2.0) == []
-    assert seen[0][-2:] == (0.5, True)
-    assert seen[1][1:4] == ("a", 0, Outcome.SUCCESS)
+    assert (requests[0].cost, requests[0].is_retry) == (0.5, True)
+    assert finished[0] == ("a", 0, Outcome.SUCCESS)
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -9,7 +9,7 @@
 import pytest
 
 from balancer.endpoints import Endpoint, UpdateKind
-from balancer.events import Outcome, StartAttempt
+from balancer.events import IncomingRequest, Outcome, StartAttempt
 from balancer.settings import Rules, Settings
 from balancer.slow_start import SlowStart
 from tests.support.decision_helpers import IDEMPOTENT, make_balancer
@@ -54,7 +54,7 @@
     assert balancer.assignment.pools[0].subset == [own]
     for n in range(60):
         now = 100.2 + n / 20
-        for action in balancer.on_request(now, f"r{n}", 0, 0, now + 4.0):
+        for action in balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0)):
             assert not isinstance(action, StartAttempt) or action.endpoint == own.endpoint.id
             if isinstance(action, StartAttempt):
                 balancer.on_attempt_finished(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
@@ -73,10 +73,10 @@
     now, warming, sent = 100.0, 0, 2000
     for n in range(sent):
         now += 0.02
-        [send] = balancer.on_request(now, f"r{n}", 0, 0, now + 4.0)
+        [send] = balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0))
         assert isinstance(send, StartAttempt)
         warming += send.endpoint > 4
-        balancer.on_attempt_finished(now + 0.01, f"r{n}", 0, Outcome.SUCCESS, 0.01, True)
+        balancer.on_attempt_finished(now + 0.01, f"r{n}", 0, Outcome.SUCCESS, 0.01, last=True)
     part = 2.4 / 6.4
     assert 0.5 * part <= warming / sent <= part
 
@@ -92,10 +92,12 @@
         now = 100.0
         for n in range(400):
             now += 0.01
-            if isinstance(balancer.on_request(now, f"w{n}", 0, 0, now + 4.0)[0], StartAttempt):
-                balancer.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS, 0.1, True)
+            if isinstance(
+                balancer.on_request(now, IncomingRequest(f"w{n}", deadline=now + 4.0))[0], StartAttempt
+            ):
+                balancer.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS, 0.1, last=True)
             for k in range(rejected):
-                balancer.on_request(now, f"p{n}_{k}", 0, 0, now)
+                balancer.on_request(now, IncomingRequest(f"p{n}_{k}", deadline=now))
         balancer.on_endpoints_updated(now, UpdateKind.DELTA, [Endpoint(1, started=now)])
         state = balancer.endpoints.states[1]
         while state.refilled_at <= 0.0:
--- a/tests/balancer/test_tenant_quota.py
+++ b/tests/balancer/test_tenant_quota.py
@@ -7,7 +7,7 @@
 import pytest
 
 from balancer.balancer import Balancer
-from balancer.events import Outcome, Reject, StartAttempt
+from balancer.events import IncomingRequest, Outcome, Reject, StartAttempt
 from balancer.settings import Settings, Tenant
 from tests.support.decision_helpers import IDEMPOTENT, NON_IDEMPOTENT, make_balancer, serve_with_failures
 
@@ -18,9 +18,13 @@
     balancer = make_balancer(Settings(classes=(NON_IDEMPOTENT,), tenants=tenants, over_quota_weight=0.1))
     now = serve_with_failures(balancer, 1, Outcome.TIMEOUT)
     for n in range(10):
-        balancer.on_request(now, f"x{n}", 0, 0, now + 4.0)
-    assert isinstance(balancer.on_request(now, "over", 0, 1, now + 4.0)[0], answer)
-    assert isinstance(balancer.on_request(now, "within", 0, 0, now + 4.0)[0], StartAttempt)
+        balancer.on_request(now, IncomingRequest(f"x{n}", deadline=now + 4.0))
+    assert isinstance(
+        balancer.on_request(now, IncomingRequest("over", tenant=1, deadline=now + 4.0))[0], answer
+    )
+    assert isinstance(
+        balancer.on_request(now, IncomingRequest("within", deadline=now + 4.0))[0], StartAttempt
+    )
 
 
 TENANTS = (Tenant("a", 0.5, 10.0), Tenant("b", 0.5, 10.0))
--- a/tests/proxy/test_dispatcher.py
+++ b/tests/proxy/test_dispatcher.py
@@ -5,11 +5,10 @@
 import asyncio
 import gc
 import time
-from typing import Any
 
 import pytest
 
-from balancer.events import Reject
+from balancer.events import Action, IncomingRequest, Reject
 from proxy.active_request import ActiveRequest
 from proxy.downstream.connection import DownstreamConnection
 from proxy.downstream.request_parser import RequestParser
@@ -153,7 +152,7 @@
 def test_exception_in_the_balancer_fails_one_request_only(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    def raise_error(*_: object) -> None:
+    def raise_error(*_: object, **__: object) -> None:
         message = "odd"
         raise RuntimeError(message)
 
@@ -180,9 +179,10 @@
     async with proxy_with_backends(respond_ok) as (proxy, _):
         on_request = proxy.balancer.on_request
 
-        def record_deadline(*args: Any) -> Any:
-            deadlines.append(args[4])
-            return on_request(*args)
+        def record_deadline(now: float, incoming: IncomingRequest) -> list[Action]:
+            assert incoming.deadline is not None
+            deadlines.append(incoming.deadline)
+            return on_request(now, incoming)
 
         monkeypatch.setattr(proxy.balancer, "on_request", record_deadline)
         client = await proxy.connect()
@@ -200,8 +200,8 @@
         client = await proxy.connect()
         assert b"Retry-After" not in await client.request(post_request())
 
-        def reject(_now: float, request_id: str, *_: object) -> list[Reject]:
-            return [Reject(request_id, 0.25)]
+        def reject(_now: float, incoming: IncomingRequest) -> list[Reject]:
+            return [Reject(incoming.request_id, 0.25)]
 
         monkeypatch.setattr(proxy.balancer, "on_request", reject)
         response = await client.request(post_request(2))
--- a/tests/proxy/test_invariants.py
+++ b/tests/proxy/test_invariants.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from balancer.attempts import RequestState
 from balancer.balancer import Balancer
@@ -32,7 +32,7 @@
     import pytest
 
 
-def allow_everything(*_args: Any) -> None:
+def allow_everything(*_args: object, **_flags: object) -> None:
     """Reject no attempt: a broken `Balancer.send_rejection`."""
 
 
--- a/tests/support/decision_helpers.py
+++ b/tests/support/decision_helpers.py
@@ -8,7 +8,7 @@
 
 from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, UpdateKind
-from balancer.events import Outcome, SetTimer, StartAttempt
+from balancer.events import IncomingRequest, Outcome, SetTimer, StartAttempt
 from balancer.settings import Idempotency, RequestClass, Settings
 
 if TYPE_CHECKING:
@@ -47,8 +47,8 @@
     """Send requests one after another, each answered after so long."""
     for n in range(count):
         now = 101.0 + n
-        balancer.on_request(now, f"s{n}", 0, 0, now + 4.0)
-        balancer.on_attempt_finished(now + latency, f"s{n}", 0, Outcome.SUCCESS, latency, True)
+        balancer.on_request(now, IncomingRequest(f"s{n}", deadline=now + 4.0))
+        balancer.on_attempt_finished(now + latency, f"s{n}", 0, Outcome.SUCCESS, latency, last=True)
 
 
 def serve_with_failures(balancer: Balancer, tenant: int, fifth: Outcome) -> float:
@@ -56,7 +56,7 @@
     now = 100.0
     for n in range(400):
         now += 0.02
-        balancer.on_request(now, f"w{n}", 0, tenant, now + 4.0)
+        balancer.on_request(now, IncomingRequest(f"w{n}", tenant=tenant, deadline=now + 4.0))
         balancer.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS if n % 5 else fifth, 0.1)
     return now
 
@@ -72,8 +72,10 @@
         """Answer what has ended by now, then send a request; return whether it was admitted."""
         while self._in_flight and self._in_flight[0][0] <= now:
             ended_at, ended, ended_latency = heappop(self._in_flight)
-            self._balancer.on_attempt_finished(ended_at, ended, 0, Outcome.SUCCESS, ended_latency, True)
-        action = self._balancer.on_request(now, request_id, class_index, 0, now + time_left)[0]
+            self._balancer.on_attempt_finished(ended_at, ended, 0, Outcome.SUCCESS, ended_latency, last=True)
+        action = self._balancer.on_request(
+            now, IncomingRequest(request_id, class_index=class_index, deadline=now + time_left)
+        )[0]
         if not isinstance(action, StartAttempt):
             return False
         heappush(self._in_flight, (now + latency, request_id, latency))
@@ -84,8 +86,8 @@
     """Return a balancer with a late request of class 0 in flight since 130 s, and the timer of its hedge."""
     balancer = make_balancer(settings)
     for n in range(20):
-        balancer.on_request(100.0 + n, f"r{n}", 0, 0, 104.0 + n)
-        balancer.on_attempt_finished(100.1 + n, f"r{n}", 0, Outcome.SUCCESS, 0.1, True)
-    _, timer = balancer.on_request(130.0, "late", 0, 0, 134.0)
+        balancer.on_request(100.0 + n, IncomingRequest(f"r{n}", deadline=104.0 + n))
+        balancer.on_attempt_finished(100.1 + n, f"r{n}", 0, Outcome.SUCCESS, 0.1, last=True)
+    _, timer = balancer.on_request(130.0, IncomingRequest("late", deadline=134.0))
     assert isinstance(timer, SetTimer)
     return balancer, timer
--- a/tests/support/rules_checker.py
+++ b/tests/support/rules_checker.py
@@ -20,6 +20,7 @@
     Action,
     CancelAttempt,
     Fail,
+    IncomingRequest,
     Outcome,
     PollEndpoints,
     Reject,
@@ -98,7 +99,12 @@
         self.requests[request_id] = CheckedRequest(
             class_index, deadline, [self.settings.classes[class_index]], [self.settings.limits]
         )
-        self.check(self.balancer.on_request(self.now, request_id, class_index, tenant, deadline))
+        self.check(
+            self.balancer.on_request(
+                self.now,
+                IncomingRequest(request_id, class_index=class_index, tenant=tenant, deadline=deadline),
+            )
+        )
         return request_id
 
     def reconfigure(self, settings: Settings) -> None:
@@ -130,7 +136,7 @@
             request.answered = True
         latency = self.now - attempt.started_at
         actions = self.balancer.on_attempt_finished(
-            self.now, request_id, number, outcome, latency, request.answered
+            self.now, request_id, number, outcome, latency, last=request.answered
         )
         self.check(actions)
         return actions
--- a/tests/support/warming_fleet.py
+++ b/tests/support/warming_fleet.py
@@ -19,7 +19,7 @@
 
 from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
-from balancer.events import Action, CancelAttempt, Outcome, Reject, SetTimer, StartAttempt
+from balancer.events import Action, CancelAttempt, IncomingRequest, Outcome, Reject, SetTimer, StartAttempt
 from balancer.settings import DeduplicationScope, Idempotency, Limits, RequestClass, Rules, Settings
 
 if TYPE_CHECKING:
@@ -234,7 +234,8 @@
         self._count += 1
         balancer = request.instance.balancer
         for action in balancer.on_request(
-            self.now, f"r{self._count}", request.class_index, 0, request.deadline
+            self.now,
+            IncomingRequest(f"r{self._count}", class_index=request.class_index, deadline=request.deadline),
         ):
             if isinstance(action, Reject) and request.retries < CLIENT_RETRIES:
                 again = request._replace(retries=request.retries + 1)
