--- /dev/null
+++ b/balancer/attempt_dispatch.py
@@ -0,0 +1,69 @@
+"""Attempt dispatch: starts first attempts, retries and hedged requests, as far as rules and budgets allow."""
+
+from dataclasses import dataclass
+from random import Random
+
+from balancer.attempts import RequestState
+from balancer.circuit_breaker import CircuitBreaker
+from balancer.endpoint_selection import EndpointSelection
+from balancer.endpoint_state import AttemptState, EndpointState
+from balancer.events import Action, StartAttempt
+from balancer.hedging import Hedging
+from balancer.retry_budget import RetryBudgets
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class AttemptDispatch:
+    """Starts attempts, and records each of them wherever it counts.
+
+    Attributes:
+        rng: The balancer's source of randomness, for the breakers.
+        selection: Ranks the candidates for an attempt.
+        retry_budgets: The budgets that retries and hedged requests count against.
+        hedging: Sets the timers of hedged requests.
+    """
+
+    rng: Random
+    selection: EndpointSelection
+    retry_budgets: RetryBudgets
+    hedging: Hedging
+
+    def start(self, now: float, request: RequestState, endpoints: list[EndpointState]) -> list[Action]:
+        """Start an attempt at the best candidate whose breaker admits it; no actions if none does.
+
+        Args:
+            now: The time in seconds.
+            request: The request, whose earlier attempts exclude their endpoints.
+            endpoints: The list of the request's pool from which candidates are drawn.
+        """
+        objective = request.request_class.latency_objective
+        for target in self.selection.rank(now, request, endpoints):
+            if target.breaker is None:
+                target.breaker = CircuitBreaker()
+            if not target.breaker.rejects(now, objective, self.rng):
+                break
+        else:
+            return []
+        if target.warmup_tokens > 0.0:
+            target.warmup_tokens -= 1.0
+        if request.attempts:
+            self.retry_budgets.next_attempt(request.open_attempts).record_retry(now)
+        attempt = AttemptState(target, target.endpoint, now)
+        target.in_flight[attempt] = None
+        pool = request.pool
+        pool.sent_rate.add(now)
+        pool.warm_rate.add(now, is_warm=pool.warm_fraction >= 1.0)
+        request.attempts.append(attempt)
+        request.open_attempts += 1
+        timeout = request.useful_until - now if request.useful_until < request.deadline else 0.0
+        hedge = self.hedging.schedule(now, request, attempt) if request.open_attempts == 1 else []
+        return [StartAttempt(request.id, target.endpoint.id, timeout), *hedge]
+
+    def retry(self, now: float, request: RequestState) -> list[Action]:
+        """Start another attempt within the rules and the retry budget; no actions if none is started."""
+        if request.answered or request.response_started or now >= request.useful_until:
+            return []
+        within_budget = self.retry_budgets.next_attempt(request.open_attempts).allows(now)
+        if not within_budget or len(request.attempts) >= request.limits.max_attempts:
+            return []
+        return self.start(now, request, request.retry_endpoints(now))
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,7 +1,8 @@
-"""The balancer of one instance: the way of a request, from its arrival to its final answer.
+"""The balancer of one proxy instance: the path of a request from its arrival to its final answer.
 
-Interface: balancer/settings.py, endpoints.py, events.py. Here is the order of the steps; each has a module of
-its own. Sans-I/O: methods take the time, and return the actions to carry out; the seed gives all randomness.
+Its types are in balancer/settings.py, endpoints.py and events.py. Here is the order of the steps; each step
+has a module of its own, and `reconfiguration` replaces the settings of a running balancer. The balancer does
+no I/O: its methods take the time and return the actions to carry out; the seed gives all randomness.
 """
 
 from collections.abc import Sequence
@@ -9,13 +10,13 @@
 from random import Random
 
 from balancer.admission_control import AdmissionControl
+from balancer.attempt_dispatch import AttemptDispatch
 from balancer.attempts import RequestState
-from balancer.circuit_breaker import CircuitBreaker
 from balancer.client_timeouts import ClientTimeouts
 from balancer.discovery_polling import POLL_TOKEN, DiscoveryPolling
 from balancer.endpoint_list import EndpointList
 from balancer.endpoint_selection import EndpointSelection
-from balancer.endpoint_state import AttemptState, EndpointState
+from balancer.endpoint_state import AttemptState
 from balancer.endpoints import Endpoint, UpdateKind
 from balancer.errors import InvalidValueError
 from balancer.events import (
@@ -29,24 +30,37 @@
     RejectReason,
     RequestId,
     SendRejection,
-    StartAttempt,
 )
 from balancer.hedging import Hedging
 from balancer.latency_statistics import LatencyStatistics
 from balancer.pool_assignment import PoolAssignment
+from balancer.reconfiguration import Reconfiguration
 from balancer.retry_budget import RetryBudgets
 from balancer.send_rejection import send_rejection
-from balancer.settings import Settings, narrow_class, narrow_limits
+from balancer.settings import Settings
 from balancer.slow_start import SlowStart
 from balancer.subsetting import Subsetting, ready_ring
 from balancer.tenant_quota import TenantQuotas
 
-#: Outcomes that speak of more work than the endpoints can do.
+#: Outcomes that indicate that the endpoints have more work than they can do.
 OVERLOAD_OUTCOMES = frozenset({Outcome.OVERLOADED, Outcome.TIMEOUT, Outcome.UNREACHABLE})
 
+UNKNOWN_COST = 1.0  # the cost of a request whose caller states none
+
 
 class Balancer:
-    """One instance: a method for each event, each returning the actions to carry out in order."""
+    """One instance: a method for each event, each returning the actions to carry out, in order.
+
+    Times are seconds on the caller's clock, which never runs backwards.
+
+    Attributes:
+        settings: The settings in force.
+        requests: The requests that are owed a final answer or have open attempts, by their ids.
+        rng: The one source of randomness; the order of draws from it is part of the behaviour.
+        endpoints: The endpoint list as last delivered.
+        assignment: The endpoint pools and the classes that draw from them.
+        statistics: The latencies measured.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         settings.check()
@@ -62,34 +76,84 @@
         self.slow_start = SlowStart(self.rng, settings.rules)
         self.subsetting = Subsetting(self.statistics, self.slow_start, settings)
         self.assignment = PoolAssignment()
-        self.selection = EndpointSelection(self.rng, self.statistics, self.slow_start, self.assignment)
+        selection = EndpointSelection(self.rng, self.statistics, self.slow_start, self.assignment)
+        self.dispatch = AttemptDispatch(self.rng, selection, self.retry_budgets, self.hedging)
         self.endpoints = EndpointList(self.slow_start)
-        self.settings = replace(settings, classes=(), tenants=())
-        self._configure(0.0, settings)
+        self._reconfiguration = Reconfiguration(
+            requests=self.requests,
+            assignment=self.assignment,
+            tenant_quotas=self.tenant_quotas,
+            client_timeouts=self.client_timeouts,
+            statistics=self.statistics,
+            admission=self.admission,
+            retry_budgets=self.retry_budgets,
+            slow_start=self.slow_start,
+            subsetting=self.subsetting,
+            polling=self.polling,
+            hedging=self.hedging,
+        )
+        self.settings = settings
+        self._reconfiguration.apply(0.0, replace(settings, classes=(), tenants=()), settings)
+
+    # ---- endpoints and settings ----------------------------------------------------------
 
     def start(self, now: float) -> list[Action]:
-        """Begin to poll discovery, if it has to be; call once, after the first list was given."""
+        """Begin to poll discovery, where the settings require it; call once, after the first list."""
         return self.polling.start(now)
 
     def on_endpoints_updated(self, now: float, kind: UpdateKind, rows: Sequence[Endpoint]) -> list[Action]:
-        """Take in an endpoint list, a change to it, or the failure of a poll."""
+        """Apply an endpoint list or a change to it, or note that a poll failed.
+
+        Args:
+            now: The time.
+            kind: Whether `rows` is a complete list, a change, or nothing as the poll failed.
+            rows: The entries, each the complete state of its endpoint.
+        """
         if kind is UpdateKind.FAILED:
             return self.polling.on_failure(now)
         if kind is not UpdateKind.CACHED:
-            self.polling.backoff = 1.0
+            self.polling.reset_backoff()
         self.endpoints.update(now, kind, rows)
-        self._rebuild_pools(now)
+        self.rebuild_pools(now)
         return []
 
-    def _rebuild_pools(self, now: float) -> None:
-        """Rebuild the lists of ready endpoints; those that drain or are gone leave them at once."""
+    def rebuild_pools(self, now: float) -> None:
+        """Rebuild the pools' lists of ready endpoints; those that drain or are removed leave them at once."""
         ready = ready_ring(self.endpoints.states)
         for pool in self.assignment.pools:
             pool.set_ready(ready)
         self.subsetting.resize(now, self.assignment.pools)
 
+    def reconfigure(self, now: float, settings: Settings) -> list[Action]:
+        """Replace all settings at once; equal ones change nothing.
+
+        Requests in flight are finished under those that they were admitted with, narrowed to what both allow
+        (see `reconfiguration`). What was learned of a class or tenant stays with its name; retry budgets,
+        endpoints and their breakers stay as they are. The numbers of zones and machine types have to mean the
+        same in both settings.
+
+        Raises:
+            InvalidValueError: `Settings.check_reload` does not allow the new settings; nothing has changed.
+        """
+        if settings != self.settings:
+            self.settings.check_reload(settings)
+            previous, self.settings = self.settings, settings
+            self._reconfiguration.apply(now, previous, settings)
+            self.rebuild_pools(now)
+        return []
+
+    def misplaced_attempts(self) -> list[MisplacedAttempt]:
+        """Return the open attempts that `reconfigure` has left misplaced; end those that are not sent yet."""
+        return self._reconfiguration.misplaced_attempts()
+
+    # ---- the path of a request -----------------------------------------------------------
+
     def on_request(self, now: float, incoming: IncomingRequest) -> list[Action]:
-        """Take a new request; from here on exactly one final answer is pending."""
+        """Admit or reject a new request; from here on exactly one final answer is pending.
+
+        Raises:
+            InvalidValueError: A field of the request makes no sense; nothing has changed.
+        """
         request_id, class_index, deadline = incoming.request_id, incoming.class_index, incoming.deadline
         self.settings.check_request(incoming)
         if request_id in self.requests:
@@ -100,7 +164,7 @@
         until = self.client_timeouts.useful_until(now, class_index, deadline, is_retry=incoming.is_retry)
         pool, budget = self.assignment.by_class[class_index], self.admission.wait_budgets[class_index]
         request = RequestState(request_id, class_index, request_class, limits, pool, budget, deadline, until)
-        request.cost = incoming.cost or 1.0
+        request.cost = incoming.cost or UNKNOWN_COST
         self.requests[request_id] = request
         self.retry_budgets.record_request(now)
         pool.record_request(now)
@@ -109,8 +173,10 @@
         rejection = self._rejection(now, request, incoming.tenant)
         if rejection is not None:
             return self._answer(now, request, rejection)
-        # All endpoints but the warming ones stand in for a dead subset: other subsets share the budget.
-        actions = self._dispatch(now, request, pool.subset) or self._dispatch(now, request, pool.ready)
+        # Where the subset is dead, all endpoints but the warming ones may serve: the instances whose subsets
+        # hold a warming endpoint use up all that it can do.
+        start = self.dispatch.start
+        actions = start(now, request, pool.subset) or start(now, request, pool.ready)
         return actions or self._answer(now, request, RejectReason.NO_ENDPOINT)
 
     def _rejection(self, now: float, request: RequestState, tenant: int) -> RejectReason | None:
@@ -123,38 +189,13 @@
             return RejectReason.NO_TIME
         return self.admission.rejection(now, request.pool, request.class_index, is_within_quota=within_quota)
 
-    def _dispatch(self, now: float, request: RequestState, endpoints: list[EndpointState]) -> list[Action]:
-        """Start an attempt at the best candidate whose breaker lets it through; no actions if none does."""
-        objective = request.request_class.latency_objective
-        for target in self.selection.rank(now, request, endpoints):
-            if target.breaker is None:
-                target.breaker = CircuitBreaker()
-            if not target.breaker.rejects(now, objective, self.rng):
-                break
-        else:
-            return []
-        if target.warmup_tokens > 0.0:
-            target.warmup_tokens -= 1.0
-        if request.attempts:
-            self.retry_budgets.next_attempt(request.open_attempts).record_retry(now)
-        attempt = AttemptState(target, target.endpoint, now)
-        target.in_flight[attempt] = None
-        pool = request.pool
-        pool.sent_rate.add(now)
-        pool.warm_rate.add(now, is_warm=pool.warm_fraction >= 1.0)
-        request.attempts.append(attempt)
-        request.open_attempts += 1
-        timeout = request.useful_until - now if request.useful_until < request.deadline else 0.0
-        hedge = self.hedging.schedule(now, request, attempt) if request.open_attempts == 1 else []
-        return [StartAttempt(request.id, target.endpoint.id, timeout), *hedge]
-
     def send_rejection(
         self, now: float, request_id: RequestId, number: int, *, client_disconnected: bool = False
     ) -> SendRejection | None:
         """Return why an attempt may not be written to its endpoint now; None if it may.
 
-        Call this just before the first byte, after whatever the attempt had to wait for, and report a refused
-        attempt as finished with `Outcome.NOT_SENT`.
+        Call this just before the first byte, after the attempt has waited for a connection, and report a
+        rejected attempt as finished with `Outcome.NOT_SENT`. Attempts of a request are numbered from 0.
         """
         if client_disconnected:
             return SendRejection.CLIENT_DISCONNECTED
@@ -174,7 +215,7 @@
         if token == POLL_TOKEN:
             return self.polling.on_timer()
         request = self.hedging.due(token)
-        return [] if request is None else self._retry(now, request)
+        return [] if request is None else self.dispatch.retry(now, request)
 
     def on_attempt_finished(
         self,
@@ -186,7 +227,16 @@
         *,
         last: bool = False,
     ) -> list[Action]:
-        """Learn from an attempt that ended, then retry, answer or wait; `last`: its outcome is the answer."""
+        """Record the end of an attempt, then retry, answer, or wait for the other attempts.
+
+        Args:
+            now: The time.
+            request_id: The id of the request; an unknown one is ignored.
+            number: The number of the attempt, counted from 0.
+            outcome: How it ended.
+            latency: How long it was open, in seconds.
+            last: Whether the request is over: this outcome is its answer, or it was answered before.
+        """
         request = self.requests.get(request_id)
         if request is None or not 0 <= number < len(request.attempts):
             return []
@@ -202,14 +252,16 @@
             request.pool.served_rate.add(now)
             request.pool.breaker.record_accepted(now)
             return self._finish(request)
-        return [] if request.open_attempts else self._retry(now, request) or self._answer(now, request)
+        if request.open_attempts:
+            return []
+        return self.dispatch.retry(now, request) or self._answer(now, request)
 
     def _close_attempt(
         self, now: float, request: RequestState, attempt: AttemptState, outcome: Outcome, latency: float
     ) -> None:
         attempt.is_open = False
         attempt.may_have_run = outcome not in NEVER_RAN
-        # An error that took longer than the wait budget speaks of a timeout further down.
+        # An error that took longer than the wait budget indicates a timeout at a lower tier.
         attempt.overloaded = outcome in OVERLOAD_OUTCOMES or latency > request.wait_budget
         request.open_attempts -= 1
         objective, tier_latency = request.request_class.latency_objective, self.statistics.tier_latency
@@ -220,17 +272,8 @@
             if request.class_index >= 0:
                 self.statistics.record_answer(request.class_index, latency, request.cost)
 
-    def _retry(self, now: float, request: RequestState) -> list[Action]:
-        """Start a further attempt within the rules and the retry budget; no actions if none is started."""
-        if request.answered or request.response_started or now >= request.useful_until:
-            return []
-        within_budget = self.retry_budgets.next_attempt(request.open_attempts).allows(now)
-        if not within_budget or len(request.attempts) >= request.limits.max_attempts:
-            return []
-        return self._dispatch(now, request, request.retry_endpoints(now))
-
     def on_client_disconnected(self, _now: float, request_id: RequestId) -> list[Action]:
-        """Finish the request of a client that has gone; no answer is pending any more."""
+        """Finish the request of a client that has disconnected; no answer is pending any more."""
         request = self.requests.get(request_id)
         return [] if request is None or request.answered else self._finish(request)
 
@@ -238,9 +281,9 @@
         self, now: float, request: RequestState, reason: RejectReason = RejectReason.ATTEMPTS_FAILED
     ) -> list[Action]:
         """Give the final answer: rejected where it may be repeated without harm, else failed."""
-        # Admission goes by failures from load alone, not by malformed answers or an endpoint's own faults:
-        # rejecting work does not cure them. It can do harm: an overloaded tier that fails fast, as proxies
-        # that reject make it, shows in the requests pending alone.
+        # Only failures caused by load reduce admission, not malformed answers or an endpoint's own faults:
+        # rejecting work does not cure those. It can do harm where an overloaded tier fails fast, as the
+        # rejections of its own proxies make it do: that shows in the number of pending requests alone.
         if any(attempt.overloaded for attempt in request.attempts):
             request.pool.breaker.record_failure(now)
         if request.is_safe_to_repeat():
@@ -248,50 +291,9 @@
         return [Fail(request.id), *self._finish(request)]
 
     def _finish(self, request: RequestState) -> list[Action]:
+        """Mark a request as answered, and cancel its open attempts unless one of them is being streamed."""
         request.answered = True
         request.pool.pending -= 1
         if not request.open_attempts:
             self.requests.pop(request.id, None)
         return [] if request.response_started else request.cancel_open_attempts()
-
-    def reconfigure(self, now: float, settings: Settings) -> list[Action]:
-        """Swap all settings in this instant; equal ones change nothing.
-
-        Requests in flight are finished under those that they were admitted with, narrowed to what both allow.
-        What was learned of a class or tenant is kept by its name; budgets and endpoints stay what they are.
-        Zone and machine type numbers have to mean the same in both. Raises InvalidValueError, with nothing
-        changed, where `Settings.check_reload` does not allow the new ones.
-        """
-        if settings != self.settings:
-            self.settings.check_reload(settings)
-            self._configure(now, settings)
-            self._rebuild_pools(now)
-        return []
-
-    def misplaced_attempts(self) -> list[MisplacedAttempt]:
-        """Return the open attempts that `reconfigure` has left misplaced; end those that are not sent yet."""
-        return [
-            MisplacedAttempt(request.id, number)
-            for request in self.requests.values()
-            for number, attempt in enumerate(request.attempts)
-            if attempt.is_open and not request.pool.allows(attempt.target.endpoint)
-        ]
-
-    def _configure(self, now: float, settings: Settings) -> None:
-        """Hand new settings to each concern; a class or tenant with no name in both starts anew."""
-        indices = {request_class.name: index for index, request_class in enumerate(self.settings.classes)}
-        previous = [indices.get(request_class.name, -1) for request_class in settings.classes]
-        self.tenant_quotas.configure(now, self.settings.tenants, settings)
-        self.client_timeouts.configure(settings, previous)
-        self.statistics.configure(previous)
-        self.admission.configure(settings)
-        self.retry_budgets.configure(settings.rules)
-        self.slow_start.rules = settings.rules
-        self.settings = self.subsetting.settings = self.polling.settings = self.hedging.settings = settings
-        indices = {request_class.name: index for index, request_class in enumerate(settings.classes)}
-        for request in self.requests.values():
-            request.limits = narrow_limits(request.limits, settings.limits)
-            request.class_index = index = indices.get(request.request_class.name, -1)
-            if index >= 0:  # else its class is gone, and it is finished as it was admitted
-                request.request_class = narrow_class(request.request_class, settings.classes[index])
-        self.assignment.configure(settings, previous, self.requests.values())
--- a/balancer/discovery_polling.py
+++ b/balancer/discovery_polling.py
@@ -8,6 +8,7 @@
 
 MAX_POLL_DELAY = 2.0  # seconds, half as much again with jitter, to the next poll: a change counts after 6 s
 MAX_START_FRACTION = 0.4  # of the poll interval, over which the first polls are spread
+INITIAL_BACKOFF = 1.0  # seconds
 POLL_TOKEN = 1  # of the timer
 
 
@@ -17,7 +18,7 @@
 
     rng: Random
     settings: Settings
-    backoff: float = 1.0  # seconds; 1 after each poll that did not fail
+    backoff: float = INITIAL_BACKOFF  # seconds; 1 after each poll that did not fail
     _is_scheduled: bool = False
 
     def start(self, now: float) -> list[Action]:
@@ -33,6 +34,10 @@
         self.backoff = min(2.0 * self.backoff, max(1.0, self.settings.rules.poll_interval), MAX_POLL_DELAY)
         return self._schedule(now, delay)
 
+    def reset_backoff(self) -> None:
+        """Retry soon again, as after a poll that did not fail."""
+        self.backoff = INITIAL_BACKOFF
+
     def on_timer(self) -> list[Action]:
         """Ask for a poll, unless none is scheduled any more."""
         if not self._is_scheduled:
--- /dev/null
+++ b/balancer/reconfiguration.py
@@ -0,0 +1,143 @@
+"""Reconfiguration: replaces the settings of a running balancer, also for the requests in flight.
+
+What was learned of a class or a tenant follows its name, at whatever index it is listed. A request in flight
+may do only what both the settings that admitted it and the new ones allow: an effect that could be repeated
+under one of them must not be repeated under the other.
+"""
+
+from collections.abc import Mapping
+from dataclasses import dataclass, replace
+
+from balancer.admission_control import AdmissionControl
+from balancer.attempts import RequestState
+from balancer.client_timeouts import ClientTimeouts
+from balancer.discovery_polling import DiscoveryPolling
+from balancer.events import MisplacedAttempt, RequestId
+from balancer.hedging import Hedging
+from balancer.latency_statistics import LatencyStatistics
+from balancer.pool_assignment import PoolAssignment
+from balancer.retry_budget import RetryBudgets
+from balancer.settings import Idempotency, Limits, RequestClass, Settings
+from balancer.slow_start import SlowStart
+from balancer.subsetting import Subsetting
+from balancer.tenant_quota import TenantQuotas
+
+NEW_CLASS = -1  # stands for the previous index of a class that the previous settings did not have
+REMOVED_CLASS = -1  # the index of a class that the settings in force no longer have
+
+
+@dataclass(slots=True, kw_only=True, eq=False, repr=False)
+class Reconfiguration:
+    """Hands new settings to everything in a balancer that depends on them.
+
+    Attributes:
+        requests: The requests in flight, by their ids.
+        assignment: The endpoint pools and the classes that draw from them.
+        tenant_quotas: The token buckets of the tenants.
+        client_timeouts: The timeouts seen of each class's clients.
+        statistics: The latencies measured, in all and of each class.
+        admission: Admission control.
+        retry_budgets: The budgets of retries and of hedged requests.
+        slow_start: The rules for endpoints that are warming up.
+        subsetting: The choice of the pools' subsets.
+        polling: The timer that polls discovery.
+        hedging: The timers of hedged requests.
+    """
+
+    requests: Mapping[RequestId, RequestState]
+    assignment: PoolAssignment
+    tenant_quotas: TenantQuotas
+    client_timeouts: ClientTimeouts
+    statistics: LatencyStatistics
+    admission: AdmissionControl
+    retry_budgets: RetryBudgets
+    slow_start: SlowStart
+    subsetting: Subsetting
+    polling: DiscoveryPolling
+    hedging: Hedging
+
+    def apply(self, now: float, previous: Settings, settings: Settings) -> None:
+        """Put settings in force; nothing is known of a class or tenant that the previous ones do not name.
+
+        Args:
+            now: The time in seconds.
+            previous: The settings in force so far; those of a balancer that is being created have no class.
+            settings: The settings to put in force, which have been checked.
+        """
+        indices = _indices_by_name(previous)
+        previous_indices = [indices.get(each.name, NEW_CLASS) for each in settings.classes]
+        self.tenant_quotas.configure(now, previous.tenants, settings)
+        self.client_timeouts.configure(settings, previous_indices)
+        self.statistics.configure(previous_indices)
+        self.admission.configure(settings)
+        self.retry_budgets.configure(settings.rules)
+        self.slow_start.rules = settings.rules
+        self.subsetting.settings = self.polling.settings = self.hedging.settings = settings
+        self._narrow_requests(settings)
+        self.assignment.configure(settings, previous_indices, self.requests.values())
+
+    def _narrow_requests(self, settings: Settings) -> None:
+        """Restrict the requests in flight to what both their own and the new settings allow."""
+        indices = _indices_by_name(settings)
+        for request in self.requests.values():
+            request.limits = narrow_limits(request.limits, settings.limits)
+            request.class_index = index = indices.get(request.request_class.name, REMOVED_CLASS)
+            if index != REMOVED_CLASS:  # a request of a removed class is finished as it was admitted
+                request.request_class = narrow_class(request.request_class, settings.classes[index])
+
+    def misplaced_attempts(self) -> list[MisplacedAttempt]:
+        """Return the open attempts at endpoints that the pools of their requests no longer allow."""
+        return [
+            MisplacedAttempt(request.id, number)
+            for request in self.requests.values()
+            for number, attempt in enumerate(request.attempts)
+            if attempt.is_open and not request.pool.allows(attempt.target.endpoint)
+        ]
+
+
+def _indices_by_name(settings: Settings) -> dict[str, int]:
+    return {request_class.name: index for index, request_class in enumerate(settings.classes)}
+
+
+def narrow_class(admitted: RequestClass, current: RequestClass) -> RequestClass:
+    """Return the class of a request in flight after a reload: it may do only what both classes allow.
+
+    Where the two differ in how far it may be repeated, it is not repeated once it may have run.
+
+    Args:
+        admitted: The class as the request was admitted, narrowed by all reloads since.
+        current: The class of the same name in the settings in force.
+    """
+    differ = admitted.idempotency is not current.idempotency
+    keyed = current.idempotency is Idempotency.KEYED
+    differ = differ or (keyed and admitted.deduplication_scope is not current.deduplication_scope)
+    return replace(
+        admitted,
+        idempotency=Idempotency.NON_IDEMPOTENT if differ else admitted.idempotency,
+        deduplication_window=min(admitted.deduplication_window, current.deduplication_window),
+        streaming=admitted.streaming or current.streaming,
+        allowed_machine_types=_intersection(admitted.allowed_machine_types, current.allowed_machine_types),
+        allowed_zones=_intersection(admitted.allowed_zones, current.allowed_zones),
+    )
+
+
+def narrow_limits(admitted: Limits, current: Limits) -> Limits:
+    """Return what a request in flight is permitted after a reload: what both limits permit.
+
+    Args:
+        admitted: The limits under which the request was admitted, narrowed by all reloads since.
+        current: The limits in force.
+    """
+    return replace(
+        admitted,
+        cancel=admitted.cancel and current.cancel,
+        hedging=admitted.hedging and current.hedging,
+        max_attempts=min(admitted.max_attempts, current.max_attempts),
+    )
+
+
+def _intersection(one: tuple[int, ...] | None, other: tuple[int, ...] | None) -> tuple[int, ...] | None:
+    """Return the indices that both restrictions allow; None is no restriction."""
+    if one is None or other is None:
+        return other if one is None else one
+    return tuple(index for index in one if index in other)
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -8,7 +8,7 @@
 
 import math
 import sys
-from dataclasses import dataclass, field, fields, replace
+from dataclasses import dataclass, field, fields
 from enum import Enum
 from typing import TYPE_CHECKING, Any
 
@@ -223,40 +223,6 @@
         check_number("cost", request.cost)
 
 
-def _intersection(one: tuple[int, ...] | None, other: tuple[int, ...] | None) -> tuple[int, ...] | None:
-    if one is None or other is None:
-        return other if one is None else one
-    return tuple(place for place in one if place in other)
-
-
-def narrow_class(admitted: RequestClass, current: RequestClass) -> RequestClass:
-    """Return the class of a request in flight after a reload: it may do only what both classes allow.
-
-    Where the two differ in how far it may be repeated, it is not repeated once it may have run.
-    """
-    differ = admitted.idempotency is not current.idempotency
-    keyed = current.idempotency is Idempotency.KEYED
-    differ = differ or (keyed and admitted.deduplication_scope is not current.deduplication_scope)
-    return replace(
-        admitted,
-        idempotency=Idempotency.NON_IDEMPOTENT if differ else admitted.idempotency,
-        deduplication_window=min(admitted.deduplication_window, current.deduplication_window),
-        streaming=admitted.streaming or current.streaming,
-        allowed_machine_types=_intersection(admitted.allowed_machine_types, current.allowed_machine_types),
-        allowed_zones=_intersection(admitted.allowed_zones, current.allowed_zones),
-    )
-
-
-def narrow_limits(admitted: Limits, current: Limits) -> Limits:
-    """Return what a request in flight is permitted after a reload: what both limits permit."""
-    return replace(
-        admitted,
-        cancel=admitted.cancel and current.cancel,
-        hedging=admitted.hedging and current.hedging,
-        max_attempts=min(admitted.max_attempts, current.max_attempts),
-    )
-
-
 def known_fields(kind: type, values: Mapping[str, Any]) -> dict[str, Any]:
     """Return the entries of `values` that are fields of `kind` and not None; others are ignored."""
     names = {item.name for item in fields(kind)}
--- a/proxy/active_request.py
+++ b/proxy/active_request.py
@@ -9,7 +9,8 @@
 from typing import TYPE_CHECKING
 
 from balancer.events import Outcome
-from balancer.settings import Idempotency, RequestClass, narrow_class
+from balancer.reconfiguration import narrow_class
+from balancer.settings import Idempotency, RequestClass
 
 if TYPE_CHECKING:
     import asyncio
--- a/tests/balancer/test_policy_limits.py
+++ b/tests/balancer/test_policy_limits.py
@@ -13,11 +13,13 @@
 #: The modules that decide, in the order of the deploy file: the way of a request, then what it needs.
 DECIDING = [
     "balancer/balancer.py",
+    "balancer/reconfiguration.py",
     "balancer/admission_control.py",
     "balancer/tenant_quota.py",
     "balancer/client_timeouts.py",
     "balancer/latency_statistics.py",
     "balancer/attempts.py",
+    "balancer/attempt_dispatch.py",
     "balancer/send_rejection.py",
     "balancer/endpoint_selection.py",
     "balancer/subsetting.py",
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -58,7 +58,7 @@
             checker.request(0, 3.0)
 
     send_after_drain()
-    rebuild_pools = Balancer._rebuild_pools
+    rebuild_pools = Balancer.rebuild_pools
 
     def keep_all_ready(self: Balancer, now: float) -> None:
         delivered = {state: state.endpoint for state in self.endpoints.states.values()}
@@ -68,7 +68,7 @@
         for state, endpoint in delivered.items():
             state.endpoint = endpoint
 
-    monkeypatch.setattr(Balancer, "_rebuild_pools", keep_all_ready)
+    monkeypatch.setattr(Balancer, "rebuild_pools", keep_all_ready)
     with pytest.raises(AssertionError, match="drains or is gone"):
         send_after_drain()
 
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -168,10 +168,10 @@
 ) -> None:
     entries = [endpoint_entry(f"s{number}", f"{HOST}:9") for number in range(BACKENDS_AT_SIZE)]
     async with reloadable_proxy(config_path, entries) as proxy:
-        calls = record_calls(monkeypatch, ["_rebuild_pools", "on_endpoints_updated"])
+        calls = record_calls(monkeypatch, ["rebuild_pools", "on_endpoints_updated"])
         before = first_subset(proxy)
         proxy.reload(**settings)
-        assert calls == ["_rebuild_pools"]
+        assert calls == ["rebuild_pools"]
         assert (first_subset(proxy) != before) == ("Ordinal" in settings)
 
 
