--- a/balancer/__init__.py
+++ b/balancer/__init__.py
@@ -1,7 +1,7 @@
-"""Load-balancing decisions for services that call services: a sans-I/O library.
+"""Load balancing for services that call services: a sans-I/O library.
 
 `Balancer` takes events and returns the actions to carry out; `settings`, `endpoints` and `events` hold the
-types that it speaks.
+types of its interface.
 """
 
 from balancer.balancer import Balancer
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -51,11 +51,11 @@
 class Balancer:
     """One instance: a method for each event, each returning the actions to carry out, in order.
 
-    Times are seconds on the caller's clock, which never runs backwards.
+    Times are seconds on the caller's clock.
 
     Attributes:
         settings: The settings in force.
-        requests: The requests that are owed a final answer or have open attempts, by their ids.
+        requests: The requests whose final answer is pending, or that have open attempts, by their ids.
         rng: The one source of randomness; the order of draws from it is part of the behaviour.
         endpoints: The endpoint list as last delivered.
         assignment: The endpoint pools and the classes that draw from them.
@@ -102,13 +102,7 @@
         return self.polling.start(now)
 
     def on_endpoints_updated(self, now: float, kind: UpdateKind, rows: Sequence[Endpoint]) -> list[Action]:
-        """Apply an endpoint list or a change to it, or note that a poll failed.
-
-        Args:
-            now: The time.
-            kind: Whether `rows` is a complete list, a change, or nothing as the poll failed.
-            rows: The entries, each the complete state of its endpoint.
-        """
+        """Apply an endpoint list or a change to it, or note that a poll failed (see `UpdateKind`)."""
         if kind is UpdateKind.FAILED:
             return self.polling.on_failure(now)
         if kind is not UpdateKind.CACHED:
@@ -163,8 +157,10 @@
             deadline = now + request_class.deadline
         until = self.client_timeouts.useful_until(now, class_index, deadline, is_retry=incoming.is_retry)
         pool, budget = self.assignment.by_class[class_index], self.admission.wait_budgets[class_index]
-        request = RequestState(request_id, class_index, request_class, limits, pool, budget, deadline, until)
-        request.cost = incoming.cost or UNKNOWN_COST
+        cost = incoming.cost or UNKNOWN_COST
+        request = RequestState(
+            request_id, class_index, request_class, limits, pool, budget, deadline, until, cost
+        )
         self.requests[request_id] = request
         self.retry_budgets.record_request(now)
         pool.record_request(now)
@@ -229,13 +225,8 @@
     ) -> list[Action]:
         """Record the end of an attempt, then retry, answer, or wait for the other attempts.
 
-        Args:
-            now: The time.
-            request_id: The id of the request; an unknown one is ignored.
-            number: The number of the attempt, counted from 0.
-            outcome: How it ended.
-            latency: How long it was open, in seconds.
-            last: Whether the request is over: this outcome is its answer, or it was answered before.
+        The end of an unknown attempt is ignored. `latency` is how long the attempt was open, in seconds,
+        and `last` is whether the request is over, by this outcome or before it.
         """
         request = self.requests.get(request_id)
         if request is None or not 0 <= number < len(request.attempts):
@@ -291,7 +282,7 @@
         return [Fail(request.id), *self._finish(request)]
 
     def _finish(self, request: RequestState) -> list[Action]:
-        """Mark a request as answered, and cancel its open attempts unless one of them is being streamed."""
+        """Mark a request as answered, and cancel its open attempts unless one is being streamed."""
         request.answered = True
         request.pool.pending -= 1
         if not request.open_attempts:
--- a/balancer/endpoint_list.py
+++ b/balancer/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as last delivered; which of the endpoints are up for a class is kept in its pool."""
+"""The endpoint list as last delivered; a pool holds which of the endpoints are ready for its classes."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
@@ -10,15 +10,26 @@
 
 @dataclass
 class EndpointList:
-    """Every endpoint that may still get calls, has some in flight, or may come back warming up."""
+    """Every endpoint that may still get calls, has some in flight, or may return while it is warming up.
+
+    Attributes:
+        slow_start: When an endpoint has warmed up.
+        states: The endpoints by their ids, in the order in which they were first listed.
+    """
 
     slow_start: SlowStart
     states: dict[EndpointId, EndpointState] = field(default_factory=dict)
 
     def update(self, now: float, kind: UpdateKind, endpoints: Sequence[Endpoint]) -> None:
-        """Take in a list, or a change to it."""
+        """Apply a complete list, or a change to it.
+
+        Args:
+            now: The time in seconds.
+            kind: Whether `endpoints` is a complete list or a change.
+            endpoints: The entries, each the complete state of its endpoint.
+        """
         if kind is not UpdateKind.DELTA:
-            self._mark_gone({endpoint.id for endpoint in endpoints})
+            self._remove_unlisted({endpoint.id for endpoint in endpoints})
         for endpoint in endpoints:
             state = self.states.get(endpoint.id)
             if state is None:
@@ -27,20 +38,24 @@
             if endpoint.started > state.endpoint.started:
                 state.reset()
             state.endpoint = endpoint
-        self._forget(now)
+        self._forget_removed(now)
 
-    def _mark_gone(self, listed: set[EndpointId]) -> None:
-        """Mark what a complete list does not name; it may come back as the same process, still warming up."""
+    def _remove_unlisted(self, listed: set[EndpointId]) -> None:
+        """Mark the endpoints that a complete list does not name as removed.
+
+        They stay in `states`, as an endpoint may return as the same process, still warming up.
+        """
         for state in self.states.values():
             if state.endpoint.id not in listed:
-                state.endpoint = replace(state.endpoint, status=EndpointStatus.GONE)
+                state.endpoint = replace(state.endpoint, status=EndpointStatus.REMOVED)
 
-    def _forget(self, now: float) -> None:
-        """Forget what is gone: endpoints are replaced under new ids for as long as the program runs.
+    def _forget_removed(self, now: float) -> None:
+        """Forget removed endpoints, as new ids come for as long as the program runs.
 
-        One stays while attempts are in flight, and while it may come back as the same process, warming up.
+        An endpoint stays while attempts at it are in flight, and while it may return as the same process,
+        still warming up.
         """
         for endpoint_id, state in tuple(self.states.items()):
-            gone = state.endpoint.status is EndpointStatus.GONE
-            if gone and not state.in_flight and self.slow_start.warm_at(state.endpoint) <= now:
+            is_removed = state.endpoint.status is EndpointStatus.REMOVED
+            if is_removed and not state.in_flight and self.slow_start.warm_at(state.endpoint) <= now:
                 del self.states[endpoint_id]
--- a/balancer/errors.py
+++ b/balancer/errors.py
@@ -1,16 +1,18 @@
-"""The errors that this project raises on purpose: one base, so that a caller can tell them from defects."""
+"""The errors that this project raises on purpose; their common base distinguishes them from defects."""
 
 from __future__ import annotations
 
 
 class RowandealError(Exception):
-    """Base of every error that says that input, not the program, is at fault."""
+    """Base of every error that reports wrong input, not a defect of the program."""
 
 
 class InvalidValueError(RowandealError, ValueError):
     """A setting or an argument that makes no sense.
 
-    `field` is its path in the settings or the argument's name, `problem` what is wrong with it.
+    Attributes:
+        field: Its path in the settings, or the argument's name.
+        problem: The value, and what is wanted instead.
     """
 
     def __init__(self, field: str, problem: str) -> None:
--- a/balancer/events.py
+++ b/balancer/events.py
@@ -1,6 +1,7 @@
-"""What goes into the decisions and comes out of them: how attempts ended, and the actions to carry out.
+"""The types of the balancer's events and actions: requests, outcomes of attempts, and what to do about them.
 
-Times are seconds on the caller's clock, timeouts are durations in seconds.
+Times are seconds on the caller's clock, timeouts are durations in seconds. The attempts of a request are
+numbered from 0, in the order of their `StartAttempt`.
 """
 
 from __future__ import annotations
@@ -18,9 +19,9 @@
 class Outcome(Enum):
     """How an attempt ended.
 
-    OVERLOADED is an answer that says that the endpoint had no capacity and did nothing. UNREACHABLE means
-    that no connection came up, CONNECTION_LOST that one broke under the request. CANCELLED and NOT_SENT are
-    no fault of the endpoint: the attempt was called off, or never put on the wire.
+    OVERLOADED is an answer by which the endpoint rejected the request unprocessed. UNREACHABLE means that
+    no connection was established, CONNECTION_LOST that one broke while the request was open. CANCELLED and
+    NOT_SENT are no failure of the endpoint: the attempt was cancelled, or never written.
     """
 
     SUCCESS = "success"
@@ -38,7 +39,12 @@
 
 
 class SendRejection(Enum):
-    """Why an attempt that was started may not be written to its endpoint any more."""
+    """Why an attempt that was started may not be written to its endpoint any more.
+
+    ENDPOINT_NOT_IN_SERVICE: it drains or was removed. ENDPOINT_RESTARTED: another process runs there now.
+    MISPLACED: the settings no longer allow the class that endpoint. HEDGING_FORBIDDEN and REPEAT_FORBIDDEN: a
+    second attempt at the same time, or after one that may have run, is no longer allowed.
+    """
 
     CLIENT_DISCONNECTED = "client_disconnected"
     REQUEST_ENDED = "request_ended"
@@ -53,11 +59,11 @@
 class RejectReason(Enum):
     """Why a request is rejected."""
 
-    NO_TIME = "no_time"  # it can't be served in the time that is left
-    PENDING = "pending"  # too many requests are pending for what is served
+    NO_TIME = "no_time"  # it can not be served in the time that is left
+    PENDING = "pending"  # too many requests are pending for the rate at which they are served
     LATENCY = "latency"  # shed by chance, as latency has left its baseline
-    THROTTLED = "throttled"  # shed by chance, as requests fail
-    NO_ENDPOINT = "no_endpoint"  # there is none, or the breakers let nothing through
+    THROTTLED = "throttled"  # shed by chance, as requests fail (adaptive throttling)
+    NO_ENDPOINT = "no_endpoint"  # no endpoint is ready, or the breakers of the candidates reject
     ATTEMPTS_FAILED = "attempts_failed"  # each attempt failed, and none may follow
 
 
@@ -100,7 +106,13 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send the request to an endpoint; `timeout` 0 means until the client gives up."""
+    """Send the request to an endpoint.
+
+    Attributes:
+        request: The id of the request.
+        endpoint: The id of the endpoint.
+        timeout: When to give the attempt up, in seconds from now; 0: when the client gives up.
+    """
 
     request: RequestId
     endpoint: EndpointId
@@ -109,11 +121,17 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Give the final answer "rejected": the client may repeat the request without harm."""
+    """Give the final answer "rejected": the client may repeat the request without harm.
+
+    Attributes:
+        request: The id of the request.
+        retry_after: How many seconds the client should stay away; 0: no advice.
+        reason: Why it is rejected, for the log.
+    """
 
     request: RequestId
     retry_after: float = 0.0
-    reason: RejectReason = field(default=RejectReason.ATTEMPTS_FAILED, compare=False)  # for the log
+    reason: RejectReason = field(default=RejectReason.ATTEMPTS_FAILED, compare=False)
 
 
 @dataclass(slots=True)
@@ -125,7 +143,12 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt; `attempt` counts the attempts of the request from 0."""
+    """Stop waiting for one attempt.
+
+    Attributes:
+        request: The id of the request.
+        attempt: The number of the attempt.
+    """
 
     request: RequestId
     attempt: int
@@ -133,7 +156,12 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Call `Balancer.on_timer(now, token)` at `at` or soon after."""
+    """Call `Balancer.on_timer(now, token)` at `at` or soon after.
+
+    Attributes:
+        at: When the timer is due.
+        token: What the balancer recognises the timer by.
+    """
 
     at: float
     token: int
@@ -141,7 +169,7 @@
 
 @dataclass(slots=True)
 class PollEndpoints:
-    """Ask discovery for changes of the endpoint list from here on."""
+    """Subscribe to changes of the endpoint list at discovery from now on."""
 
 
 Action = StartAttempt | Reject | Fail | CancelAttempt | SetTimer | PollEndpoints
--- a/balancer/pool_assignment.py
+++ b/balancer/pool_assignment.py
@@ -1,4 +1,4 @@
-"""Pool assignment: which endpoint pool the requests of each class draw from, also after a reload."""
+"""Pool assignment: which endpoint pool the requests of each class draw from, before and after a reload."""
 
 from collections.abc import Iterable
 
@@ -8,14 +8,27 @@
 
 
 class PoolAssignment:
-    """The pools of an instance; classes with the same placement share one."""
+    """The pools of an instance; classes with the same placement share one.
+
+    Attributes:
+        pools: All pools, those included that only requests in flight still draw from.
+        by_class: By class index, the pool of the class.
+    """
 
     def __init__(self) -> None:
-        self.pools: list[EndpointPool] = []  # also those that only requests in flight still draw from
+        self.pools: list[EndpointPool] = []
         self.by_class: list[EndpointPool] = []
 
     def configure(self, settings: Settings, previous: list[int], requests: Iterable[RequestState]) -> None:
-        """Assign new classes, then requests in flight; a class keeps its pool with its name and placement."""
+        """Assign a pool to each class, then to the requests in flight.
+
+        Args:
+            settings: The new settings.
+            previous: The index of each of their classes in the previous settings, -1 for a new class. A class
+                that keeps its placement keeps its pool, with what it has learned.
+            requests: The requests in flight, their classes narrowed by the new settings. A request whose
+                class is restricted further moves to the pool of its own placement.
+        """
         placements = [request_class.placement for request_class in settings.classes]
         assigned: dict[Placement, EndpointPool] = {}
         for placement, index in zip(placements, previous, strict=True):
@@ -28,13 +41,13 @@
         for request in requests:
             placement = request.request_class.placement
             if request.class_index < 0 or request.pool.placement == placement:
-                continue  # a request whose class is gone is finished as it was admitted
+                continue  # a request whose class was removed is finished as it was admitted
             pool = self.by_class[request.class_index]
             if pool.placement != placement:
                 pool = narrowed.setdefault(placement, EndpointPool(placement))
             request.pool.pending -= not request.answered
             pool.pending += not request.answered
             request.pool = pool
-        # Requests in flight may draw from pools that no class has any more.
+        # Requests in flight may draw from pools that no class uses any more.
         needed = [pool for pool in self.pools if pool.pending and pool not in self.by_class]
         self.pools = [*assigned.values(), *narrowed.values(), *needed]
--- a/balancer/rate_estimators.py
+++ b/balancer/rate_estimators.py
@@ -1,14 +1,20 @@
-"""Estimators of event rates, in events a second. They know nothing of what the events are."""
+"""Estimators of event rates, in events a second; what the events are is up to their users."""
 
 from math import exp, inf
 
-SMOOTHING_SPAN = 2.0  # seconds that a smoothed rate goes over
-WARM_RATE_SPAN = 30.0  # seconds with warm endpoints that the warm rate goes over
-MIN_WARM_EVENTS = 8.0  # events before the warm rate says anything
+#: Seconds over which a smoothed rate forgets: long enough for a proxy with a few calls a second, short
+#: enough to see a burst. Chosen: it came with the program, and no derivation is known.
+SMOOTHING_SPAN = 2.0
+EVENT_WEIGHT = 1.0 / SMOOTHING_SPAN  # so that events at a steady rate read as that rate
+#: Seconds with warm endpoints that the warm rate covers: the usual traffic, which a burst of some
+#: seconds does not change. Chosen with the cap on offered calls (commit 8be7640); a cap at 1.5 times the
+#: usual rate broke the rule.
+WARM_RATE_SPAN = 30.0
+MIN_WARM_EVENTS = 8.0  # events before the warm rate counts as known: fewer are no measure of a rate. Chosen.
 
 
 class SmoothedRate:
-    """The rate over the last two seconds."""
+    """The rate over about the last two seconds; it decays to 0 within SMOOTHING_SPAN after the last event."""
 
     __slots__ = ("_at", "_value")
 
@@ -17,7 +23,7 @@
 
     def add(self, now: float) -> None:
         """Count one event."""
-        self._value = self.read(now) + 0.5
+        self._value = self.read(now) + EVENT_WEIGHT
         self._at = now
 
     def read(self, now: float) -> float:
@@ -26,7 +32,7 @@
 
 
 class WarmRate:
-    """The rate while all endpoints were warm, over the last half minute of such time."""
+    """The rate while all endpoints were warm, over about the last half minute of such time."""
 
     __slots__ = ("_at", "_events", "_time")
 
@@ -34,7 +40,12 @@
         self._at = self._events = self._time = 0.0
 
     def add(self, now: float, *, is_warm: bool) -> None:
-        """Count one event and the time since the last, unless endpoints were warming up then or are now."""
+        """Count one event and the time since the one before, if all endpoints were warm at both.
+
+        Args:
+            now: The time of the event in seconds.
+            is_warm: Whether all endpoints are warm.
+        """
         if is_warm and self._at > 0.0:
             gap = now - self._at
             decay = exp(-gap / WARM_RATE_SPAN)
--- a/balancer/reconfiguration.py
+++ b/balancer/reconfiguration.py
@@ -1,6 +1,6 @@
 """Reconfiguration: replaces the settings of a running balancer, also for the requests in flight.
 
-What was learned of a class or a tenant follows its name, at whatever index it is listed. A request in flight
+What was learned of a class or a tenant follows its name, not its index. A request in flight
 may do only what both the settings that admitted it and the new ones allow: an effect that could be repeated
 under one of them must not be repeated under the other.
 """
@@ -22,7 +22,7 @@
 from balancer.subsetting import Subsetting
 from balancer.tenant_quota import TenantQuotas
 
-NEW_CLASS = -1  # stands for the previous index of a class that the previous settings did not have
+NEW_CLASS = -1  # the previous index of a class that the previous settings did not have
 REMOVED_CLASS = -1  # the index of a class that the settings in force no longer have
 
 
--- a/balancer/send_rejection.py
+++ b/balancer/send_rejection.py
@@ -1,10 +1,13 @@
 """Send rejection: why an attempt may no longer be written to its endpoint, asked just before its first byte.
 
-An attempt may wait for a connection after it was decided. What allowed it then may have changed since: this
-is the one place that says whether all of it still holds. What follows from a refusal `balancer` decides.
+An attempt may wait for a connection after it was started, and the conditions for it may have changed by
+then. All of them are checked here once more. Without that, a retry that waited for its connection ran after
+its deduplication window, or after a reload that forbade it (docs/postmortems.md, "A retry was allowed when
+it was decided, and no longer when it was sent").
 """
 
 from balancer.attempts import RequestState
+from balancer.endpoint_state import AttemptState
 from balancer.endpoints import EndpointStatus
 from balancer.events import SendRejection
 
@@ -13,24 +16,31 @@
     """Return why an attempt may not be written now; None if it may.
 
     Args:
-        now: The time.
-        request: The request, narrowed by all settings since it was admitted.
-        number: The attempt, one of the request's.
+        now: The time in seconds.
+        request: The request, narrowed by all reloads since it was admitted.
+        number: The number of the attempt among those of the request.
     """
     attempt = request.attempts[number]
-    current = attempt.target.endpoint
     if request.answered or not attempt.is_open:
         return SendRejection.REQUEST_ENDED
     if now >= request.deadline:
         return SendRejection.DEADLINE_PASSED
+    rejection = _endpoint_rejection(request, attempt)
+    if rejection is not None or len(request.attempts) == 1:
+        return rejection
+    if request.has_other_open_attempt(number) and not request.limits.hedging:
+        return SendRejection.HEDGING_FORBIDDEN
+    may_repeat = request.allows_repeat(now, attempt.target.endpoint, number)
+    return None if may_repeat else SendRejection.REPEAT_FORBIDDEN
+
+
+def _endpoint_rejection(request: RequestState, attempt: AttemptState) -> SendRejection | None:
+    """Return why an attempt may not go to its endpoint as it is listed now; None if it may."""
+    current = attempt.target.endpoint
     if current.status is not EndpointStatus.UP:
         return SendRejection.ENDPOINT_NOT_IN_SERVICE
     if current.started != attempt.endpoint.started:
         return SendRejection.ENDPOINT_RESTARTED
     if not request.pool.allows(current):
         return SendRejection.MISPLACED
-    if len(request.attempts) == 1:
-        return None
-    if request.has_other_open_attempt(number) and not request.limits.hedging:
-        return SendRejection.HEDGING_FORBIDDEN
-    return None if request.allows_repeat(now, current, number) else SendRejection.REPEAT_FORBIDDEN
+    return None
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -1,7 +1,7 @@
-"""The settings of one balancer as typed values, and what a request in flight keeps of them after a reload.
+"""The settings of one balancer as typed values, and their checks.
 
-Nothing here decides anything, and nothing here knows a wire format (see `settings_reader`). Durations are in
-seconds, rates in requests a second.
+Nothing here decides anything, and nothing here depends on a wire format (see `settings_reader`). Durations
+are in seconds, rates in requests a second.
 """
 
 from __future__ import annotations
@@ -20,13 +20,16 @@
 
     from balancer.events import IncomingRequest
 
-MAX_COUNT = 1 << 20  # instances, tiers or zones: one part of so many must not vanish among the figures
+#: Instances, tiers or zones at most: far more than any deployment has, and one part of so many is still a
+#: number that a sum over all of them does not round away.
+MAX_COUNT = 1 << 20
 
 
 class Idempotency(Enum):
-    """How far a class of request may be repeated once it may have run.
+    """How far a class of requests may be repeated once it may have run.
 
-    KEYED requests carry an idempotency key by which the servers of a deduplication scope discard a repeat.
+    IDEMPOTENT ones may be repeated at will. KEYED ones carry an idempotency key, by which the endpoints of a
+    deduplication scope discard a repeat. NON_IDEMPOTENT ones must never run twice.
     """
 
     IDEMPOTENT = "idempotent"
@@ -35,7 +38,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which servers recognise the repeat of a keyed request."""
+    """Which endpoints discard the repeat of a keyed request: all, or those of the same zone or cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -43,7 +46,7 @@
 
 
 class DiscoveryMode(Enum):
-    """Whether the endpoint list is pushed or has to be polled."""
+    """Whether discovery pushes the endpoint list, or it has to be polled."""
 
     PUSHED = "pushed"
     POLLED = "polled"
@@ -51,7 +54,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Placement:
-    """The machine types and zones that the endpoints of a class are restricted to (None: no restriction)."""
+    """What the endpoints of a class are restricted to.
+
+    Attributes:
+        machine_types: The allowed machine types, by index; None: no restriction.
+        zones: The allowed zones, by index; None: no restriction.
+    """
 
     machine_types: tuple[int, ...] | None
     zones: tuple[int, ...] | None
@@ -59,11 +67,21 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of request.
-
-    `latency_objective` is the time in which an answer earns its full `priority_weight`; a later one, up to
-    `deadline`, earns `late_weight` of it. `deduplication_window` is how long a keyed request is recognised.
-    `allowed_machine_types` and `allowed_zones` restrict the endpoints (None: no restriction).
+    """One class of requests.
+
+    Attributes:
+        name: Its name; after a reload, what was learned of a class belongs to the class of the same name.
+        latency_objective: The time in which an answer earns its full weight, in seconds.
+        deadline: When a client gives up, in seconds from its first attempt.
+        idempotency: How far its requests may be repeated.
+        deduplication_scope: Which endpoints discard the repeat of a keyed request.
+        deduplication_window: For how long they do, in seconds from the first attempt that may have run.
+        priority_weight: What an answer within the latency objective is worth, in any unit that all classes
+            share.
+        late_weight: The part of that weight that an answer earns between objective and deadline, from 0 to 1.
+        streaming: Whether the response is a stream, which belongs to one attempt once it has begun.
+        allowed_machine_types: The machine types that may serve it, by index; None: no restriction.
+        allowed_zones: The zones that may serve it, by index; None: no restriction.
     """
 
     name: str = "request"
@@ -80,7 +98,7 @@
 
     @property
     def placement(self) -> Placement:
-        """The endpoints that the class may go to; classes of one placement share them."""
+        """What the class's endpoints are restricted to; classes with the same placement share a pool."""
         return Placement(self.allowed_machine_types, self.allowed_zones)
 
     def check(self, path: str) -> None:
@@ -99,7 +117,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """One tenant; `quota` is its part in requests a second over all instances (0: no quota)."""
+    """One tenant.
+
+    Attributes:
+        name: Its name; after a reload, the tokens of a tenant belong to the tenant of the same name.
+        share: Its part of the service, from 0 to 1.
+        quota: Requests a second over all instances; 0: no quota.
+    """
 
     name: str = "tenant"
     share: float = 0.0
@@ -114,7 +138,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the deployment permits; `max_retry_after` 0 means that none is stated."""
+    """What the deployment permits.
+
+    Attributes:
+        cancel: Whether attempts may be cancelled.
+        hedging: Whether a request may have two open attempts.
+        max_attempts: Attempts of one request at most.
+        retry_after: Whether clients follow the advice when to come back.
+        max_retry_after: The longest such wait that they follow, in seconds; 0: none is stated.
+    """
 
     cancel: bool = False
     hedging: bool = False
@@ -132,12 +164,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """The figures behind the deployment's rules.
-
-    A warming endpoint starts at `warmup_initial_capacity` of its full capacity and reaches it after
-    `warmup_duration`; it falls over at `overload_multiple` of that capacity within `overload_interval`.
-    Within `retry_budget_window`, `retry_budget_floor` retries are allowed and `retry_budget_ratio` more for
-    each request (window 0: no retry budget is stated). Discovery may be polled once each `poll_interval`.
+    """The figures behind the deployment's rules; durations are in seconds.
+
+    Attributes:
+        drain_grace: How long new requests may still go to an endpoint after the list has it draining.
+        answer_slack: How long after the client's deadline its final answer still counts.
+        poll_interval: How often discovery may be polled.
+        warmup_initial_capacity: The part of its full capacity that a new process has at least, from 0 to 1.
+        warmup_duration: After how long it has all of it at the latest.
+        overload_multiple: At which multiple of its present capacity a warming endpoint falls over...
+        overload_interval: ...if it gets that much for this long.
+        retry_budget_floor: Retries that are allowed in any window.
+        retry_budget_ratio: Further retries for each request in the window.
+        retry_budget_window: The length of the window; 0: no retry budget is stated.
     """
 
     drain_grace: float = 0.0
@@ -160,11 +199,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything that one instance is configured with; `check()` is called by the balancer.
-
-    The instance is number `ordinal` of `fleet_size` in its tier. `over_quota_weight` is what a request beyond
-    its tenant's quota is worth. With `propagates_deadline` callers state the time that is left to them; with
-    `clients_mark_retries` a request that is not marked is a client's first attempt.
+    """Everything that one instance is configured with; the balancer calls `check()`.
+
+    Attributes:
+        classes: The classes of requests; requests name theirs by its index.
+        tenants: The tenants; requests name theirs by its index.
+        fleet_size: How many instances share the tier.
+        ordinal: The number of this instance among them, counted from 0.
+        tier: The tier that this instance sends to, counted from 0; 0 is the one that clients call.
+        tier_count: How many tiers there are.
+        zone: The zone of this instance, by index.
+        zone_count: How many zones there are.
+        discovery: How this instance learns the endpoint list.
+        over_quota_weight: The part of its weight that a request beyond its tenant's quota has, from 0 to 1.
+        propagates_deadline: Whether callers of lower tiers state the time that their own request has left.
+        clients_mark_retries: Whether clients mark their retries, so that an unmarked request is a first
+            attempt.
+        limits: What the deployment permits.
+        rules: The figures behind its rules.
     """
 
     classes: tuple[RequestClass, ...] = (RequestClass(),)
@@ -202,8 +254,9 @@
     def check_reload(self, proposed: Settings) -> None:
         """Raise InvalidValueError where a running instance can't replace these settings by the proposed ones.
 
-        What is learned is kept by name, so classes and tenants need distinct names. Tier and discovery mode
-        say which endpoints an instance has and how it hears of them: those need a new instance.
+        What was learned follows the names of classes and tenants, so these need distinct names. The tier
+        and the discovery mode determine which endpoints an instance has and how it learns of them: to
+        change those takes a new instance.
         """
         proposed.check()
         for name in ("tier", "discovery"):
--- a/balancer/simulator/messages.py
+++ b/balancer/simulator/messages.py
@@ -17,7 +17,7 @@
     StartAttempt,
 )
 
-STATUSES = {"U": EndpointStatus.UP, "L": EndpointStatus.DRAINING, "D": EndpointStatus.GONE}
+STATUSES = {"U": EndpointStatus.UP, "L": EndpointStatus.DRAINING, "D": EndpointStatus.REMOVED}
 UPDATE_KINDS = {
     "stale_copy": UpdateKind.CACHED,
     "whole": UpdateKind.SNAPSHOT,
--- a/proxy/discovery/endpoint_reader.py
+++ b/proxy/discovery/endpoint_reader.py
@@ -24,7 +24,7 @@
 STATUSES = {
     "in_service": EndpointStatus.UP,
     "terminating": EndpointStatus.DRAINING,
-    "terminated": EndpointStatus.GONE,
+    "terminated": EndpointStatus.REMOVED,
 }
 MAX_NAMES = 4096  # names of zones, or of machine types, that are distinguished
 UNKNOWN_NAME = -1  # the number of all names beyond those
--- a/proxy/endpoint_table.py
+++ b/proxy/endpoint_table.py
@@ -42,7 +42,7 @@
                 self._remove(endpoint_id)
         for discovered in endpoints:
             endpoint = discovered.endpoint
-            if endpoint.status is EndpointStatus.GONE:
+            if endpoint.status is EndpointStatus.REMOVED:
                 self._remove(endpoint.id)
                 continue
             backend = self.backends.setdefault(endpoint.id, Backend(discovered.address))
--- a/tests/balancer/test_bad_input.py
+++ b/tests/balancer/test_bad_input.py
@@ -111,7 +111,7 @@
     [
         [],
         [Endpoint(1, EndpointStatus.DRAINING), Endpoint(2, EndpointStatus.DRAINING)],
-        [Endpoint(1, EndpointStatus.GONE)],
+        [Endpoint(1, EndpointStatus.REMOVED)],
     ],
 )
 def test_a_request_is_rejected_where_no_endpoint_is_up(endpoints: list[Endpoint]) -> None:
--- a/tests/balancer/test_endpoint_list.py
+++ b/tests/balancer/test_endpoint_list.py
@@ -12,4 +12,6 @@
         Settings(classes=(IDEMPOTENT,)), [Endpoint(1, size=2.0, started=99.0), Endpoint(2)]
     )
     balancer.on_endpoints_updated(101.0, UpdateKind.SNAPSHOT, [Endpoint(2)])
-    assert balancer.endpoints.states[1].endpoint == Endpoint(1, EndpointStatus.GONE, size=2.0, started=99.0)
+    assert balancer.endpoints.states[1].endpoint == Endpoint(
+        1, EndpointStatus.REMOVED, size=2.0, started=99.0
+    )
--- a/tests/balancer/test_endpoint_selection.py
+++ b/tests/balancer/test_endpoint_selection.py
@@ -56,7 +56,7 @@
 
 def test_the_mean_latency_of_a_silent_endpoint_fades_to_the_tiers() -> None:
     state = make_balancer(Settings(classes=(IDEMPOTENT,))).endpoints.states[1]
-    state._record_latency(100.0, 1.0)
+    state.record_latency(100.0, 1.0)
     assert state.score(100.0, 0.1) == pytest.approx(1.0)
     assert state.score(105.0, 0.1) == pytest.approx(0.55)
     assert state.score(1000.0, 0.1) < 0.11
--- a/tests/balancer/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -76,4 +76,4 @@
             timer.at + 0.01, f"r{n}", 0, Outcome.SUCCESS, timer.at + 0.01 - now, last=True
         )
     assert 0 < hedges <= 3
-    assert not balancer.retry_budgets.retries._retries
+    assert not balancer.retry_budgets.retries.retry_times
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -81,7 +81,7 @@
         for n in range(40):
             fail_attempts(checker, 5 + n % 2, 4)
             checker.advance(0.5)
-        none_open = [replace(e, status=EndpointStatus.GONE) for e in endpoints if e.machine_type == 1]
+        none_open = [replace(e, status=EndpointStatus.REMOVED) for e in endpoints if e.machine_type == 1]
         checker.update_endpoints(UpdateKind.DELTA, none_open)
         before = sum(len(starts) for starts in checker.starts_by_endpoint.values())
         checker.request(5, 3.0)
--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -120,13 +120,13 @@
     if not endpoints:
         return
     endpoint = endpoints[first % len(endpoints)]
-    status = (EndpointStatus.UP, EndpointStatus.DRAINING, EndpointStatus.GONE)[second % 3]
+    status = (EndpointStatus.UP, EndpointStatus.DRAINING, EndpointStatus.REMOVED)[second % 3]
     restarts = status is EndpointStatus.UP and second % 2
     changed = replace(endpoint, status=status, started=checker.now - 0.5 if restarts else endpoint.started)
     kind = (UpdateKind.DELTA, UpdateKind.SNAPSHOT, UpdateKind.FAILED)[second // 3 % 3]
     if kind is UpdateKind.SNAPSHOT:
-        others = [e for e in endpoints if e.id != endpoint.id and e.status is not EndpointStatus.GONE]
-        checker.update_endpoints(kind, others if status is EndpointStatus.GONE else [*others, changed])
+        others = [e for e in endpoints if e.id != endpoint.id and e.status is not EndpointStatus.REMOVED]
+        checker.update_endpoints(kind, others if status is EndpointStatus.REMOVED else [*others, changed])
     else:
         checker.update_endpoints(kind, [changed] if kind is UpdateKind.DELTA else [])
 
--- a/tests/support/warming_fleet.py
+++ b/tests/support/warming_fleet.py
@@ -198,7 +198,7 @@
     def _stop_endpoints(self) -> None:
         for endpoint_id in self.warming:
             endpoint = self.endpoints[endpoint_id]
-            endpoint.listed = replace(endpoint.listed, status=EndpointStatus.GONE)
+            endpoint.listed = replace(endpoint.listed, status=EndpointStatus.REMOVED)
 
     def start_endpoints(self) -> None:
         """Start the warming endpoints, at full size and with a new process."""
