--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -10,14 +10,12 @@
 import sys
 from dataclasses import dataclass, field, fields
 from enum import Enum
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from balancer.errors import InvalidValueError
 from balancer.validation import check_flag, check_index, check_number, check_text
 
 if TYPE_CHECKING:
-    from collections.abc import Mapping
-
     from balancer.events import IncomingRequest
 
 #: Instances, tiers or zones at most: far more than any deployment has, and one part of so many is still a
@@ -274,9 +272,3 @@
         if request.deadline is not None:
             check_number("deadline", request.deadline, -math.inf)
         check_number("cost", request.cost)
-
-
-def known_fields(kind: type, values: Mapping[str, Any]) -> dict[str, Any]:
-    """Return the entries of `values` that are fields of `kind` and not None; others are ignored."""
-    names = {item.name for item in fields(kind)}
-    return {k: v for k, v in values.items() if k in names and v is not None}
--- a/balancer/simulator/__main__.py
+++ b/balancer/simulator/__main__.py
@@ -1,26 +1,39 @@
 """Answers batches of the simulator on standard input and output: `python -m balancer.simulator`.
 
 A batch is a `Tick` with the time, events, and a `Flush`; the reply to it is a line for each action and an
-`Eor`. A line that the wire does not allow ends the process with exit code 2 and one line on standard error. A
-defect of the decisions is reported for its instance alone (`BailOut`).
+`Eor`. A line that the wire does not allow ends the process with exit code 2 and one line on standard error.
+A defect of the balancer is reported for its instance alone (`BailOut`).
 """
 
 from __future__ import annotations
 
 import os
 import sys
-from typing import Any, BinaryIO, TextIO
+from typing import TYPE_CHECKING, BinaryIO, TextIO, cast
 
 import orjson
 
-from balancer.simulator.messages import WireError, write_action
-from balancer.simulator.session import Message, Session
+from balancer.simulator.action_messages import write_action, write_bail_out
+from balancer.simulator.errors import (
+    ClockError,
+    MissingFieldError,
+    NestedBatchError,
+    NotAMessageError,
+    OutsideBatchError,
+    UnfinishedBatchError,
+    WireError,
+)
+from balancer.simulator.session import Session
+
+if TYPE_CHECKING:
+    from balancer.simulator.event_messages import EventMessage, InstanceMessage, Message
 
 END_OF_REPLY = b'{"m":"Eor"}\n'
+WIRE_ERROR_EXIT_CODE = 2
 
 
 class BatchServer:
-    """Answers one simulator: the batch that is open, its time, and the replies to it so far."""
+    """Answers one simulator: the open batch, its time, and the replies to it so far."""
 
     def __init__(self, sink: BinaryIO) -> None:
         self._sink = sink
@@ -30,30 +43,45 @@
         self._replies: list[bytes] = []
 
     def feed(self, line: bytes) -> None:
-        """Take one line; raises WireError, ValueError, KeyError or TypeError for one that is not allowed."""
+        """Take one line.
+
+        Raises:
+            WireError: The wire does not allow the line.
+            ValueError: It is no JSON, or holds a text where a number is wanted.
+            TypeError: It holds a value of another type than the wire requires.
+        """
         message = orjson.loads(line)
         if not isinstance(message, dict) or "m" not in message:
-            raise WireError("not a message")
-        name = message["m"]
-        if name == "Tick":
+            raise NotAMessageError
+        try:
+            self._dispatch(cast("Message", message))
+        except KeyError as error:
+            raise MissingFieldError(error.args[0]) from error
+
+    def close(self) -> None:
+        """Note the end of the input.
+
+        Raises:
+            UnfinishedBatchError: It is inside a batch.
+        """
+        if self._now is not None:
+            raise UnfinishedBatchError
+
+    def _dispatch(self, message: Message) -> None:
+        if message["m"] == "Tick":
             self._begin(float(message["Time"]))
         elif self._now is None:
-            raise WireError(f"{name!r} outside a batch")
-        elif name == "Flush":
+            raise OutsideBatchError(message["m"])
+        elif message["m"] == "Flush":
             self._end()
         else:
             self._event(self._now, message)
 
-    def close(self) -> None:
-        """Raise WireError where the input ends inside a batch."""
-        if self._now is not None:
-            raise WireError("the input ended inside a batch")
-
     def _begin(self, now: float) -> None:
         if self._now is not None:
-            raise WireError("a Tick inside a batch")
+            raise NestedBatchError
         if not now >= self._latest:  # also rejects NaN
-            raise WireError("the clock goes backwards")
+            raise ClockError(now, self._latest)
         self._now = self._latest = now
 
     def _end(self) -> None:
@@ -63,7 +91,7 @@
         self._replies.clear()
         self._now = None
 
-    def _event(self, now: float, message: Message) -> None:
+    def _event(self, now: float, message: EventMessage) -> None:
         try:
             call = self._session.read(message)
         except (WireError, KeyError, TypeError):
@@ -76,13 +104,14 @@
         except Exception as error:  # noqa: BLE001 - an odd message or a defect ends its instance alone
             self._replies.append(_bail_out(message, error))
             return
-        for action in actions:
-            self._replies.append(orjson.dumps(write_action(message["ProxyId"], action)))
+        if actions:  # only messages for an instance lead to actions
+            instance = cast("InstanceMessage", message)["ProxyId"]
+            self._replies += [orjson.dumps(write_action(instance, action)) for action in actions]
 
 
-def _bail_out(message: dict[str, Any], error: Exception) -> bytes:
-    text = f"{type(error).__name__}: {error}"
-    return orjson.dumps({"m": "BailOut", "ProxyId": message.get("ProxyId", 0), "NoteText": text})
+def _bail_out(message: EventMessage, error: Exception) -> bytes:
+    instance = cast("InstanceMessage", message).get("ProxyId", 0)  # a list belongs to no instance
+    return orjson.dumps(write_bail_out(instance, error))
 
 
 def serve(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
@@ -93,10 +122,9 @@
         for number, line in enumerate(source, 1):  # noqa: B007 - the number is used where a line is rejected
             server.feed(line)
         server.close()
-    except (WireError, ValueError, KeyError, TypeError) as error:
-        problem = f"missing field {error}" if isinstance(error, KeyError) else str(error)
-        print(f"simulator: line {number}: {problem}".replace("\n", " "), file=errors)
-        return 2
+    except (WireError, ValueError, TypeError) as error:
+        print(f"simulator: line {number}: {error}".replace("\n", " "), file=errors)
+        return WIRE_ERROR_EXIT_CODE
     return 0
 
 
@@ -105,7 +133,7 @@
     try:
         return serve(sys.stdin.buffer, sys.stdout.buffer, sys.stderr)
     except BrokenPipeError:
-        # The reader has gone. The flush at exit must not complain of that either.
+        # The simulator has closed its end. The flush at exit must not report that either.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
 
--- a/tests/balancer/test_simulator.py
+++ b/tests/balancer/test_simulator.py
@@ -6,7 +6,7 @@
 import os
 import subprocess
 import sys
-from typing import Any
+from typing import TYPE_CHECKING, Any, cast
 
 import pytest
 
@@ -17,6 +17,9 @@
 from balancer.simulator.session import Session
 from testbed.paths import PROJECT_ROOT
 
+if TYPE_CHECKING:
+    from balancer.simulator.event_messages import EventMessage
+
 Message = dict[str, Any]
 
 SETTINGS: Message = {
@@ -177,6 +180,21 @@
             7,
             "unknown list number 9",
         ),
+        (
+            batch(1.0, opened(0)) + batch(2.0, [{"m": "Returned", "ProxyId": 0, "Ref": "a", "How": "odd"}]),
+            7,
+            "How: 'odd' is none of success, failure",
+        ),
+        (
+            batch(1.0, opened(0)) + batch(2.0, [{"m": "Members", "ProxyId": 0, "Mode": "odd", "List": 0}]),
+            7,
+            "Mode: 'odd' is none of stale_copy, whole",
+        ),
+        (
+            batch(1.0, [{"m": "Register", "List": 0, "Rows": [{"Backend": 1, "Readiness": "X"}]}]),
+            2,
+            "Readiness: 'X' is none of U, L, D",
+        ),
         ('{"m":"Tick","Time":1}\n', 1, "the input ended inside a batch"),
     ],
 )
@@ -263,10 +281,14 @@
     monkeypatch.setattr(Balancer, "on_request", record_request)
     monkeypatch.setattr(Balancer, "on_attempt_finished", record_finished)
     session = Session()
+
+    def perform(message: Message, now: float) -> list[Action]:
+        return session.read(cast("EventMessage", message))(now)
+
     for event in opened(0):
-        session.read(event)(1.0)
-    session.read({"m": "Call", "ProxyId": 0, "Ref": "a", "Deadline": 3.0, "Effort": 0.5, "Retry": True})(2.0)
-    session.read({"m": "Returned", "ProxyId": 0, "Ref": "a", "How": "success", "Telemetry": [3, 1]})(2.0)
-    assert session.read({"m": "PingResult", "ProxyId": 0, "Backend": 70, "How": "success"})(2.0) == []
+        perform(event, 1.0)
+    perform({"m": "Call", "ProxyId": 0, "Ref": "a", "Deadline": 3.0, "Effort": 0.5, "Retry": True}, 2.0)
+    perform({"m": "Returned", "ProxyId": 0, "Ref": "a", "How": "success", "Telemetry": [3, 1]}, 2.0)
+    assert perform({"m": "PingResult", "ProxyId": 0, "Backend": 70, "How": "success"}, 2.0) == []
     assert (requests[0].cost, requests[0].is_retry) == (0.5, True)
     assert finished[0] == ("a", 0, Outcome.SUCCESS)
