--- a/tests/balancer/test_admission_control.py
+++ b/tests/balancer/test_admission_control.py
@@ -10,7 +10,7 @@
 from balancer.endpoints import Endpoint, UpdateKind
 from balancer.events import IncomingRequest, Outcome, Reject, StartAttempt
 from balancer.settings import Idempotency, Limits, RequestClass, Settings
-from tests.support.decision_helpers import (
+from tests.support.balancer_helpers import (
     ENDPOINTS,
     IDEMPOTENT,
     NON_IDEMPOTENT,
--- a/tests/balancer/test_client_timeouts.py
+++ b/tests/balancer/test_client_timeouts.py
@@ -8,7 +8,7 @@
 
 from balancer.events import Fail, IncomingRequest, Outcome, Reject, StartAttempt
 from balancer.settings import Idempotency, Limits, RequestClass, Settings
-from tests.support.decision_helpers import IDEMPOTENT, NON_IDEMPOTENT, make_balancer
+from tests.support.balancer_helpers import IDEMPOTENT, NON_IDEMPOTENT, make_balancer
 
 if TYPE_CHECKING:
     from balancer.balancer import Balancer
--- a/tests/balancer/test_endpoint_list.py
+++ b/tests/balancer/test_endpoint_list.py
@@ -4,7 +4,7 @@
 
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
 from balancer.settings import Settings
-from tests.support.decision_helpers import IDEMPOTENT, make_balancer
+from tests.support.balancer_helpers import IDEMPOTENT, make_balancer
 
 
 def test_absence_from_a_snapshot_keeps_start_time_and_size() -> None:
--- a/tests/balancer/test_endpoint_selection.py
+++ b/tests/balancer/test_endpoint_selection.py
@@ -9,7 +9,7 @@
 from balancer.endpoints import Endpoint
 from balancer.events import IncomingRequest, Outcome, StartAttempt
 from balancer.settings import Limits, Settings
-from tests.support.decision_helpers import IDEMPOTENT, make_balancer
+from tests.support.balancer_helpers import IDEMPOTENT, make_balancer
 
 
 def test_all_other_endpoints_stand_in_for_a_dead_subset() -> None:
--- a/tests/balancer/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -6,7 +6,7 @@
 
 from balancer.events import CancelAttempt, IncomingRequest, Outcome, SetTimer, StartAttempt
 from balancer.settings import Idempotency, Limits, RequestClass, Settings
-from tests.support.decision_helpers import IDEMPOTENT, make_balancer, serve_sequentially
+from tests.support.balancer_helpers import IDEMPOTENT, make_balancer, serve_sequentially
 
 if TYPE_CHECKING:
     from balancer.balancer import Balancer
--- /dev/null
+++ b/tests/balancer/test_reconfigure_rules.py
@@ -0,0 +1,88 @@
+"""Reconfiguration: the rules hold over random events and changes of settings; broken balancers are caught."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+from hypothesis import HealthCheck, given, settings
+from hypothesis import strategies as st
+
+from balancer.events import Outcome
+from balancer.settings import (
+    Idempotency,
+    Limits,
+)
+from tests.support.random_events import (
+    RULES,
+    STEPS,
+    Step,
+    play_step,
+    random_settings,
+    spread_endpoints,
+)
+from tests.support.reconfiguration import (
+    BASE,
+    ENDPOINTS,
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    make_checker,
+)
+from tests.support.rules_checker import RulesChecker
+from tests.support.settings_changes import CHANGES, SettingsChange, change_settings
+
+
+@settings(derandomize=True, max_examples=250, deadline=None, suppress_health_check=list(HealthCheck))
+@given(
+    steps=st.lists(st.one_of(STEPS, STEPS, STEPS, CHANGES), min_size=20, max_size=120),
+    seed=st.integers(0, 2**32),
+    is_polled=st.booleans(),
+    endpoint_count=st.integers(0, 14),
+)
+def test_the_rules_hold_while_settings_change(
+    steps: list[Step | SettingsChange], seed: int, is_polled: bool, endpoint_count: int
+) -> None:
+    limits = Limits(cancel=True, hedging=True, max_attempts=4)
+    stated = random_settings(RULES, limits, seed % 3, seed % 2, is_polled)
+    checker = RulesChecker(stated, seed, spread_endpoints(endpoint_count))
+    for step in steps:
+        if isinstance(step, SettingsChange):
+            checker.reconfigure(change_settings(checker.settings, step))
+        else:
+            play_step(checker, step)
+    checker.advance(10.0)
+    left = checker.balancer.requests.values()
+    assert all(request.response_started for request in left)  # streams that have started know no deadline
+    pending = sum(pool.pending for pool in checker.balancer.assignment.pools)
+    assert pending == sum(not request.answered for request in left)
+
+
+@pytest.mark.parametrize(
+    ("first", "now", "message"),
+    [
+        (0, "later", "sent twice"),
+        (1, "later", "rejected although"),
+        (0, "places", "not open"),
+    ],
+)
+def test_a_balancer_that_keeps_to_one_of_both_classes_is_caught(
+    monkeypatch: pytest.MonkeyPatch, first: int, now: str, message: str
+) -> None:
+    later = {
+        "later": (
+            replace(IDEMPOTENT, idempotency=Idempotency.NON_IDEMPOTENT),
+            replace(NON_IDEMPOTENT, idempotency=Idempotency.IDEMPOTENT),
+        ),
+        "places": (replace(IDEMPOTENT, allowed_zones=(1,)), NON_IDEMPOTENT),
+    }[now]
+    # What a balancer does that keeps to the class as admitted, or to the one in force.
+    wrong = (lambda admitted, _stated: admitted) if first == 0 else (lambda _admitted, stated: stated)
+    monkeypatch.setattr("balancer.reconfiguration.narrow_class", wrong)
+    endpoints = [row for row in ENDPOINTS if row.zone == 0] if now == "places" else ENDPOINTS
+    checker = make_checker(
+        replace(BASE, limits=Limits(max_attempts=1 if first else 3), zone_count=2), endpoints
+    )
+    request_id = checker.request(first, 4.0)
+    checker.reconfigure(replace(checker.settings, classes=later))
+    with pytest.raises(AssertionError, match=message):
+        checker.finish_attempt(request_id, 0, Outcome.TIMEOUT)
--- a/tests/balancer/test_retry_budget.py
+++ b/tests/balancer/test_retry_budget.py
@@ -10,7 +10,7 @@
 from balancer.events import StartAttempt
 from balancer.retry_budget import RetryBudget
 from balancer.settings import Limits, Rules, Settings
-from tests.support.decision_helpers import IDEMPOTENT, hedge_due
+from tests.support.balancer_helpers import IDEMPOTENT, hedge_due
 from tests.support.random_events import CLASSES, RULES, WITH_RETRY_BUDGET, fail_attempts
 from tests.support.rules_checker import RulesChecker
 
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -12,7 +12,7 @@
 from balancer.events import IncomingRequest, Outcome, StartAttempt
 from balancer.settings import Rules, Settings
 from balancer.slow_start import SlowStart
-from tests.support.decision_helpers import IDEMPOTENT, make_balancer
+from tests.support.balancer_helpers import IDEMPOTENT, make_balancer
 from tests.support.random_events import CLASSES, RULES
 from tests.support.rules_checker import RulesChecker
 
--- a/tests/balancer/test_subsetting.py
+++ b/tests/balancer/test_subsetting.py
@@ -7,7 +7,7 @@
 from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, UpdateKind
 from balancer.settings import Settings
-from tests.support.decision_helpers import IDEMPOTENT, send_steadily
+from tests.support.balancer_helpers import IDEMPOTENT, send_steadily
 from tests.support.rules_checker import RulesChecker
 
 
--- a/tests/balancer/test_tenant_quota.py
+++ b/tests/balancer/test_tenant_quota.py
@@ -9,7 +9,7 @@
 from balancer.balancer import Balancer
 from balancer.events import IncomingRequest, Outcome, Reject, StartAttempt
 from balancer.settings import Settings, Tenant
-from tests.support.decision_helpers import IDEMPOTENT, NON_IDEMPOTENT, make_balancer, serve_with_failures
+from tests.support.balancer_helpers import IDEMPOTENT, NON_IDEMPOTENT, make_balancer, serve_with_failures
 
 
 @pytest.mark.parametrize(("quota", "answer"), [(1.0, Reject), (1000.0, StartAttempt), (0.0, StartAttempt)])
