--- a/tests/balancer/test_admission_control.py
+++ b/tests/balancer/test_admission_control.py
@@ -147,7 +147,7 @@
     assert isinstance(later, StartAttempt), "a loss long ago still counts"
 
 
-def test_a_jam_of_a_restricted_class_takes_no_capacity_from_the_others() -> None:
+def test_congestion_of_a_restricted_class_takes_no_capacity_from_the_others() -> None:
     restricted = RequestClass(
         "restricted",
         latency_objective=1.0,
@@ -287,7 +287,7 @@
         (1, Limits(retry_after=True, max_retry_after=2.5), 0.0, 0.0),
     ],
 )
-def test_rejected_clients_hear_when_to_come_back(
+def test_rejected_clients_are_advised_when_to_come_back(
     tier: int, limits: Limits, shortest: float, longest: float
 ) -> None:
     checker = RulesChecker(
@@ -295,7 +295,7 @@
     )
     send_steadily(checker, 4.0, 10.0)
     balancer = checker.balancer
-    # Nowhere to go: rejected, whatever the capacity.
+    # No endpoint is left: rejected, at any capacity.
     balancer.on_endpoints_updated(checker.now, UpdateKind.SNAPSHOT, [])
     [rejection] = balancer.on_request(checker.now, IncomingRequest("r", deadline=checker.now + 4.0))
     assert isinstance(rejection, Reject)
--- a/tests/balancer/test_bad_input.py
+++ b/tests/balancer/test_bad_input.py
@@ -64,26 +64,26 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "values"),
+    ("name", "bad"),
     [
-        ("class_index", {"class_index": 1}),
-        ("class_index", {"class_index": -1}),
-        ("class_index", {"class_index": "0"}),
-        ("tenant", {"tenant": 1}),
-        ("tenant", {"tenant": -1}),
-        ("deadline", {"deadline": math.nan}),
-        ("deadline", {"deadline": "soon"}),
-        ("cost", {"cost": -1.0}),
-        ("cost", {"cost": math.inf}),
-        ("request_id", {"request_id": "open"}),
+        ("class_index", IncomingRequest("new", class_index=1)),
+        ("class_index", IncomingRequest("new", class_index=-1)),
+        ("class_index", IncomingRequest("new", class_index="0")),  # type: ignore[arg-type]
+        ("tenant", IncomingRequest("new", tenant=1)),
+        ("tenant", IncomingRequest("new", tenant=-1)),
+        ("deadline", IncomingRequest("new", deadline=math.nan)),
+        ("deadline", IncomingRequest("new", deadline="soon")),  # type: ignore[arg-type]
+        ("cost", IncomingRequest("new", cost=-1.0)),
+        ("cost", IncomingRequest("new", cost=math.inf)),
+        ("request_id", IncomingRequest("open")),
     ],
 )
-def test_a_request_that_makes_no_sense_changes_nothing(name: str, values: dict[str, Any]) -> None:
+def test_a_request_that_makes_no_sense_changes_nothing(name: str, bad: IncomingRequest) -> None:
     balancer, twin = ready_balancer(), ready_balancer()
     for one in (balancer, twin):
         one.on_request(2.0, IncomingRequest("open"))
     with pytest.raises(ValueError, match=name):
-        balancer.on_request(3.0, IncomingRequest(**{"request_id": "new", **values}))
+        balancer.on_request(3.0, bad)
     assert list(balancer.requests) == ["open"]
     assert balancer.assignment.pools[0].pending == twin.assignment.pools[0].pending
     # the same random numbers follow: nothing was drawn either
--- a/tests/balancer/test_client_timeouts.py
+++ b/tests/balancer/test_client_timeouts.py
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize(("marks", "retry", "answer"), [(True, False, StartAttempt), (True, True, Reject)])
 def test_a_short_timeout_means_a_retry_only_where_no_mark_says_otherwise(
-    marks: bool, retry: bool, answer: type
+    *, marks: bool, retry: bool, answer: type
 ) -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,), clients_mark_retries=marks))
     first_actions(balancer, [3.0] * 5)
--- a/tests/balancer/test_endpoint_list.py
+++ b/tests/balancer/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: what is kept of an endpoint that a list no longer names."""
+"""The endpoint list: what stays known of an endpoint that a list no longer names."""
 
 from __future__ import annotations
 
--- a/tests/balancer/test_endpoint_selection.py
+++ b/tests/balancer/test_endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: scores, and what stands in for a subset that is busy or dead."""
+"""Endpoint selection: scores, and which endpoints are used where the subset is busy or dead."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.support.balancer_helpers import IDEMPOTENT, make_balancer
 
 
-def test_all_other_endpoints_stand_in_for_a_dead_subset() -> None:
+def test_all_other_endpoints_are_used_where_the_subset_is_dead() -> None:
     endpoints = [Endpoint(i) for i in range(1, 21)]
     balancer = make_balancer(
         Settings(classes=(IDEMPOTENT,), fleet_size=20, limits=Limits(max_attempts=3)), endpoints
@@ -32,7 +32,7 @@
     assert len(used) > 8
 
 
-def test_only_the_fallback_subset_stands_in_for_a_busy_subset() -> None:
+def test_only_the_fallback_subset_is_used_where_the_subset_is_busy() -> None:
     used: Counter[int] = Counter()
     for ordinal in range(100):
         settings = Settings(classes=(IDEMPOTENT,), fleet_size=100, ordinal=ordinal)
@@ -54,7 +54,7 @@
     assert max(used.values()) <= 5
 
 
-def test_the_mean_latency_of_a_silent_endpoint_fades_to_the_tiers() -> None:
+def test_the_mean_latency_of_an_endpoint_without_samples_drifts_to_the_tiers() -> None:
     state = make_balancer(Settings(classes=(IDEMPOTENT,))).endpoints.states[1]
     state.record_latency(100.0, 1.0)
     assert state.score(100.0, 0.1) == pytest.approx(1.0)
--- a/tests/balancer/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -12,7 +12,7 @@
     from balancer.balancer import Balancer
 
 
-def hedging_balancer(request_class: RequestClass = IDEMPOTENT, hedging: bool = True) -> Balancer:
+def hedging_balancer(request_class: RequestClass = IDEMPOTENT, *, hedging: bool = True) -> Balancer:
     """Return a balancer that has seen 40 answers after 50 ms each."""
     limits = Limits(cancel=True, hedging=hedging, max_attempts=3)
     balancer = make_balancer(Settings(classes=(request_class,), limits=limits))
--- a/tests/balancer/test_reconfigure_invalid.py
+++ b/tests/balancer/test_reconfigure_invalid.py
@@ -31,7 +31,7 @@
         r"classes\[0\].latency_objective",
         replace(BASE, classes=(replace(IDEMPOTENT, latency_objective=10**400),)),
     ),
-    (r"classes\[0\].streaming", replace(BASE, classes=(replace(IDEMPOTENT, streaming="no"),))),  # type: ignore
+    (r"classes\[0\].streaming", replace(BASE, classes=(replace(IDEMPOTENT, streaming="no"),))),  # type: ignore[arg-type]
     (r"classes\[0\].name", replace(BASE, classes=(replace(IDEMPOTENT, name=7),))),  # type: ignore[arg-type]
     ("classes", replace(BASE, classes=(IDEMPOTENT, IDEMPOTENT))),
     ("tenants", replace(BASE, tenants=(Tenant("a"), Tenant("a")))),
--- a/tests/balancer/test_reconfigure_learned.py
+++ b/tests/balancer/test_reconfigure_learned.py
@@ -62,7 +62,7 @@
     assert learned(checker)["keyed"] == (0.0, 0, 0, 0)  # it was gone meanwhile
 
 
-def test_an_answer_to_a_class_that_is_gone_teaches_no_other() -> None:
+def test_an_answer_to_a_removed_class_is_not_counted_for_another() -> None:
     checker = make_checker()
     request_id = checker.request(2, 4.0)
     checker.reconfigure(replace(BASE, classes=(IDEMPOTENT, NON_IDEMPOTENT)))
@@ -73,7 +73,7 @@
     assert checker.balancer.statistics.answer_latency == mean
 
 
-def test_another_customers_settings_begin_with_no_baseline() -> None:
+def test_settings_without_a_common_class_begin_with_no_baseline() -> None:
     checker = make_checker()
     answer_requests(checker, 0, 0.1, 40)
     assert checker.balancer.statistics.sample_count
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("ordinal", [0, 3, 6])
-def test_another_size_of_the_fleet_moves_the_subset(ordinal: int) -> None:
+def test_another_fleet_size_moves_the_subset(ordinal: int) -> None:
     endpoints = [Endpoint(i) for i in range(40)]
     checker = make_checker(replace(BASE, fleet_size=2, ordinal=1), endpoints)
     resized = replace(BASE, fleet_size=7, ordinal=ordinal)
--- a/tests/balancer/test_reconfigure_pools.py
+++ b/tests/balancer/test_reconfigure_pools.py
@@ -22,7 +22,7 @@
 ONE_ZONE = RequestClass("bound", 1.0, 4.0, Idempotency.IDEMPOTENT, allowed_zones=(0,))
 
 
-def test_a_pool_stays_with_its_classes_and_goes_to_no_others() -> None:
+def test_a_pool_stays_with_its_classes_and_is_not_given_to_others() -> None:
     bound = Settings(classes=(IDEMPOTENT, ONE_ZONE), zone_count=2)
     checker = make_checker(bound)
     request_id = checker.request(1, 4.0)
--- a/tests/balancer/test_reconfigure_requests.py
+++ b/tests/balancer/test_reconfigure_requests.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import Any
 
 import pytest
 
@@ -42,7 +41,7 @@
 
 
 @pytest.mark.parametrize("then", [Idempotency.IDEMPOTENT, Idempotency.KEYED])
-def test_what_may_have_run_is_not_retried_though_its_class_allows_it_by_now(then: Idempotency) -> None:
+def test_what_may_have_run_is_not_retried_though_the_new_class_allows_it(then: Idempotency) -> None:
     checker = make_checker()
     request_id = checker.request(1, 4.0)
     checker.reconfigure(
@@ -64,7 +63,7 @@
 
 @pytest.mark.parametrize("first", [0, 2])
 @pytest.mark.parametrize("swaps", [1, 2])
-def test_what_may_be_retried_no_more_is_not(first: int, swaps: int) -> None:
+def test_what_the_new_class_no_longer_allows_is_not_retried(first: int, swaps: int) -> None:
     checker = make_checker()
     request_id = checker.request(first, 4.0)
     strict = tuple(replace(row, idempotency=Idempotency.NON_IDEMPOTENT) for row in BASE.classes)
@@ -75,19 +74,23 @@
 
 
 @pytest.mark.parametrize(
-    "change", [{"deduplication_scope": DeduplicationScope.CELL}, {"deduplication_window": 0.01}]
+    "stricter",
+    [
+        replace(KEYED, deduplication_scope=DeduplicationScope.CELL),
+        replace(KEYED, deduplication_window=0.01),
+    ],
 )
-def test_a_keyed_request_is_retried_only_where_both_settings_allow_it(change: dict[str, Any]) -> None:
+def test_a_keyed_request_is_retried_only_where_both_settings_allow_it(stricter: RequestClass) -> None:
     checker = make_checker()
     request_id = checker.request(2, 4.0)
-    checker.reconfigure(replace(BASE, classes=(IDEMPOTENT, NON_IDEMPOTENT, replace(KEYED, **change))))
+    checker.reconfigure(replace(BASE, classes=(IDEMPOTENT, NON_IDEMPOTENT, stricter)))
     checker.advance(0.1)
     assert not any(
         isinstance(action, StartAttempt) for action in checker.finish_attempt(request_id, 0, Outcome.TIMEOUT)
     )
 
 
-def test_what_never_ran_is_retried_whatever_became_of_its_class() -> None:
+def test_what_never_ran_is_retried_though_its_class_was_removed() -> None:
     checker = make_checker()
     request_id = checker.request(1, 4.0)
     checker.reconfigure(replace(BASE, classes=(OTHER,)))
@@ -97,19 +100,20 @@
     assert not checker.balancer.requests
 
 
-def test_a_request_of_a_class_that_is_gone_is_not_cancelled_and_avoids_what_drains_since() -> None:
+def test_a_request_of_a_removed_class_is_not_cancelled_and_avoids_draining_endpoints() -> None:
     stated = replace(BASE, limits=Limits(cancel=True))
     checker = make_checker(stated)
     request_id = checker.request(0, 4.0)
     [first] = sent(checker, request_id)
     assert checker.balancer.reconfigure(checker.now, replace(stated, classes=(OTHER,))) == []
-    left = next(row for row in ENDPOINTS if row.id != first)
+    only_ready = next(row for row in ENDPOINTS if row.id != first)
     checker.update_endpoints(
-        UpdateKind.DELTA, [replace(row, status=EndpointStatus.DRAINING) for row in ENDPOINTS if row != left]
+        UpdateKind.DELTA,
+        [replace(row, status=EndpointStatus.DRAINING) for row in ENDPOINTS if row != only_ready],
     )
     [retry] = checker.finish_attempt(request_id, 0, Outcome.TIMEOUT)
     assert isinstance(retry, StartAttempt)
-    assert retry.endpoint == left.id
+    assert retry.endpoint == only_ready.id
 
 
 @pytest.mark.parametrize(("before", "after", "tries"), [(4, 2, 2), (2, 4, 2), (4, 4, 4)])
@@ -124,7 +128,7 @@
 
 
 @pytest.mark.parametrize(("before", "after"), [(True, False), (False, True), (True, True), (False, False)])
-def test_a_cancel_has_to_be_permitted_by_both(before: bool, after: bool) -> None:
+def test_cancelling_has_to_be_permitted_by_both_settings(*, before: bool, after: bool) -> None:
     checker = make_checker(replace(BASE, limits=Limits(cancel=before)))
     request_id = checker.request(0, 4.0)
     checker.balancer.reconfigure(checker.now, replace(BASE, limits=Limits(cancel=after)))
@@ -134,7 +138,7 @@
 
 
 @pytest.mark.parametrize("forbids", ["limits", "class", "nothing"])
-def test_a_hedged_request_that_is_due_is_not_sent_where_it_is_forbidden_by_now(forbids: str) -> None:
+def test_a_due_hedged_request_is_not_sent_where_the_new_settings_forbid_it(forbids: str) -> None:
     balancer, timer = hedge_due(replace(BASE, limits=Limits(hedging=True)))
     allowed = balancer.settings
     if forbids == "limits":
--- a/tests/balancer/test_reconfigure_rules.py
+++ b/tests/balancer/test_reconfigure_rules.py
@@ -40,10 +40,10 @@
     endpoint_count=st.integers(0, 14),
 )
 def test_the_rules_hold_while_settings_change(
-    steps: list[Step | SettingsChange], seed: int, is_polled: bool, endpoint_count: int
+    *, steps: list[Step | SettingsChange], seed: int, is_polled: bool, endpoint_count: int
 ) -> None:
     limits = Limits(cancel=True, hedging=True, max_attempts=4)
-    stated = random_settings(RULES, limits, seed % 3, seed % 2, is_polled)
+    stated = random_settings(RULES, limits, seed % 3, seed % 2, is_polled=is_polled)
     checker = RulesChecker(stated, seed, spread_endpoints(endpoint_count))
     for step in steps:
         if isinstance(step, SettingsChange):
@@ -51,10 +51,10 @@
         else:
             play_step(checker, step)
     checker.advance(10.0)
-    left = checker.balancer.requests.values()
-    assert all(request.response_started for request in left)  # streams that have started know no deadline
+    unfinished = checker.balancer.requests.values()
+    assert all(request.response_started for request in unfinished)  # started streams have no deadline
     pending = sum(pool.pending for pool in checker.balancer.assignment.pools)
-    assert pending == sum(not request.answered for request in left)
+    assert pending == sum(not request.answered for request in unfinished)
 
 
 @pytest.mark.parametrize(
@@ -65,7 +65,7 @@
         (0, "places", "not open"),
     ],
 )
-def test_a_balancer_that_keeps_to_one_of_both_classes_is_caught(
+def test_a_balancer_that_applies_only_one_of_both_classes_is_caught(
     monkeypatch: pytest.MonkeyPatch, first: int, now: str, message: str
 ) -> None:
     later = {
--- a/tests/balancer/test_retry_budget.py
+++ b/tests/balancer/test_retry_budget.py
@@ -15,7 +15,7 @@
 from tests.support.rules_checker import RulesChecker
 
 MANY_ENDPOINTS = [Endpoint(i) for i in range(40)]
-#: A lower tier admits whatever comes.
+#: A lower tier admits every request.
 LOWER_TIER = Settings(classes=(IDEMPOTENT,), tier=1, tier_count=2)
 
 
@@ -64,7 +64,7 @@
     assert count_retries(checker, 5) == 2
 
 
-def test_a_budget_that_is_stated_counts_what_was_spent_before() -> None:
+def test_a_newly_stated_budget_counts_the_retries_from_before() -> None:
     checker = lower_tier_checker(RULES)
     spent = count_retries(checker, 20)
     assert spent > 5
@@ -77,7 +77,7 @@
     assert not budgets.hedges.allows(checker.now)
 
 
-def test_a_budget_that_is_stated_counts_hedged_requests_from_before() -> None:
+def test_a_newly_stated_budget_counts_the_hedged_requests_from_before() -> None:
     balancer, timer = hedge_due(Settings(classes=(IDEMPOTENT,), limits=Limits(hedging=True)))
     [hedge] = balancer.on_timer(timer.at, timer.token)
     assert isinstance(hedge, StartAttempt)
@@ -86,7 +86,7 @@
     assert not balancer.retry_budgets.retries.allows(timer.at)
 
 
-def test_a_longer_window_counts_the_retries_that_are_forgotten() -> None:
+def test_a_longer_window_counts_the_retries_that_a_shorter_one_has_dropped() -> None:
     short = replace(RULES, retry_budget_floor=2.0, retry_budget_window=1.0)
     checker = lower_tier_checker(short)
     assert count_retries(checker, 5) == 2
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules hold over random legal events; and balancers that break them are caught by the checker."""
+"""The rules hold over random legal events, and the checker catches balancers that break them."""
 
 from __future__ import annotations
 
@@ -38,6 +38,7 @@
     endpoint_count=st.integers(0, 14),
 )
 def test_the_rules_hold(
+    *,
     steps: list[Step],
     seed: int,
     limits: Limits,
@@ -46,7 +47,7 @@
     endpoint_count: int,
 ) -> None:
     rules = WITH_RETRY_BUDGET if has_retry_budget else RULES
-    config = random_settings(rules, limits, seed % 3, seed % 2, is_polled)
+    config = random_settings(rules, limits, seed % 3, seed % 2, is_polled=is_polled)
     play(RulesChecker(config, seed, spread_endpoints(endpoint_count)), steps)
 
 
@@ -69,7 +70,7 @@
             state.endpoint = endpoint
 
     monkeypatch.setattr(Balancer, "rebuild_pools", keep_all_ready)
-    with pytest.raises(AssertionError, match="drains or is gone"):
+    with pytest.raises(AssertionError, match="drains or is removed"):
         send_after_drain()
 
 
@@ -120,6 +121,6 @@
         with pytest.raises(AssertionError, match=r"sent twice|another"):
             play(RulesChecker(config, 1, endpoints), steps)
     with monkeypatch.context() as patch:
-        patch.setattr(Balancer, "_answer", lambda _self, *_rest: [])
+        patch.setattr(Balancer, "_answer", lambda _self, *_args: [])
         with pytest.raises(AssertionError, match="final answers"):
             play(RulesChecker(config, 1, endpoints), steps)
--- a/tests/balancer/test_simulator.py
+++ b/tests/balancer/test_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator's process, on conversations written here."""
+"""The simulator's process: its replies to batches, and its errors for lines that the wire does not allow."""
 
 from __future__ import annotations
 
@@ -207,14 +207,14 @@
     assert "Traceback" not in message
 
 
-def test_an_exception_in_a_decision_bails_out() -> None:
+def test_an_exception_in_the_balancer_bails_out() -> None:
     bad = [{"m": "Call", "ProxyId": 0, "Ref": "a", "Kind": 9, "Deadline": 3.0}]
     [_, [message]] = replies(batch(1.0, opened(0)) + batch(2.0, bad))
     assert message["m"] == "BailOut"
     assert message["NoteText"].startswith("InvalidValueError: class_index")
 
 
-def test_a_reader_that_is_gone_ends_it_quietly() -> None:
+def test_a_closed_output_ends_the_process_quietly() -> None:
     process = subprocess.Popen(
         [sys.executable, "-m", "balancer.simulator"],
         cwd=PROJECT_ROOT,
@@ -258,7 +258,7 @@
     assert read_settings({}).classes, "absent keys take defaults"
 
 
-def test_costs_reach_the_decisions_and_reports_do_no_harm(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_costs_reach_the_balancer_and_load_reports_are_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
     requests: list[IncomingRequest] = []
     finished: list[tuple[str, int, Outcome]] = []
 
@@ -272,7 +272,7 @@
         request_id: str,
         number: int,
         outcome: Outcome,
-        *_rest: object,
+        *_args: object,
         **_flags: object,
     ) -> list[Action]:
         finished.append((request_id, number, outcome))
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -27,7 +27,7 @@
     return balancer.slow_start.defers(now, state, pools[0], pools)
 
 
-def test_a_restart_draws_the_warm_up_phase_anew() -> None:
+def test_a_restart_resets_the_warm_up_tokens() -> None:
     rules = Rules(
         warmup_initial_capacity=0.3, warmup_duration=9.0, overload_multiple=3.0, overload_interval=2.0
     )
@@ -60,7 +60,7 @@
                 balancer.on_attempt_finished(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
 
 
-def test_where_most_endpoints_warm_up_they_carry_their_part() -> None:
+def test_where_most_endpoints_warm_up_they_get_their_share() -> None:
     """Six of ten just started, at 0.4 of what they can do: 2.4 of 6.4 is theirs, half of it surely."""
     balancer = make_balancer(
         Settings(
@@ -81,8 +81,8 @@
     assert 0.5 * part <= warming / sent <= part
 
 
-def test_rejected_clients_that_come_back_do_not_fill_a_warm_up_budget() -> None:
-    """The budget goes by calls sent: four offered for each one sent must not give it four times as much."""
+def test_retries_of_rejected_clients_do_not_fill_a_warm_up_budget() -> None:
+    """The budget counts calls sent: four offered for each one sent must not give it four times as much."""
     rules = Rules(
         warmup_initial_capacity=0.3, warmup_duration=20.0, overload_multiple=3.0, overload_interval=2.0
     )
@@ -107,7 +107,7 @@
             defer(balancer, now + 0.05, state)
         return state.warmup_tokens
 
-    # one of eight is warming up, and that part still goes by what is offered: 7/8 + 4/8
+    # one of eight is warming up, and for that part the calls offered count: 7/8 + 4/8
     assert 0.0 < tokens(3) <= 1.4 * tokens(0)
 
 
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_warming_endpoint_gets_at_most_its_part_of_a_warm_peers_share(seed: int) -> None:
+def test_a_warming_endpoint_gets_at_most_its_part_of_a_warm_endpoints_share(seed: int) -> None:
     assert_restart_gets_its_part(seed)
 
 
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_where_all_endpoints_warm_up_about_their_certain_part_goes_out(seed: int) -> None:
+def test_where_all_endpoints_warm_up_about_their_guaranteed_capacity_is_used(seed: int) -> None:
     endpoints = [Endpoint(i, started=100.0) for i in range(10)]
     checker = RulesChecker(Settings(classes=CLASSES, rules=RULES), seed, endpoints)
     answer_steadily(checker, 3.0, 200.0, Random(seed))
--- a/tests/balancer/test_slow_start_fleet.py
+++ b/tests/balancer/test_slow_start_fleet.py
@@ -27,7 +27,7 @@
 @INSTANCES
 @pytest.mark.parametrize("warming", ["fifth", "six in ten", "zone"])
 @pytest.mark.parametrize("delivery", DELIVERIES)
-def test_the_sum_of_a_fleet_keeps_the_budget(instances: int, warming: str, delivery: str) -> None:
+def test_all_instances_together_stay_within_the_budget(instances: int, warming: str, delivery: str) -> None:
     rules = EARLY_OVERLOAD if warming == "six in ten" else LATE_OVERLOAD
     assert_holds(Case(instances, delivery, warming, rules, tier=int(warming != "fifth")))
 
@@ -37,23 +37,23 @@
     ("warming", "rules", "tier"), [("six in ten", EARLY_OVERLOAD, 1), ("zone", LATE_OVERLOAD, 1)]
 )
 @pytest.mark.parametrize("neighbours", [False, True])
-def test_the_sum_holds_where_a_few_have_most_of_the_traffic(
-    instances: int, warming: str, rules: Rules, tier: int, neighbours: bool
+def test_the_budget_holds_where_a_few_have_most_of_the_traffic(
+    *, instances: int, warming: str, rules: Rules, tier: int, neighbours: bool
 ) -> None:
     assert_holds(Case(instances, "at once", warming, rules, tier, skew=6.0, neighbours=neighbours))
 
 
 @INSTANCES
-def test_the_sum_holds_where_new_endpoints_join(instances: int) -> None:
+def test_the_budget_holds_where_new_endpoints_join(instances: int) -> None:
     assert_holds(Case(instances, "one after another", "fifth", LATE_OVERLOAD, joins=True))
 
 
 @INSTANCES
 @pytest.mark.parametrize(("rules", "tier"), [(EARLY_OVERLOAD, 1), (LATE_OVERLOAD, 0)])
-def test_the_sum_holds_where_all_warm_up_and_rejected_clients_come_back(
+def test_the_budget_holds_where_all_warm_up_and_rejected_clients_retry(
     instances: int, rules: Rules, tier: int
 ) -> None:
-    """With no warm peer the budget goes by what is offered: who comes back must not be counted again."""
+    """With no warm endpoint the budget counts calls offered: a client's retry must not be counted again."""
     case = Case(instances, "at once", "all", rules, tier, endpoints=30, skew=6.0, neighbours=True)
     for seed in range(3):
         play(case, seed).assert_budgets()
@@ -72,7 +72,7 @@
     fleet.start_endpoints()
     endpoint = fleet.endpoints[min(fleet.warming)]
     endpoint.calls = [START_TIME + 0.01 * n for n in range(100)]
-    fleet.assert_budgets()  # nobody knew of the start
+    fleet.assert_budgets()  # no instance knew of the start
     endpoint.informed_calls = endpoint.calls[:60]
     with pytest.raises(AssertionError, match="allowed"):
         fleet.assert_budgets()
--- a/tests/balancer/test_tenant_quota.py
+++ b/tests/balancer/test_tenant_quota.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(("quota", "answer"), [(1.0, Reject), (1000.0, StartAttempt), (0.0, StartAttempt)])
-def test_requests_over_a_quota_go_first_where_requests_fail(quota: float, answer: type) -> None:
+def test_requests_over_a_quota_are_rejected_first_where_requests_fail(quota: float, answer: type) -> None:
     tenants = (Tenant("steady", 0.5, 1000.0), Tenant("burst", 0.5, quota))
     balancer = make_balancer(Settings(classes=(NON_IDEMPOTENT,), tenants=tenants, over_quota_weight=0.1))
     now = serve_with_failures(balancer, 1, Outcome.TIMEOUT)
@@ -63,7 +63,7 @@
     assert take_all_tokens(balancer, 100.0, 0) == 6
 
 
-def test_a_tenants_tokens_go_to_no_other() -> None:
+def test_a_renamed_tenant_does_not_inherit_tokens() -> None:
     balancer = Balancer(WITH_TENANTS, 1)
     take_all_tokens(balancer, 100.0, 0)
     renamed = (replace(TENANTS[0], name="c"), TENANTS[1])
--- a/tests/support/balancer_helpers.py
+++ b/tests/support/balancer_helpers.py
@@ -1,10 +1,10 @@
-"""What the tests of the decisions share: two classes, eight endpoints, and ways to send requests."""
+"""What the tests of the balancer share: two classes, eight endpoints, and ways to send requests."""
 
 from __future__ import annotations
 
 from heapq import heappop, heappush
 from random import Random
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, UpdateKind
@@ -82,7 +82,14 @@
         return True
 
 
-def hedge_due(settings: Settings) -> tuple[Balancer, SetTimer]:
+class DueHedge(NamedTuple):
+    """A balancer with a request that is due to be hedged, and the timer of it."""
+
+    balancer: Balancer
+    timer: SetTimer
+
+
+def hedge_due(settings: Settings) -> DueHedge:
     """Return a balancer with a late request of class 0 in flight since 130 s, and the timer of its hedge."""
     balancer = make_balancer(settings)
     for n in range(20):
@@ -90,4 +97,4 @@
         balancer.on_attempt_finished(100.1 + n, f"r{n}", 0, Outcome.SUCCESS, 0.1, last=True)
     _, timer = balancer.on_request(130.0, IncomingRequest("late", deadline=134.0))
     assert isinstance(timer, SetTimer)
-    return balancer, timer
+    return DueHedge(balancer, timer)
--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -1,4 +1,4 @@
-"""Random legal events for a `RulesChecker`, and the classes and rules that they are played with."""
+"""Random legal events for a `RulesChecker`, and the classes and rules to play them with."""
 
 from __future__ import annotations
 
@@ -55,7 +55,13 @@
 
 
 class Step(NamedTuple):
-    """One event, chosen by `kind` (0 to 9); what the two numbers choose depends on it."""
+    """One event of a random sequence.
+
+    Attributes:
+        kind: Which event, from 0 to 9: see `play_step`.
+        first: Chooses what the event is about; its meaning depends on the kind.
+        second: Chooses how it turns out; likewise.
+    """
 
     kind: int
     first: int
@@ -66,7 +72,7 @@
 STEPS = st.builds(Step, st.integers(0, 9), st.integers(0, 10_000), st.integers(0, 10_000))
 
 
-def random_settings(rules: Rules, limits: Limits, ordinal: int, tier: int, is_polled: bool) -> Settings:
+def random_settings(rules: Rules, limits: Limits, ordinal: int, tier: int, *, is_polled: bool) -> Settings:
     """Return the settings of one of three instances in two tiers, with two tenants."""
     return Settings(
         classes=CLASSES,
@@ -96,7 +102,11 @@
 
 
 def play_step(checker: RulesChecker, step: Step) -> None:
-    """Play one step: a request, an attempt's end, an update, a response's start, a disconnect, or time."""
+    """Play one step.
+
+    Kinds 0 to 3 are a request, 4 to 6 the end of an attempt, 7 an update of the endpoint list, 8 the start
+    of a response or a disconnect, and 9 (or 8 before any request) lets time pass.
+    """
     kind, first, second = step
     classes, tenants = len(checker.settings.classes), max(1, len(checker.settings.tenants))
     open_attempts = checker.open_attempts()
@@ -115,7 +125,7 @@
 
 
 def _play_update(checker: RulesChecker, first: int, second: int) -> None:
-    """Change one endpoint, and deliver it or let the poll fail."""
+    """Change one endpoint, and deliver the change, or have the poll fail."""
     endpoints = list(checker.endpoints.values())
     if not endpoints:
         return
@@ -132,7 +142,7 @@
 
 
 def _play_response_or_disconnect(checker: RulesChecker, first: int, second: int) -> None:
-    """Start the response of a request's latest open attempt, or let its client leave."""
+    """Start the response of a request's latest open attempt, or disconnect its client."""
     request_id = list(checker.requests)[first % len(checker.requests)]
     request = checker.requests[request_id]
     numbers = [number for owner, number in checker.open_attempts() if owner == request_id]
--- a/tests/support/rules_checker.py
+++ b/tests/support/rules_checker.py
@@ -1,12 +1,14 @@
-"""Checks the rules of the decisions: plays legal events to a balancer, and asserts on each of its actions.
+"""Checks the balancer's rules: feeds legal events to a balancer, and asserts on each of its actions.
 
 The rules, in the order of the checks: a request gets one final answer, by its deadline; attempts go to
-endpoints that are up and open to the request's class; there are no more than the limits permit, hedged ones
-and cancellations included; retries stay within a stated retry budget; what may have run is sent again only as
-far as its class allows; and a request is rejected only where its client may repeat it without harm.
-
-`RulesChecker` keeps books of its own, from the events that it plays and the actions that come back, and looks
-at nothing inside the balancer. `test_rules.py` plays random sequences, and shows that broken balancers fail.
+endpoints that are up and allowed for the request's class; there are no more attempts, hedged requests and
+cancellations than the limits permit; retries stay within a stated retry budget; what may have run is
+repeated only as far as its class allows; and a request is rejected only where its client may repeat it
+without harm.
+
+`RulesChecker` records on its own what has happened, from the events that it feeds and the actions that are
+returned, and reads nothing inside the balancer. `test_rules.py` plays random sequences, and shows that
+broken balancers fail.
 """
 
 from __future__ import annotations
@@ -35,7 +37,14 @@
 
 @dataclass
 class CheckedAttempt:
-    """One attempt, with the endpoint as it was listed when the attempt began."""
+    """One attempt.
+
+    Attributes:
+        endpoint: Its endpoint as it was listed when the attempt was started.
+        started_at: When it was started, in seconds.
+        ends_by: When it ends as timed out, in seconds.
+        outcome: How it ended; None while it is open.
+    """
 
     endpoint: Endpoint
     started_at: float
@@ -44,12 +53,24 @@
 
     @property
     def may_have_run(self) -> bool:
+        """Whether the endpoint may have done the work."""
         return self.outcome is None or self.outcome not in NEVER_RAN
 
 
 @dataclass
 class CheckedRequest:
-    """One request, with everything that settings have said of its class and limits since it was admitted."""
+    """One request.
+
+    Attributes:
+        class_index: Its class when it was admitted.
+        deadline: When its client gives up, in seconds.
+        classes: Its class in all settings since it was admitted, the first one first.
+        limits: The limits of all these settings.
+        attempts: Its attempts, in their order.
+        final_answers: How many final answers it got; a disconnect of its client counts as one.
+        answered: Whether no answer is pending any more.
+        response_started: Whether its response is being streamed.
+    """
 
     class_index: int
     deadline: float
@@ -65,6 +86,18 @@
     """Feeds events to one balancer; every broken rule is an AssertionError.
 
     Time passes in `advance` alone, which ends attempts at their timeout and fires the timers that are due.
+
+    Attributes:
+        settings: The settings in force.
+        balancer: The balancer under test.
+        now: The time in seconds.
+        endpoints: The endpoint list as last delivered, by id.
+        requests: All requests, by id.
+        timers: The timers that are set: when each is due, and its token.
+        starts_by_endpoint: When attempts were started at each endpoint, by its id.
+        polls: How often the balancer has polled discovery.
+        request_times: When the requests came.
+        retry_times: When retries and hedged requests were started.
     """
 
     def __init__(self, settings: Settings, seed: int, endpoints: list[Endpoint]) -> None:
@@ -92,7 +125,7 @@
         self.check(self.balancer.on_endpoints_updated(self.now, kind, endpoints))
 
     def request(self, class_index: int, time_left: float, tenant: int = 0) -> str:
-        """Bring a new request, and return its id."""
+        """Send a new request, and return its id."""
         self.request_times.append(self.now)
         request_id = f"r{len(self.request_times)}"
         deadline = self.now + time_left
@@ -108,7 +141,7 @@
         return request_id
 
     def reconfigure(self, settings: Settings) -> None:
-        """Swap the settings; requests from before are held to all settings since they were admitted."""
+        """Replace the settings; earlier requests have to comply with the old ones as well."""
         self.settings = settings
         stated = {request_class.name: request_class for request_class in settings.classes}
         for request in self.requests.values():
@@ -142,7 +175,7 @@
         return actions
 
     def disconnect(self, request_id: str) -> None:
-        """Let the client of a request leave; from then on none waits for its answer."""
+        """Disconnect the client of a request; from then on its answer is not pending."""
         request = self.requests[request_id]
         if not request.answered:
             request.answered = True
@@ -150,14 +183,14 @@
         self.check(self.balancer.on_client_disconnected(self.now, request_id))
 
     def start_response(self, request_id: str, number: int) -> None:
-        """Start the response as a stream: it belongs to one attempt and knows no deadline."""
+        """Start the response as a stream: it belongs to one attempt and has no deadline."""
         request = self.requests[request_id]
         self.check(self.balancer.on_response_started(self.now, request_id, number))
         request.response_started = True
         request.attempts[number].ends_by = request.deadline = float("inf")
 
     def advance(self, span: float) -> None:
-        """Let time pass: timeouts first, then timers, in the order in which they are due."""
+        """Advance the clock by `span` seconds, through the timeouts and timers that are due."""
         target = self.now + span
         while due := [event for event in self._due_events() if event[0] <= target]:
             at, is_timer, request_id, number = min(due)
@@ -175,7 +208,7 @@
                 )
 
     def _due_events(self) -> list[tuple[float, int, str, int]]:
-        """Return what is due: timeouts (0) with request and attempt number, timers (1) with their token."""
+        """Return what is due: timeouts (0) with request and attempt number, timers (1) with token."""
         timeouts = [
             (self.requests[request_id].attempts[number].ends_by, 0, request_id, number)
             for request_id, number in self.open_attempts()
@@ -185,7 +218,7 @@
     # ---- checks --------------------------------------------------------------------------
 
     def check(self, actions: list[Action]) -> None:
-        """Check the actions that a balancer returned, and carry them out."""
+        """Check the actions that the balancer returned, and carry them out."""
         for action in actions:
             if isinstance(action, SetTimer):
                 assert action.at >= self.now
@@ -200,11 +233,12 @@
                 self._check_final_answer(action)
 
     def _check_start(self, action: StartAttempt) -> None:
+        """Check that an attempt may be started, and record it."""
         request = self.requests[action.request]
         assert not request.answered, "sent after the final answer"
         assert not request.response_started, "sent after its response started"
         endpoint = self.endpoints[action.endpoint]
-        assert endpoint.status is EndpointStatus.UP, "sent to an endpoint that drains or is gone"
+        assert endpoint.status is EndpointStatus.UP, "sent to an endpoint that drains or is removed"
         for limits in request.limits:
             assert len(request.attempts) < limits.max_attempts
             if any(attempt.outcome is None for attempt in request.attempts):
@@ -220,6 +254,7 @@
         self.starts_by_endpoint.setdefault(action.endpoint, []).append(self.now)
 
     def _check_retry_budget(self) -> None:
+        """Count a retry, and check it against the stated budget."""
         self.retry_times.append(self.now)
         rules = self.settings.rules
         if not rules.retry_budget_window:
@@ -230,6 +265,7 @@
         assert sum(at >= since for at in self.retry_times) <= allowed, "beyond the retry budget"
 
     def _check_place(self, request: CheckedRequest, request_class: RequestClass, endpoint: Endpoint) -> None:
+        """Check that a class allows an attempt of a request at an endpoint, also as a repeat."""
         for allowed, place in (
             (request_class.allowed_machine_types, endpoint.machine_type),
             (request_class.allowed_zones, endpoint.zone),
@@ -248,13 +284,15 @@
                 assert attempt.endpoint.cell == endpoint.cell, "repeated in another cell"
 
     def _check_cancel(self, action: CancelAttempt) -> None:
+        """Check that an attempt may be cancelled, and end it at once."""
         request = self.requests[action.request]
         assert all(limits.cancel for limits in request.limits), "cancel is not permitted"
         attempt = request.attempts[action.attempt]
         assert attempt.outcome is None, "cancelled an attempt that had ended"
-        attempt.ends_by = self.now  # ends at once, as cancelled or as something on its way
+        attempt.ends_by = self.now  # ends at once, as cancelled or by an outcome that is already on its way
 
     def _check_final_answer(self, action: Reject | Fail) -> None:
+        """Check that a request may be answered so, and record that it is."""
         request = self.requests[action.request]
         assert not request.answered, "a second final answer"
         if isinstance(action, Reject):
--- a/tests/support/settings_changes.py
+++ b/tests/support/settings_changes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from hypothesis import strategies as st
 
@@ -23,7 +23,13 @@
 
 
 class SettingsChange(NamedTuple):
-    """One change of settings, chosen by `kind` (0 to 11); what the two numbers choose depends on it."""
+    """One change of settings.
+
+    Attributes:
+        kind: What changes, from 0 to 11: see `change_classes` (0 to 6) and `change_settings` (7 to 11).
+        first: Chooses the class or the value; its meaning depends on the kind.
+        second: Chooses the value; likewise.
+    """
 
     kind: int
     first: int
@@ -53,16 +59,21 @@
     if kind == 2:
         missing = [row for row in CLASSES if row.name not in {known.name for known in classes}]
         return [*before, *missing[:1], chosen, *after]
-    changes: dict[int, dict[str, Any]] = {
-        3: {"idempotency": list(Idempotency)[second % 3]},
-        4: {
-            "deduplication_scope": list(DeduplicationScope)[second % 3],
-            "deduplication_window": 0.2 + second,
-        },
-        5: {"allowed_zones": PLACES[second]},
-        6: {"allowed_machine_types": MACHINE_TYPES[second]},
-    }
-    return [*before, replace(chosen, **changes[kind]), *after]
+    return [*before, change_class(chosen, kind, second), *after]
+
+
+def change_class(request_class: RequestClass, kind: int, value: int) -> RequestClass:
+    """Return a class after a change of kind 3 to 6."""
+    match kind:
+        case 3:
+            return replace(request_class, idempotency=list(Idempotency)[value % 3])
+        case 4:
+            scope = list(DeduplicationScope)[value % 3]
+            return replace(request_class, deduplication_scope=scope, deduplication_window=0.2 + value)
+        case 5:
+            return replace(request_class, allowed_zones=PLACES[value])
+        case _:
+            return replace(request_class, allowed_machine_types=MACHINE_TYPES[value])
 
 
 def change_settings(stated: Settings, change: SettingsChange) -> Settings:
--- a/tests/support/warming_fleet.py
+++ b/tests/support/warming_fleet.py
@@ -1,9 +1,9 @@
-"""Simulates a fleet of balancers over endpoints that warm up, side by side on one clock.
+"""Simulates a fleet of balancers over endpoints that warm up, all on one clock.
 
-Each instance defers calls to a warming endpoint alone and knows nothing of the others, and an endpoint falls
-under what all of them send. `Fleet.assert_budgets` counts, for every warming endpoint and every overload
-interval, the calls of those instances that knew of its start. No sockets and no sleeps; all chance comes from
-the seed.
+Each instance defers calls to a warming endpoint by itself and knows nothing of the others, but an endpoint
+is overloaded by what all of them send. `Fleet.assert_budgets` counts, for every warming endpoint and every
+overload interval, the calls of those instances that knew of its start. There are no sockets and no sleeps;
+all chance comes from the seed.
 """
 
 from __future__ import annotations
@@ -43,41 +43,64 @@
 MAX_IN_FLIGHT = 38  # attempts that an endpoint takes at once
 DEADLINE = 4.0  # seconds that a client gives each request
 CLIENT_RETRIES = 2  # of a rejected request
-FAST_FAILURE = 0.002  # seconds until an endpoint that is down or full has said so
+FAST_FAILURE = 0.002  # seconds until an endpoint that is down or full has rejected an attempt
 BEGIN = 100.0  # seconds on the fleet's clock
-START_TIME = BEGIN + 8.0  # when the warming endpoints come up: by then instances know their usual traffic
+START_TIME = BEGIN + 8.0  # when the warming endpoints start: by then instances know their usual traffic
 END = START_TIME + 4.0
-DOWNTIME = 1.0  # seconds for which an endpoint that restarts is gone
+DOWNTIME = 1.0  # seconds for which an endpoint that restarts is removed
 BURST_DELAY = 2.0  # seconds from the start to the burst
 
 
 @dataclass(frozen=True)
 class Case:
-    """One day of a fleet: how many instances, who learns what when, which endpoints warm up, what traffic."""
+    """What happens to a fleet.
+
+    Attributes:
+        instances: How many balancers there are.
+        delivery: When they learn of the start: "at once", "one after another", or "some restart" meanwhile.
+        warming: Which endpoints start: a "fifth", "six in ten", "all", or those of a "zone".
+        rules: How endpoints warm up.
+        tier: The tier that the balancers send to.
+        endpoints: How many endpoints there are.
+        load: The traffic before the endpoints start, as a part of all capacity.
+        burst: The traffic some time after the start, as a multiple of that before.
+        skew: The traffic of one in ten instances, as a multiple of that of the others.
+        neighbours: Whether the subsets of these instances overlap.
+        joins: Whether the warming endpoints are new ones, not old ones that restart.
+    """
 
     instances: int
-    delivery: str = "at once"  # of the news: "at once", "one after another", or "some restart" meanwhile
-    warming: str = "fifth"  # which endpoints: "fifth", "six in ten", "all", or a "zone"
+    delivery: str = "at once"
+    warming: str = "fifth"
     rules: Rules = EARLY_OVERLOAD
     tier: int = 0
     endpoints: int = 15
-    load: float = 0.65  # of all capacity, before the endpoints start anew
-    burst: float = 1.5  # the traffic some time after the start, as a multiple of that before
-    skew: float = 1.0  # the traffic of one in ten instances, as a multiple of the others'...
-    neighbours: bool = False  # ...and whether their subsets meet
-    joins: bool = False  # whether the warming endpoints are new ones rather than old ones that restart
+    load: float = 0.65
+    burst: float = 1.5
+    skew: float = 1.0
+    neighbours: bool = False
+    joins: bool = False
 
 
 @dataclass(eq=False)
 class SimulatedEndpoint:
-    """One endpoint: it works on one attempt at a time."""
+    """One endpoint, which works on one attempt at a time.
+
+    Attributes:
+        listed: Its entry in the endpoint list.
+        rules: How it warms up.
+        free_at: When it will have done all work that it has accepted, in seconds.
+        in_flight: The attempts that it has accepted and not finished.
+        informed_calls: When instances called it that knew of its start.
+        calls: When any instance called it.
+    """
 
     listed: Endpoint
     rules: Rules
     free_at: float = 0.0
     in_flight: int = 0
-    informed_calls: list[float] = field(default_factory=list)  # when instances called that knew its start...
-    calls: list[float] = field(default_factory=list)  # ...and when any did
+    informed_calls: list[float] = field(default_factory=list)
+    calls: list[float] = field(default_factory=list)
 
     def capacity(self, now: float) -> float:
         """Return what it can do now, in requests of mean work a second."""
@@ -94,7 +117,7 @@
 
 @dataclass(eq=False)
 class Instance:
-    """One balancer of the fleet; a restart replaces it, and all that the old one knew is lost."""
+    """One balancer of the fleet; a restart replaces it, and everything that it had learned is lost."""
 
     ordinal: int
     balancer: Balancer
@@ -102,7 +125,7 @@
 
 
 class ClientRequest(NamedTuple):
-    """What a client asks for; a rejected request comes again as another."""
+    """One request of a client; a retry of a rejected request is another one."""
 
     instance: Instance
     class_index: int
@@ -119,7 +142,7 @@
 
 
 class Fleet:
-    """Plays a case; `assert_budgets` is the checker."""
+    """Simulates a case; `assert_budgets` is the checker."""
 
     def __init__(self, case: Case, seed: int) -> None:
         self.case = case
@@ -145,7 +168,7 @@
         self._capacity = CAPACITY * sum(endpoint.size for endpoint in listed)
 
     def _choose_warming(self, listed: list[Endpoint]) -> set[int]:
-        """Return the ids of the endpoints that start during the play."""
+        """Return the ids of the endpoints that start during the simulation."""
         if self.case.warming == "zone":
             return {endpoint.id for endpoint in listed if endpoint.zone == 1}
         part = {"fifth": 0.2, "six in ten": 0.6, "all": 1.0}[self.case.warming]
@@ -174,7 +197,7 @@
         heappush(self._events, (at, self._count, event))
 
     def play(self) -> None:
-        """Play the case to its end."""
+        """Simulate the case to its end."""
         case, rng = self.case, self.rng
         if not case.joins:
             self._schedule(START_TIME - DOWNTIME, self._stop_endpoints)
@@ -182,7 +205,9 @@
         for instance in self.instances:
             delay = 3.0 * rng.random() if case.delivery == "one after another" else 0.0
             deliver = partial(self._deliver, instance, instance.incarnation)
-            if not case.joins and not delay:  # who learns late never heard that it was gone, and sends on
+            if (
+                not case.joins and not delay
+            ):  # an instance that learns late never knew of the removal, and goes on sending
                 self._schedule(START_TIME - DOWNTIME, deliver)
             self._schedule(START_TIME + delay, deliver)
         if case.delivery == "some restart":
@@ -208,7 +233,7 @@
             self.endpoints[endpoint_id] = SimulatedEndpoint(listed, self.case.rules)
 
     def _deliver(self, instance: Instance, incarnation: int) -> None:
-        """Let an instance know of the warming endpoints as they are now."""
+        """Notify an instance of the warming endpoints as they are now."""
         if instance.incarnation == incarnation:
             listed = [self.endpoints[endpoint_id].listed for endpoint_id in self.warming]
             instance.balancer.on_endpoints_updated(self.now, UpdateKind.DELTA, listed)
@@ -219,7 +244,7 @@
         instance.incarnation += 1
 
     def _arrive(self) -> None:
-        """Bring a new request, and schedule the next."""
+        """Send a new request, and schedule the next one."""
         case = self.case
         rate = case.load * self._capacity
         if self.now > START_TIME + BURST_DELAY:
@@ -295,7 +320,7 @@
         outcome: Outcome,
         endpoint: SimulatedEndpoint | None,
     ) -> None:
-        """Schedule the end of an attempt that begins now, and of an endpoint's work on it if one is given."""
+        """Schedule the end of an attempt that starts now, and of the work on it if `endpoint` is given."""
         incarnation, started_at = instance.incarnation, self.now
 
         def finish() -> None:
@@ -317,8 +342,8 @@
     def spans(self) -> list[Span]:
         """Return what each warming endpoint got, for all overload intervals that end with a call.
 
-        The capacity is that at the interval's begin, the lowest in it. What goes beyond the budget by twice
-        its root is put down to chance.
+        The capacity is that at the start of the interval, the lowest in it. An excess of up to twice the
+        root of the budget, plus 2, is the slack that the rule leaves for chance (STANDING).
         """
         rules, found = self.case.rules, []
         for endpoint_id in sorted(self.warming):
@@ -344,14 +369,14 @@
 
 
 def play(case: Case, seed: int) -> Fleet:
-    """Play a case and return the fleet at its end."""
+    """Simulate a case and return the fleet at its end."""
     fleet = Fleet(case, seed)
     fleet.play()
     return fleet
 
 
 def assert_holds(case: Case) -> None:
-    """Play three seeds: the budgets hold, and they do not hold because nothing is sent."""
+    """Simulate three seeds: the budgets hold, and not because nothing is sent."""
     informed = 0
     for seed in range(3):
         fleet = play(case, seed)
