--- a/soak/managed_proxy.py
+++ b/soak/managed_proxy.py
@@ -9,14 +9,18 @@
 import itertools
 import signal
 import time
+from contextlib import suppress
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING, Any
 
+import psutil
+
 from soak.history import History, ProxyIncarnation, TimeSpan
-from soak.shim_process import resident_memory, shim_command, survives_hangup
-from testbed.loopback import HOST
+from testbed.deploy_file import run_command
+from testbed.health_check import is_healthy
+from testbed.meter import process_usage
 from testbed.paths import PROJECT_ROOT
-from testbed.processes import inherited_environment
+from testbed.processes import inherited_environment, survives_hangup
 
 if TYPE_CHECKING:
     from asyncio.subprocess import Process
@@ -27,9 +31,8 @@
     from testbed.proxy_config import ProxyConfig
 
 ACCEPTING_AFTER_TERMINATION = 0.3  # seconds for which clients still open connections after SIGTERM
+SHIM = "soak.shim"  # the module that runs in place of the program
 HEALTH_POLL_INTERVAL = 0.03  # seconds
-HEALTH_TIMEOUT = 1.0  # seconds for one health check
-HEALTH_REQUEST = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
 START_TIMEOUT = 15.0  # seconds
 MAX_LOG_LINES = 200  # recorded of each process
 START_SEED_STRIDE = 1000  # between the seeds of two runs: each start in a run has a seed of its own
@@ -108,7 +111,7 @@
         self.incarnation = incarnation = ProxyIncarnation(self._number, time.monotonic())
         self._options.history.incarnations.append(incarnation)
         self._process = process = await asyncio.create_subprocess_shell(
-            shim_command(), cwd=PROJECT_ROOT, env=environment, stderr=asyncio.subprocess.PIPE
+            run_command(SHIM), cwd=PROJECT_ROOT, env=environment, stderr=asyncio.subprocess.PIPE
         )
         self._log_task = asyncio.get_running_loop().create_task(_record_log(process, incarnation))
         await self._wait_until_ready(process, incarnation)
@@ -125,7 +128,7 @@
 
     async def _wait_until_ready(self, process: Process, incarnation: ProxyIncarnation) -> None:
         while process.returncode is None and time.monotonic() < incarnation.started_at + START_TIMEOUT:
-            if await _is_healthy(self.port):
+            if await is_healthy(self.port):
                 incarnation.ready_at = time.monotonic()
                 return
             await asyncio.sleep(HEALTH_POLL_INTERVAL)
@@ -184,7 +187,8 @@
 
     def _record_memory(self, process: Process, incarnation: ProxyIncarnation) -> None:
         if process.returncode is None:
-            incarnation.resident = resident_memory(process.pid)
+            with suppress(psutil.Error):
+                incarnation.resident = process_usage(process.pid).memory
 
     def reap(self) -> None:
         """Record the end of a process that has exited by itself."""
@@ -199,18 +203,6 @@
     return incarnation is None or incarnation.killed_at <= time.monotonic()
 
 
-async def _is_healthy(port: int) -> bool:
-    try:
-        reader, writer = await asyncio.open_connection(HOST, port)
-        writer.write(HEALTH_REQUEST)
-        async with asyncio.timeout(HEALTH_TIMEOUT):
-            line = await reader.readline()
-        writer.close()
-    except (OSError, TimeoutError):
-        return False
-    return line.startswith(b"HTTP/1.1 200")
-
-
 async def _record_log(process: Process, incarnation: ProxyIncarnation) -> None:
     """Record the first lines that a process writes to standard error, and read the others."""
     assert process.stderr is not None
--- a/testbed/health_check.py
+++ b/testbed/health_check.py
@@ -1,4 +1,4 @@
-"""A proxy's health check: asking for it, and the configuration version that its response names."""
+"""A proxy's health check: requesting it, and the configuration version in its response."""
 
 from __future__ import annotations
 
@@ -9,7 +9,17 @@
 from testbed.processes import STARTUP_TIMEOUT, ProcessError
 
 POLL_INTERVAL = 0.05  # seconds between two health checks of a proxy that is not ready yet
+RESPONSE_TIMEOUT = 1.0  # seconds for one health check
 VERSION_PREFIX = b"version "
+VERSION_LINE = 1  # of the response's body, from 0
+
+
+class NotReadyError(ProcessError):
+    """A proxy was not ready in time."""
+
+    def __init__(self, port: int, within: float) -> None:
+        super().__init__(f"the proxy at port {port} was not ready within {within:.0f} s")
+        self.port, self.within = port, within
 
 
 async def fetch_health(port: int) -> bytes:
@@ -22,26 +32,40 @@
         writer.close()
 
 
-async def wait_until_healthy(port: int) -> None:
-    """Wait until a proxy responds 200 to its health check; ProcessError where it does not in time."""
-    end = time.monotonic() + STARTUP_TIMEOUT
+async def is_healthy(port: int) -> bool:
+    """Return whether a proxy responds 200 to a health check, within `RESPONSE_TIMEOUT`."""
+    try:
+        async with asyncio.timeout(RESPONSE_TIMEOUT):
+            response = await fetch_health(port)
+    except OSError:  # a timeout among them
+        return False
+    return response.startswith(b"HTTP/1.1 200 ")
+
+
+async def wait_until_healthy(port: int, within: float = STARTUP_TIMEOUT) -> None:
+    """Wait until a proxy responds 200 to its health check.
+
+    Raises:
+        NotReadyError: It does not within so many seconds.
+    """
+    end = time.monotonic() + within
     while time.monotonic() < end:
-        try:
-            if (await fetch_health(port)).startswith(b"HTTP/1.1 200 "):
-                return
-        except OSError:
-            pass
+        if await is_healthy(port):
+            return
         await asyncio.sleep(POLL_INTERVAL)
-    raise ProcessError(f"the proxy at port {port} was not ready within {STARTUP_TIMEOUT:.0f} s")
+    raise NotReadyError(port, within)
 
 
 def configuration_version(response: bytes) -> str | None:
     """Return the version in force, from a response to a health check; None where it names none."""
     head, _, body = response.partition(b"\r\n\r\n")
     lines = body.split(b"\n")
-    if not head.startswith(b"HTTP/1.") or len(lines) < 2 or not lines[1].startswith(VERSION_PREFIX):
+    if not head.startswith(b"HTTP/1.") or len(lines) <= VERSION_LINE:
+        return None
+    line = lines[VERSION_LINE]
+    if not line.startswith(VERSION_PREFIX):
         return None
-    return lines[1][len(VERSION_PREFIX) :].strip().decode("latin-1") or None
+    return line.removeprefix(VERSION_PREFIX).strip().decode("latin-1") or None
 
 
 def has_label(version: str | None, label: str) -> bool:
--- a/testbed/processes.py
+++ b/testbed/processes.py
@@ -7,8 +7,10 @@
 
 import asyncio
 import os
+import signal
 import sys
 from dataclasses import dataclass
+from pathlib import Path
 from typing import TYPE_CHECKING
 
 import psutil
@@ -19,13 +21,11 @@
     from asyncio.subprocess import Process
     from collections.abc import Mapping, Sequence
     from contextlib import AsyncExitStack
-    from pathlib import Path
 
 STARTUP_TIMEOUT = 10.0  # seconds in which a process has to be up
 LINE_LIMIT = 16 << 20  # bytes of one line that a process prints
-CONFIGURATION_PREFIX = (
-    "RELAY_"  # of the proxy's environment variables: those of this process are not inherited
-)
+CONFIGURATION_PREFIX = "RELAY_"  # of the environment variables that configure a proxy
+HANGUP_BIT = 1 << (signal.SIGHUP - 1)  # in the signal masks of /proc
 
 
 class ProcessError(RuntimeError):
@@ -109,6 +109,20 @@
     return {name: value for name, value in os.environ.items() if not name.startswith(CONFIGURATION_PREFIX)}
 
 
+def survives_hangup(pid: int) -> bool:
+    """Return whether a process ignores or handles SIGHUP now; False where there is no such process.
+
+    The shell that runs the deploy file's command does neither in its first moments, which the program can't
+    change.
+    """
+    try:
+        status = Path(f"/proc/{pid}/status").read_text()
+    except OSError:
+        return False
+    masks = dict(line.split(":", 1) for line in status.splitlines())
+    return bool((int(masks["SigIgn"], 16) | int(masks["SigCgt"], 16)) & HANGUP_BIT)
+
+
 def python_command(*arguments: str) -> tuple[str, ...]:
     """Return the command that runs this interpreter with the arguments."""
     return (sys.executable, *arguments)
--- a/testbed/proxy_program.py
+++ b/testbed/proxy_program.py
@@ -7,22 +7,44 @@
 from __future__ import annotations
 
 import shlex
-import tomllib
 from dataclasses import dataclass
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+from testbed.deploy_file import DEPLOY_FILE, deploy_text, read_deploy_file
 from testbed.paths import PROJECT_ROOT
 from testbed.processes import ManagedProcess, python_command, start_process
 
 if TYPE_CHECKING:
     from contextlib import AsyncExitStack
 
-DEPLOY_FILE = Path("deploy", "balancer.toml")
-
 
 class ProgramError(RuntimeError):
-    """A tree's deploy file does not give a command that starts its proxy, or the tree has not been built."""
+    """The command of a tree's deploy file can't start its proxy."""
+
+
+class UnparsableRunError(ProgramError):
+    """A deploy file's `run` is no shell command."""
+
+    def __init__(self, root: Path, error: ValueError) -> None:
+        super().__init__(f"{root / DEPLOY_FILE}: run can't be read: {error}")
+        self.root = root
+
+
+class MissingModuleError(ProgramError):
+    """A deploy file's `run` names no Python module."""
+
+    def __init__(self, root: Path) -> None:
+        super().__init__(f"{root / DEPLOY_FILE}: run names no module by -m")
+        self.root = root
+
+
+class TreeNotBuiltError(ProgramError):
+    """A tree lacks the interpreter that its deploy file's `build` creates."""
+
+    def __init__(self, root: Path, interpreter: Path, build: str) -> None:
+        super().__init__(f"{root} has no {interpreter}: build it first, from there, by {build}")
+        self.root, self.interpreter, self.build = root, interpreter, build
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,17 +63,17 @@
         shell; `exec` in that command makes the process the proxy itself, which gets the signals.
 
         Raises:
-            ProgramError: The deploy file can't be used, or the tree has not been built.
+            DeployFileError: The deploy file can't be read, or lacks a key.
+            ProgramError: Its command can't start the proxy, or the tree has not been built.
         """
-        deploy = _read_deploy_file(root)
-        run = _text(deploy, "run", root)
+        deploy = read_deploy_file(root)
+        run = deploy_text(deploy, "run", root)
         words = _words(run, root)
         if root.resolve() == PROJECT_ROOT:
             return cls(root, python_command("-m", _module(words, root)))
         interpreter = Path(words[0]) if words else Path()
         if len(interpreter.parts) > 1 and not (root / interpreter).exists():
-            build = _text(deploy, "build", root)
-            raise ProgramError(f"{root} has no {interpreter}: build it first, from there, by {build}")
+            raise TreeNotBuiltError(root, interpreter, deploy_text(deploy, "build", root))
         return cls(root, ("/bin/sh", "-c", run))
 
     async def start(
@@ -73,31 +95,17 @@
         )
 
 
-def _read_deploy_file(root: Path) -> dict[str, object]:
-    try:
-        return tomllib.loads((root / DEPLOY_FILE).read_text(encoding="utf-8"))
-    except (OSError, ValueError) as error:
-        raise ProgramError(f"{root / DEPLOY_FILE} can't be read: {error}") from error
-
-
-def _text(deploy: dict[str, object], key: str, root: Path) -> str:
-    value = deploy.get(key)
-    if not isinstance(value, str) or not value:
-        raise ProgramError(f"{root / DEPLOY_FILE} has no {key}")
-    return value
-
-
 def _words(run: str, root: Path) -> list[str]:
     """Split a command into the words of the program that the shell becomes by `exec`."""
     try:
         words = shlex.split(run)
     except ValueError as error:
-        raise ProgramError(f"{root / DEPLOY_FILE}: run can't be read: {error}") from error
+        raise UnparsableRunError(root, error) from error
     return words[words.index("exec") + 1 :] if "exec" in words else words
 
 
 def _module(words: list[str], root: Path) -> str:
     """Return the module that a command of the form `PYTHON -m MODULE` runs."""
     if "-m" not in words[:-1]:
-        raise ProgramError(f"{root / DEPLOY_FILE}: run names no module by -m")
+        raise MissingModuleError(root)
     return words[words.index("-m") + 1]
--- a/tests/emulator/test_proxy_program.py
+++ b/tests/emulator/test_proxy_program.py
@@ -7,8 +7,17 @@
 
 import pytest
 
+from testbed.deploy_file import (
+    DEPLOY_FILE,
+    DEPLOYED_PROGRAM,
+    MissingDeployKeyError,
+    UnreadableDeployFileError,
+    deploy_text,
+    read_deploy_file,
+    run_command,
+)
 from testbed.paths import PROJECT_ROOT
-from testbed.proxy_program import DEPLOY_FILE, ProgramError, ProxyProgram
+from testbed.proxy_program import ProxyProgram, TreeNotBuiltError
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -24,20 +33,20 @@
 
 
 def test_a_tree_needs_a_deploy_file(tmp_path: Path) -> None:
-    with pytest.raises(ProgramError, match=r"balancer\.toml can't be read"):
+    with pytest.raises(UnreadableDeployFileError, match=r"balancer\.toml can't be read"):
         ProxyProgram.of_tree(tmp_path)
 
 
 def test_a_deploy_file_needs_a_run(tmp_path: Path) -> None:
     write_deploy_file(tmp_path, 'run = ""\n')
-    with pytest.raises(ProgramError, match="has no run"):
+    with pytest.raises(MissingDeployKeyError, match="has no run"):
         ProxyProgram.of_tree(tmp_path)
 
 
 @pytest.mark.parametrize("run", [RUN, RUN.replace("exec", "trap '' HUP; exec")])
-def test_a_tree_that_is_not_built_is_refused_by_the_name_of_its_build(run: str, tmp_path: Path) -> None:
+def test_a_tree_that_is_not_built_is_rejected_with_the_name_of_its_build(run: str, tmp_path: Path) -> None:
     write_deploy_file(tmp_path, 'build = "make venv"\n' + run)
-    with pytest.raises(ProgramError, match=r"has no \.venv/bin/python: build it .* by make venv"):
+    with pytest.raises(TreeNotBuiltError, match=r"has no \.venv/bin/python: build it .* by make venv"):
         ProxyProgram.of_tree(tmp_path)
 
 
@@ -51,3 +60,9 @@
 
 def test_this_tree_is_run_by_the_present_interpreter() -> None:
     assert ProxyProgram.of_tree(PROJECT_ROOT).command == (sys.executable, "-m", "proxy")
+
+
+def test_this_tree_is_run_by_its_deploy_file_with_another_interpreter_and_module() -> None:
+    run = deploy_text(read_deploy_file(PROJECT_ROOT), "run", PROJECT_ROOT)
+    assert run.endswith(DEPLOYED_PROGRAM)
+    assert run_command("soak.shim") == run.removesuffix(DEPLOYED_PROGRAM) + f"{sys.executable} -m soak.shim"
--- a/tests/proxy/downstream/test_descriptor_limits.py
+++ b/tests/proxy/downstream/test_descriptor_limits.py
@@ -14,6 +14,7 @@
 import pytest
 
 from testbed.paths import PROJECT_ROOT
+from testbed.processes import inherited_environment
 from tests.support.config_files import raw_config
 from tests.support.loopback import (
     ManualClock,
@@ -40,7 +41,6 @@
 from tests.support.proxy_internals import max_connections
 from tests.support.proxy_process import (
     environment_with_addresses,
-    environment_without_proxy,
     wait_until_ready,
     write_config,
 )
@@ -176,7 +176,7 @@
                 f"ulimit -n {MAX_SOCKETS}; exec {sys.executable} -m proxy",
                 cwd=PROJECT_ROOT,
                 stderr=file,
-                env=environment_without_proxy() | {"RELAY_CONFIG": str(path)},
+                env=inherited_environment() | {"RELAY_CONFIG": str(path)},
             )
         try:
             await wait_until_ready(port)
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -15,6 +15,7 @@
 
 from proxy.proxy import Proxy
 from testbed.paths import PROJECT_ROOT
+from testbed.processes import inherited_environment
 from tests.support.config_files import raw_config
 from tests.support.loopback import (
     Client,
@@ -40,7 +41,6 @@
 )
 from tests.support.proxy_process import (
     environment_with_addresses,
-    environment_without_proxy,
     wait_until_ready,
     write_config,
 )
@@ -155,7 +155,7 @@
 def test_invalid_configuration_exits_with_one_plain_line(tmp_path: Path, text: str) -> None:
     path = tmp_path / "c.json"
     path.write_text(text)
-    environment = environment_without_proxy()
+    environment = inherited_environment()
     for variables in ({"RELAY_CONFIG": str(path)}, {"RELAY_CONFIG": str(path / "none")}, {}):
         process = subprocess.run(
             [sys.executable, "-m", "proxy"],
--- a/tests/proxy/test_start_signals.py
+++ b/tests/proxy/test_start_signals.py
@@ -9,23 +9,20 @@
 import errno
 import json
 import os
-import shlex
 import signal
-import sys
-import tomllib
 from contextlib import asynccontextmanager
 from typing import TYPE_CHECKING
 
 import pytest
 
 from proxy.process import TERMINATION_SIGNALS, ignore_signals
-from soak.shim_process import survives_hangup
+from testbed.deploy_file import run_command
 from testbed.paths import PROJECT_ROOT
+from testbed.processes import inherited_environment, survives_hangup
 from tests.support.config_files import raw_config
 from tests.support.loopback import Client, connect, free_port, in_event_loop, with_timeout
 from tests.support.proxy_inputs import HEALTH_REQUEST, HOST, MAX_WAIT, endpoint_entry
 from tests.support.proxy_process import (
-    environment_without_proxy,
     killed_at_the_end,
     wait_until_ready,
 )
@@ -35,9 +32,6 @@
     from collections.abc import AsyncIterator, Callable
     from pathlib import Path
 
-RUN_COMMAND = tomllib.loads((PROJECT_ROOT / "deploy" / "balancer.toml").read_text())["run"]
-DEPLOYED_INTERPRETER = ".venv/bin/python"
-
 
 def config_text(port: int, version: str) -> bytes:
     """Return a configuration with a version, for a proxy that listens at a port."""
@@ -78,10 +72,8 @@
 @asynccontextmanager
 async def deployed_process(config_path: Path) -> AsyncIterator[Process]:
     """Run a proxy by the deploy file's command, with this interpreter; it is killed at the end."""
-    assert DEPLOYED_INTERPRETER in RUN_COMMAND
-    command = RUN_COMMAND.replace(DEPLOYED_INTERPRETER, shlex.quote(sys.executable))
     process = await asyncio.create_subprocess_shell(
-        command, cwd=PROJECT_ROOT, env=environment_without_proxy() | {"RELAY_CONFIG": str(config_path)}
+        run_command(), cwd=PROJECT_ROOT, env=inherited_environment() | {"RELAY_CONFIG": str(config_path)}
     )
     async with killed_at_the_end(process):
         yield process
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -9,10 +9,11 @@
 from contextlib import asynccontextmanager
 from typing import TYPE_CHECKING, Any
 
+from testbed.health_check import wait_until_healthy
 from testbed.paths import PROJECT_ROOT
+from testbed.processes import inherited_environment
 from tests.support.config_files import raw_config
-from tests.support.loopback import connect
-from tests.support.proxy_inputs import HEALTH_REQUEST, MAX_WAIT, status_of
+from tests.support.proxy_inputs import MAX_WAIT
 
 if TYPE_CHECKING:
     from asyncio.subprocess import Process
@@ -20,11 +21,6 @@
     from pathlib import Path
 
 
-def environment_without_proxy() -> dict[str, str]:
-    """Return this process's environment without the variables that a proxy reads."""
-    return {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
-
-
 def write_config(config_path: Path, listen: str, discovery: str, endpoints: list[dict[str, Any]]) -> None:
     """Write the file of a proxy process that knows these entries of the endpoint list."""
     content = raw_config(
@@ -70,20 +66,12 @@
         "proxy",
         cwd=PROJECT_ROOT,
         stderr=asyncio.subprocess.PIPE,
-        env=environment_without_proxy() | {"RELAY_CONFIG": str(config_path)},
+        env=inherited_environment() | {"RELAY_CONFIG": str(config_path)},
     )
     async with killed_at_the_end(process):
         yield process
 
 
 async def wait_until_ready(port: int) -> None:
-    """Wait until a process answers that it is ready."""
-    async with asyncio.timeout(MAX_WAIT):
-        while True:
-            try:
-                client = await connect(port)
-                if status_of(await client.request(HEALTH_REQUEST)) == 200:
-                    return
-            except OSError:
-                pass
-            await asyncio.sleep(0.02)
+    """Wait until a proxy is ready, for as long as that may take on a loaded machine."""
+    await wait_until_healthy(port, within=MAX_WAIT)
