--- a/soak/backends.py
+++ b/soak/backends.py
@@ -13,9 +13,9 @@
 from typing import TYPE_CHECKING
 
 from soak.history import Arrival, Execution, SchedulingDelay
-from soak.http_messages import read_headers, reset_on_close
 from soak.scheduling_delay import SchedulingDelayMeter
-from testbed.loopback import HOST, port_of
+from testbed.http_messages import END_OF_HEAD, content_length, read_headers
+from testbed.loopback import HOST, port_of, reset_on_close
 
 if TYPE_CHECKING:
     from soak.backend_behaviour import BackendBehaviour
@@ -129,11 +129,11 @@
         if not self._buffer:
             self._began_at = time.monotonic()
         self._buffer += data
-        head, separator, body = self._buffer.partition(b"\r\n\r\n")
+        head, separator, body = self._buffer.partition(END_OF_HEAD)
         if not separator:
             return
         headers = read_headers(head)
-        length = int(headers.get(b"content-length", b"0"))
+        length = content_length(headers)
         if len(body) < length:
             return
         self._buffer = body[length:]
--- a/soak/client_connection.py
+++ b/soak/client_connection.py
@@ -6,8 +6,8 @@
 import socket
 from dataclasses import dataclass
 
-from soak.http_messages import read_headers, reset_on_close
-from testbed.loopback import HOST
+from testbed.http_messages import END_OF_HEAD, content_length, read_headers
+from testbed.loopback import HOST, reset_on_close
 
 SLOW_READ_BYTES = 20_000  # that a slow reader reads at once
 SLOW_READ_PAUSE = 0.02  # seconds between two of its reads
@@ -68,9 +68,9 @@
             OSError: The connection was reset.
             asyncio.IncompleteReadError: The connection was closed before the response was complete.
         """
-        head = await self.reader.readuntil(b"\r\n\r\n")
-        headers = read_headers(head[:-4])
-        remaining = int(headers.get(b"content-length", b"0"))
+        head = await self.reader.readuntil(END_OF_HEAD)
+        headers = read_headers(head)
+        remaining = content_length(headers)
         body = b""
         while remaining:
             piece = await self.reader.readexactly(min(remaining, SLOW_READ_BYTES) if slowly else remaining)
--- a/soak/client_pipeline.py
+++ b/soak/client_pipeline.py
@@ -6,7 +6,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from soak.http_messages import encode_request
+from soak.request_encoding import encode_request
 
 if TYPE_CHECKING:
     from soak.client_connection import ClientConnection
--- a/soak/client_requests.py
+++ b/soak/client_requests.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from soak.history import Request, RequestOutcome, RetrySafety
-from soak.http_messages import encode_request
 from soak.managed_proxy import was_killed
+from soak.request_encoding import encode_request
 
 if TYPE_CHECKING:
     import random
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -15,7 +15,7 @@
 from soak.client_pool import ClientConnectionPool
 from soak.client_requests import RequestExchange
 from soak.history import NEVER, Request, RetrySafety, StalledClient
-from soak.http_messages import encode_request
+from soak.request_encoding import encode_request
 from testbed.loopback import HOST
 
 if TYPE_CHECKING:
--- a/soak/http_messages.py
+++ b/soak/request_encoding.py
@@ -1,9 +1,7 @@
-"""What clients and backends of a run share: headers, the request's form, and resetting a connection."""
+"""The form of the requests that clients of a run send."""
 
 from __future__ import annotations
 
-import socket
-import struct
 from typing import TYPE_CHECKING
 
 from soak.history import RetrySafety
@@ -11,14 +9,6 @@
 if TYPE_CHECKING:
     from soak.history import Request
 
-LINGER_FOR_NO_TIME = struct.pack("ii", 1, 0)  # the option's value: on, 0 seconds
-
-
-def read_headers(head: bytes) -> dict[bytes, bytes]:
-    """Return the headers of a message's head, by their names in lower case."""
-    pairs = (line.partition(b":") for line in head.split(b"\r\n")[1:])
-    return {name.lower(): value.strip() for name, _, value in pairs}
-
 
 def encode_request(request: Request, *, closes: bool) -> bytes:
     """Return a request's bytes.
@@ -36,8 +26,3 @@
         f"X-Soak-Proxy: {request.proxy}\r\nContent-Length: {len(body)}\r\n"
         f"{'Connection: close' if closes else 'X-Rest: 1'}\r\n\r\n{body}"
     ).encode()
-
-
-def reset_on_close(sock: socket.socket) -> None:
-    """Have a socket reset its connection when it is closed."""
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_FOR_NO_TIME)
--- a/testbed/discovery/control_endpoint.py
+++ b/testbed/discovery/control_endpoint.py
@@ -12,6 +12,7 @@
 from typing import TYPE_CHECKING
 from urllib.parse import parse_qs, urlsplit
 
+from testbed.http_messages import END_OF_HEAD, encode_chunk
 from testbed.loopback import HOST, port_of
 
 if TYPE_CHECKING:
@@ -24,7 +25,6 @@
 LIST_PATH = "/v1/servers"
 OK_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
-END_OF_HEAD = b"\r\n\r\n"
 NO_WATCH = -1  # the version of a connection that doesn't watch
 
 
@@ -198,7 +198,7 @@
 
     def _write_chunk(self, line: bytes) -> None:
         self._last_line_at = asyncio.get_running_loop().time()
-        self._write(b"%x\r\n%b\r\n" % (len(line), line))
+        self._write(encode_chunk(line))
 
     def _write(self, data: bytes) -> None:
         if self._transport is not None:
--- a/tests/emulator/test_load_generator.py
+++ b/tests/emulator/test_load_generator.py
@@ -10,8 +10,9 @@
 from emulator.load.generator import LOST, OpenLoopGenerator
 from emulator.load.plan import LoadPlan, Stream, poisson_times, schedule_calls
 from testbed.backend_stub import RESPONSE, listen
+from testbed.http_messages import read_message
 from testbed.loopback import HOST, free_ports, port_of
-from tests.support.loopback import read_message, with_timeout
+from tests.support.loopback import with_timeout
 
 
 def test_arrivals_are_drawn_ahead_ascending_and_the_same_for_a_seed() -> None:
--- a/tests/proxy/discovery/test_notification_deadline.py
+++ b/tests/proxy/discovery/test_notification_deadline.py
@@ -14,16 +14,15 @@
 from balancer.events import Action, PollEndpoints, SetTimer
 from balancer.settings import DiscoveryMode, Rules, Settings
 from balancer.settings_reader import read_settings
+from testbed.http_messages import CHUNKED_HEAD, encode_chunk
 from tests.support.faulty_discovery import (
     FAULTS,
     IMMEDIATE_FAULTS,
-    RESPONSE_HEAD,
     SNAPSHOT,
     SNAPSHOT_RESPONSE,
     SNAPSHOT_TEXT,
     CallFault,
     FaultyDiscovery,
-    chunk,
     faulty_discovery,
     measure_delivery,
     updates,
@@ -90,7 +89,7 @@
     fault: str, ending: str
 ) -> None:
     empty_list = updates(SNAPSHOT | {"index": 8, "endpoints": []})
-    after_list = FAULTS[ending].response.removeprefix(RESPONSE_HEAD)
+    after_list = FAULTS[ending].response.removeprefix(CHUNKED_HEAD)
     falls_silent = CallFault(empty_list + after_list, FAULTS[ending].trickle)
     clock = ManualClock()
     async with (
@@ -155,8 +154,8 @@
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n" + SNAPSHOT_RESPONSE,
         b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b\n" % (len(SNAPSHOT_TEXT) + 1, SNAPSHOT_TEXT),
         b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(SNAPSHOT_TEXT), SNAPSHOT_TEXT),
-        RESPONSE_HEAD + chunk(SNAPSHOT_TEXT[:9]) + chunk(SNAPSHOT_TEXT[9:]) + b"0\r\n\r\n",
-        RESPONSE_HEAD + chunk(SNAPSHOT_TEXT) + b"0\r\nX-A: b\r\n\r\n",
+        CHUNKED_HEAD + encode_chunk(SNAPSHOT_TEXT[:9]) + encode_chunk(SNAPSHOT_TEXT[9:]) + b"0\r\n\r\n",
+        CHUNKED_HEAD + encode_chunk(SNAPSHOT_TEXT) + b"0\r\nX-A: b\r\n\r\n",
         b"HTTP/1.1 200 OK\r\n\r\n" + SNAPSHOT_TEXT + b"\n",
     ],
 )
--- a/tests/support/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
+from testbed.http_messages import CHUNKED_HEAD, encode_chunk
 from tests.support.proxy_inputs import HOST, endpoint_entry
 
 if TYPE_CHECKING:
@@ -18,7 +19,6 @@
 TRICKLE_INTERVAL = 0.5  # seconds between two pieces of what trickles
 CLOCK_STEP = 0.05  # seconds
 MAX_DELIVERY_TIME = 18.0  # seconds after which a delivery is given up: three times the deadline
-RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 #: The list that a call which does not fail gets: a backend at port 2.
 SNAPSHOT: dict[str, Any] = {
@@ -29,14 +29,9 @@
 SNAPSHOT_TEXT = json.dumps(SNAPSHOT).encode()
 
 
-def chunk(data: bytes) -> bytes:
-    """Return one chunk of a watch's response."""
-    return b"%x\r\n%b\r\n" % (len(data), data)
-
-
 def updates(*messages: dict[str, Any]) -> bytes:
     """Return a watch's response that holds these messages and goes on."""
-    return RESPONSE_HEAD + b"".join(chunk(json.dumps(message).encode() + b"\n") for message in messages)
+    return CHUNKED_HEAD + b"".join(encode_chunk(json.dumps(message).encode() + b"\n") for message in messages)
 
 
 SNAPSHOT_RESPONSE = updates(SNAPSHOT)
@@ -59,13 +54,15 @@
 
 FAULTS: dict[str, CallFault] = {
     "silent": CallFault(),
-    "a head alone": CallFault(RESPONSE_HEAD),
-    "half a head": CallFault(RESPONSE_HEAD[:20]),
-    "a head that trickles": CallFault(RESPONSE_HEAD[:-2], b"X-A: b\r\n"),
-    "a line that trickles": CallFault(RESPONSE_HEAD + chunk(b"{"), chunk(b" ")),
-    "an object that trickles": CallFault(RESPONSE_HEAD + chunk(b"{\n"), chunk(b' "index": 9,\n')),
+    "a head alone": CallFault(CHUNKED_HEAD),
+    "half a head": CallFault(CHUNKED_HEAD[:20]),
+    "a head that trickles": CallFault(CHUNKED_HEAD[:-2], b"X-A: b\r\n"),
+    "a line that trickles": CallFault(CHUNKED_HEAD + encode_chunk(b"{"), encode_chunk(b" ")),
+    "an object that trickles": CallFault(
+        CHUNKED_HEAD + encode_chunk(b"{\n"), encode_chunk(b' "index": 9,\n')
+    ),
     "another status": CallFault(b"HTTP/1.1 503 Down\r\nContent-Length: 9\r\n\r\n"),
-    "another status, chunked": CallFault(RESPONSE_HEAD.replace(b"200 OK", b"500 Down"), chunk(b" ")),
+    "another status, chunked": CallFault(CHUNKED_HEAD.replace(b"200 OK", b"500 Down"), encode_chunk(b" ")),
     "a closed connection": CallFault(closes=True),
     "an empty response": CallFault(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
     "no HTTP": CallFault(b"nonsense\r\n\r\n", b" "),
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -18,6 +18,7 @@
 
 from balancer.endpoints import UpdateKind
 from proxy.proxy import Proxy
+from testbed.http_messages import CHUNKED_HEAD, encode_chunk, read_message
 from tests.support.proxy_inputs import (
     HOST,
     MAX_WAIT,
@@ -103,16 +104,6 @@
         await self.settle()
 
 
-async def read_message(reader: asyncio.StreamReader) -> bytes:
-    """Read one HTTP message, whose body ends by its Content-Length, and return its bytes."""
-    head = await reader.readuntil(b"\r\n\r\n")
-    length = 0
-    for line in head.split(b"\r\n"):
-        if line.lower().startswith(b"content-length:"):
-            length = int(line.partition(b":")[2])
-    return head + await reader.readexactly(length)
-
-
 def respond_ok(_request: bytes) -> bytes:
     """Respond to each request with status 200: a script for a `StubBackend`."""
     return OK_RESPONSE
@@ -194,7 +185,7 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one watch: the head of its response at once, and then what `send_update` is given."""
         request = await reader.readuntil(b"\r\n\r\n")
-        writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        writer.write(CHUNKED_HEAD)
         self.writer = writer
         self.watch_requests.put_nowait(request.split()[1].decode())
         with suppress(ConnectionError):
@@ -213,7 +204,7 @@
         """Send bytes on the watch that is open, cut in two chunks."""
         assert self.writer is not None
         for part in filter(None, (data[:9], data[9:])):
-            self.writer.write(b"%x\r\n%b\r\n" % (len(part), part))
+            self.writer.write(encode_chunk(part))
 
 
 @asynccontextmanager
