--- a/emulator/runs/added_latency.py
+++ b/emulator/runs/added_latency.py
@@ -26,7 +26,7 @@
 from emulator.runs.common import RunOptions, RunResult
 from emulator.runs.latency_report import ALL_PROXIES, TrialReport, TrialUsage, UsagePair, budget_figures
 from emulator.runs.latency_trials import WARMUP, Trial, quick_schedule, schedule
-from testbed.discovery.watch_stub import serve_snapshot
+from testbed.discovery.registry import serve_static_list
 from testbed.health_check import wait_until_healthy
 from testbed.loopback import free_ports
 from testbed.paths import PROJECT_ROOT
@@ -45,7 +45,7 @@
 ) -> tuple[list[ManagedProcess], list[int]]:
     """Start the trial's proxies, and wait until they are ready; return them and the ports they listen on."""
     snapshot = endpoint_snapshot(trial.rows, backend_ports)
-    discovery_port = await serve_snapshot(stack, snapshot)
+    discovery_port = await serve_static_list(stack, snapshot)
     folder = Path(stack.enter_context(TemporaryDirectory()))
     # Drawn by the trial's name as well: two trials that run at once must not try the same ports.
     ports = free_ports(len(trial.rates), np.random.default_rng([seed, *trial.name.encode()]))
--- a/emulator/runs/reloadable_proxy.py
+++ b/emulator/runs/reloadable_proxy.py
@@ -11,7 +11,7 @@
 
 from emulator.fleet.stub_fleet import endpoint_snapshot
 from emulator.runs.settings_changes import settings_after
-from testbed.discovery.watch_stub import serve_snapshot
+from testbed.discovery.registry import serve_static_list
 from testbed.health_check import configuration_version, fetch_health, wait_until_healthy
 from testbed.loopback import free_ports
 from testbed.proxy_config import ProxyConfig
@@ -86,7 +86,7 @@
     async def start_fleet(self, rows: int, cores: Sequence[frozenset[int]]) -> list[ReloadableProxy]:
         """Start one proxy for each set of cores, with an endpoint list of `rows`; wait until all are up."""
         snapshot = endpoint_snapshot(rows, self._backend_ports)
-        discovery_port = await serve_snapshot(self._stack, snapshot)
+        discovery_port = await serve_static_list(self._stack, snapshot)
         ports = free_ports(len(cores), self._rng)
         proxies = []
         for ordinal, (port, proxy_cores) in enumerate(zip(ports, cores, strict=True)):
--- a/soak/endpoint_list.py
+++ b/soak/endpoint_list.py
@@ -108,7 +108,7 @@
 
     def reset_watches(self, *, forget_log: bool) -> None:
         """Reset all watches; with `forget_log` they receive the complete list when they are opened again."""
-        self.registry.reset_connections(list(self.registry.endpoints), forget_log)
+        self.registry.reset_connections(list(self.registry.endpoints), forget_log=forget_log)
 
     def _publish(self, name: str, change: EndpointChange) -> None:
         entry = changed_entry(self._entries[name], change)
--- a/testbed/discovery/registry.py
+++ b/testbed/discovery/registry.py
@@ -15,8 +15,9 @@
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
+    from contextlib import AsyncExitStack
 
-    from testbed.discovery.entry import EndpointEntry
+    from testbed.discovery.entry import EndpointEntry, EndpointUpdate
 
 
 @dataclass(slots=True, frozen=True)
@@ -108,7 +109,7 @@
             self.endpoints[name].is_silent = False
             self.endpoints[name].reset_connections()
 
-    def reset_connections(self, names: Iterable[str], forget_log: bool = False) -> None:
+    def reset_connections(self, names: Iterable[str], *, forget_log: bool = False) -> None:
         """Reset the connections of some endpoints; with `forget_log`, watches that return get a snapshot."""
         if forget_log:
             self.state.forget_log()
@@ -129,3 +130,15 @@
     def close(self) -> None:
         """Close every endpoint."""
         self.close_endpoints(tuple(self.endpoints))
+
+
+async def serve_static_list(stack: AsyncExitStack, snapshot: EndpointUpdate) -> int:
+    """Serve an endpoint list that never changes, until the stack ends; each watch receives the complete list.
+
+    Returns:
+        The port.
+    """
+    registry = Registry(snapshot["endpoints"], snapshot["index"])
+    registry.state.forget_log()  # else a watch from this version on would receive an empty delta
+    stack.callback(registry.close)
+    return await registry.open_endpoint("all")
