--- a/testbed/backend_stub.py
+++ b/testbed/backend_stub.py
@@ -1,7 +1,8 @@
 """A stub backend: one process that listens on many ports and answers every request with 200 at once.
 
 Run as `python -m testbed.backend_stub --ports N --seconds S`; it prints its ports as one JSON line. It
-simulates no work and no failures.
+simulates no work and no failures, because it must cost little where a proxy is measured: the backends of
+`soak.backends`, which record and misbehave, and the scripted ones of the tests are separate for that reason.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 
 
 class BackendConnection(asyncio.Protocol):
-    """One connection, kept alive: each complete request gets the same small response."""
+    """One persistent connection: each complete request receives the same small response."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, and set up a request parser."""
+        """Store the transport, and create a request parser."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._parser = httptools.HttpRequestParser(self)
@@ -36,7 +37,7 @@
             self._transport.abort()
 
     def on_message_complete(self) -> None:
-        """Respond: the request's last byte is here, its body's included."""
+        """Parser callback: a request is complete with its body; respond to it."""
         self._transport.write(RESPONSE)
         if not self._parser.should_keep_alive():
             self._transport.close()
--- a/testbed/child_process.py
+++ b/testbed/child_process.py
@@ -1,6 +1,6 @@
 """Child processes that each run one object: calls go over a pipe, one by one, into the child's event loop.
 
-It owns the processes and the calls to them; it knows nothing of the objects that run there.
+This module owns the processes and the calls; it knows nothing of the objects that run there.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from testbed.meter import Usage, process_usage
 
 if TYPE_CHECKING:
-    from collections.abc import Callable, Iterable
+    from collections.abc import Callable, Iterable, Mapping
     from multiprocessing.connection import Connection
     from types import TracebackType
 
@@ -25,14 +25,41 @@
 
 
 class ChildError(RuntimeError):
-    """A call failed in the child, or the child is gone or too slow."""
+    """A call to a child process failed."""
+
+
+class ChildEndedError(ChildError):
+    """The child process has ended."""
+
+    def __init__(self) -> None:
+        super().__init__("the child process has ended")
+
+
+class ChildTimeoutError(ChildError):
+    """A call took too long."""
+
+    def __init__(self, seconds: float) -> None:
+        super().__init__(f"no result within {seconds:g} s")
+        self.seconds = seconds
+
+
+class CallFailedError(ChildError):
+    """A call raised an exception in the child.
+
+    Attributes:
+        traceback: The exception's traceback, as text.
+    """
+
+    def __init__(self, traceback: str) -> None:
+        super().__init__(traceback)
+        self.traceback = traceback
 
 
 @dataclass(slots=True, frozen=True)
 class _Call:
     method: str
     args: tuple[Any, ...]
-    kwargs: dict[str, Any]
+    kwargs: Mapping[str, Any]
 
 
 @dataclass(slots=True, frozen=True)
@@ -44,7 +71,7 @@
 
 
 class ChildProcess:
-    """A process that makes `factory(*args)`; the object's methods, coroutines too, are called by name."""
+    """A process that runs the object `factory(*args)`, whose methods and coroutines are called by name."""
 
     def __init__(self, factory: Callable[..., Any], *args: Any) -> None:
         context = multiprocessing.get_context("spawn")
@@ -58,36 +85,45 @@
         """Start a call; each one must be followed by one `result`.
 
         Raises:
-            ChildError: The child is gone.
+            ChildEndedError: The child has ended.
         """
         try:
             self._pipe.send(_Call(method, args, kwargs))
         except OSError as error:
-            raise ChildError(f"{method}: the process is gone") from error
+            raise ChildEndedError from error
 
     def result(self, timeout: float = CALL_TIMEOUT) -> Any:
         """Wait for the result of the oldest call that was started.
 
+        Args:
+            timeout: Seconds to wait at most.
+
         Raises:
-            ChildError: The call failed or takes longer, or the child is gone.
+            CallFailedError: The call raised an exception.
+            ChildTimeoutError: The call takes longer.
+            ChildEndedError: The child has ended.
         """
         try:
             if not self._pipe.poll(timeout):
-                raise ChildError(f"no answer within {timeout:g} s")
+                raise ChildTimeoutError(timeout)
             reply: _Reply = self._pipe.recv()
         except (EOFError, OSError) as error:
-            raise ChildError("the process is gone") from error
+            raise ChildEndedError from error
         if reply.error is not None:
-            raise ChildError(reply.error)
+            raise CallFailedError(reply.error)
         return reply.value
 
     def call(self, method: str, *args: Any, **kwargs: Any) -> Any:
-        """Call a method and wait for its result; ChildError as `send` and `result`."""
+        """Call a method and wait for its result.
+
+        Raises:
+            ChildError: As in `send` and `result`.
+        """
         self.send(method, *args, **kwargs)
         return self.result()
 
     def usage(self) -> Usage:
-        """Read from outside what the process has spent."""
+        """Read what the process has spent, without calling into it."""
         return process_usage(self.pid)
 
     def close(self) -> None:
@@ -102,7 +138,7 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         self.close()
 
@@ -145,6 +181,6 @@
         value = getattr(target, call.method)(*call.args, **call.kwargs)
         if inspect.isawaitable(value):
             value = await value
-    except Exception:  # noqa: BLE001 - whatever it is, the parent gets it
+    except Exception:  # noqa: BLE001 - any exception of the object is reported to the parent
         return _Reply(error=traceback.format_exc())
     return _Reply(value)
--- a/testbed/discovery/registry.py
+++ b/testbed/discovery/registry.py
@@ -85,7 +85,7 @@
             When that started, on the machine's monotonic clock.
 
         Raises:
-            ValueError: The version isn't newer than the current one.
+            StaleVersionError: The version isn't newer than the current one.
         """
         started = time.monotonic()
         self.state.change(index, entries)
@@ -94,7 +94,7 @@
         return started
 
     def close_endpoints(self, names: Iterable[str]) -> None:
-        """Simulate the loss of the machine: watches are reset, and new connections refused."""
+        """Simulate the loss of the machine: watches are reset, and new connections fail."""
         for name in names:
             self.endpoints[name].close()
 
--- a/testbed/discovery/registry_state.py
+++ b/testbed/discovery/registry_state.py
@@ -21,6 +21,14 @@
 View = frozenset[str] | None  # the names of the backends that a client sees; None: all of them
 
 
+class StaleVersionError(ValueError):
+    """A change has a version that is not newer than the list's."""
+
+    def __init__(self, index: int, current: int) -> None:
+        super().__init__(f"version {index} is not newer than {current}")
+        self.index, self.current = index, current
+
+
 @dataclass(slots=True, frozen=True)
 class EncodedUpdate:
     """One message of the discovery protocol, ready to send.
@@ -51,10 +59,10 @@
         """Apply one version's entries.
 
         Raises:
-            ValueError: The version isn't newer than the current one.
+            StaleVersionError: The version isn't newer than the current one.
         """
         if index <= self.index:
-            raise ValueError(f"version {index} is not newer than {self.index}")
+            raise StaleVersionError(index, self.index)
         for entry in entries:
             self._apply(entry)
             self._log.append((index, entry))
--- a/testbed/meter.py
+++ b/testbed/meter.py
@@ -1,6 +1,6 @@
 """What a process spends: processor time and resident memory, and the worst ten seconds of a growing sum.
 
-It owns the readings; who is read when is the caller's matter.
+This module owns the readings; its callers decide which process is read when.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-WORST_WINDOW = 10.0  # seconds that a worst case is taken over
+WORST_WINDOW = 10.0  # seconds: the length of the window with the largest growth
 MB = 1 << 20
 
 
@@ -100,6 +100,7 @@
 
 
 def _mean_growth(readings: Sequence[tuple[float, float]]) -> float:
-    if len(readings) < 2 or readings[-1][0] <= readings[0][0]:
+    elapsed = readings[-1][0] - readings[0][0] if readings else 0.0
+    if elapsed <= 0.0:
         return 0.0
-    return (readings[-1][1] - readings[0][1]) / (readings[-1][0] - readings[0][0])
+    return (readings[-1][1] - readings[0][1]) / elapsed
--- a/testbed/processes.py
+++ b/testbed/processes.py
@@ -1,6 +1,6 @@
 """Real processes: starting and stopping them, lines over their pipes, and what they have used.
 
-Which processes a run needs, and the lines that they exchange, is in `emulator.fleet.role_processes`.
+This module knows nothing of what the processes do or of the meaning of their lines.
 """
 
 from __future__ import annotations
@@ -22,14 +22,46 @@
     from collections.abc import Mapping, Sequence
     from contextlib import AsyncExitStack
 
-STARTUP_TIMEOUT = 10.0  # seconds in which a process has to be up
+STARTUP_TIMEOUT = 10.0  # seconds in which a process has to be ready
 LINE_LIMIT = 16 << 20  # bytes of one line that a process prints
 CONFIGURATION_PREFIX = "RELAY_"  # of the environment variables that configure a proxy
 HANGUP_BIT = 1 << (signal.SIGHUP - 1)  # in the signal masks of /proc
 
 
 class ProcessError(RuntimeError):
-    """A process did not come up, ended early or is gone."""
+    """A process did not start in time, or has ended."""
+
+
+class NoOutputError(ProcessError):
+    """A process printed no line in time."""
+
+    def __init__(self, pid: int, seconds: float) -> None:
+        super().__init__(f"process {pid} printed no line within {seconds:.0f} s")
+        self.pid, self.seconds = pid, seconds
+
+
+class OutputEndedError(ProcessError):
+    """A process closed its standard output, most likely because it ended."""
+
+    def __init__(self, pid: int) -> None:
+        super().__init__(f"process {pid} ended early")
+        self.pid = pid
+
+
+class ProcessEndedError(ProcessError):
+    """A process has ended, so that it can't be sent a signal."""
+
+    def __init__(self, pid: int, exit_code: int) -> None:
+        super().__init__(f"process {pid} ended with {exit_code}")
+        self.pid, self.exit_code = pid, exit_code
+
+
+class UnreadableUsageError(ProcessError):
+    """What a process has used can't be read, most likely because it has ended."""
+
+    def __init__(self, pid: int, error: psutil.Error) -> None:
+        super().__init__(f"the usage of process {pid} can't be read: {error}")
+        self.pid = pid
 
 
 @dataclass(slots=True, frozen=True)
@@ -70,32 +102,38 @@
         self._process.stdin.write(line)
         await self._process.stdin.drain()
 
-    async def read_line(self, timeout: float) -> bytes:
-        """Read the next line of the standard output; ProcessError after `timeout` seconds or at its end."""
+    async def read_line(self, within: float) -> bytes:
+        """Read the next line of the standard output.
+
+        Raises:
+            NoOutputError: There is none within so many seconds.
+            OutputEndedError: The output has ended.
+        """
         assert self._process.stdout is not None
         try:
-            line = await asyncio.wait_for(self._process.stdout.readline(), timeout)
+            async with asyncio.timeout(within):
+                line = await self._process.stdout.readline()
         except TimeoutError:
-            raise ProcessError(f"process {self.pid} said nothing for {timeout:.0f} s") from None
+            raise NoOutputError(self.pid, within) from None
         if not line:
-            raise ProcessError(f"process {self.pid} ended early")
+            raise OutputEndedError(self.pid)
         return line
 
     def send_signal(self, number: int) -> None:
-        """Send a signal; ProcessError where the process has ended."""
+        """Send a signal; ProcessEndedError where the process has ended."""
         if self.returncode is not None:
-            raise ProcessError(f"process {self.pid} ended with {self.returncode}")
+            raise ProcessEndedError(self.pid, self.returncode)
         self._process.send_signal(number)
 
     def usage(self) -> ProcessUsage:
-        """Read what the process has used so far; ProcessError where it is gone."""
+        """Read what the process has used so far; UnreadableUsageError where it has ended."""
         try:
             process = psutil.Process(self.pid)
             times = process.cpu_times()
             preemptions = process.num_ctx_switches().involuntary
             return ProcessUsage(times.user + times.system, process.memory_info().rss, preemptions)
         except psutil.Error as error:
-            raise ProcessError(str(error)) from error
+            raise UnreadableUsageError(self.pid, error) from error
 
     async def stop(self) -> None:
         """Kill the process, and wait until it is gone."""
@@ -145,7 +183,7 @@
         cores: The processor cores that it may run on.
         cwd: Its working directory; Python modules come from there first.
         environment: Variables beside those inherited.
-        discard_stderr: Whether its standard error goes nowhere, rather than to this process's.
+        discard_stderr: Whether its standard error is discarded; otherwise it is this process's.
     """
     process = await asyncio.create_subprocess_exec(
         *command,
