--- a/tests/proxy/test_reload_active_requests.py
+++ b/tests/proxy/test_reload_active_requests.py
@@ -1,8 +1,8 @@
-"""What a configuration that is read again means for active requests: none is lost, run twice or misplaced."""
+"""Active requests during a reload: none is lost, run twice or sent to a backend that its class excludes."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -29,7 +29,7 @@
 from tests.support.reloadable_proxy import reloadable_proxy_with_backend, request_of_class
 
 if TYPE_CHECKING:
-    from collections.abc import Callable
+    from collections.abc import Callable, Mapping
     from pathlib import Path
 
 IDEMPOTENT = {"Repeat": "retryable"}
@@ -47,14 +47,14 @@
 )
 @in_event_loop
 async def test_active_request_is_answered_although_its_class_moves_or_goes(
-    config_path: Path, services: list[dict[str, Any]]
+    config_path: Path, services: list[Mapping[str, object]]
 ) -> None:
     async with reloadable_proxy_with_backend(config_path, stay_silent) as (proxy, backend):
         client, other = await proxy.connect(), await proxy.connect()
         client.writer.write(post_request(1))
         await with_timeout(backend.received.get())
         proxy.reload(Services=services)
-        assert status_of(await other.request(request_of_class("once", 2))) == 400  # the class is gone
+        assert status_of(await other.request(request_of_class("once", 2))) == 400  # the class is removed
         other = await proxy.connect()
         other.writer.write(request_of_class("new", 3))
         assert b"id3" in await with_timeout(backend.received.get())
@@ -69,9 +69,12 @@
 @pytest.mark.parametrize(
     ("make_request", "services"),
     [
-        (post_request, [READ_CLASS, BOOK_CLASS | IDEMPOTENT]),  # its class allows a retry by now
-        (get_request, [READ_CLASS | NON_IDEMPOTENT, BOOK_CLASS]),  # its class allows no retry any more
-        (post_request, [READ_CLASS]),  # its class is gone
+        (post_request, [READ_CLASS, BOOK_CLASS | IDEMPOTENT]),  # its class allows a retry after the reload
+        (
+            get_request,
+            [READ_CLASS | NON_IDEMPOTENT, BOOK_CLASS],
+        ),  # its class allows no retry after the reload
+        (post_request, [READ_CLASS]),  # its class is removed
     ],
 )
 @pytest.mark.parametrize("failure", ["connection closed", "error response"])
@@ -79,7 +82,7 @@
 async def test_request_that_may_have_run_is_neither_retried_nor_rejected(
     config_path: Path,
     make_request: Callable[[int], bytes],
-    services: list[dict[str, Any]],
+    services: list[Mapping[str, object]],
     failure: str,
 ) -> None:
     async with (
--- a/tests/support/config_files.py
+++ b/tests/support/config_files.py
@@ -1,18 +1,21 @@
-"""The content of configuration files: a good one with changes, and one for each way to be bad."""
+"""The content of configuration files: a valid one with changes, and one for each way to be invalid."""
 
 from __future__ import annotations
 
 import json
-from typing import Any
 
 from tests.support.proxy_inputs import HOST, NO_DISCOVERY_PORT, RAW_SETTINGS
 
 READ_CLASS, BOOK_CLASS, ONCE_CLASS = RAW_SETTINGS["Services"]
 
 
-def raw_config(**entries: Any) -> dict[str, Any]:
-    """Return the content of a good file with other entries at its top; None leaves one out."""
-    content = {
+def raw_config(**entries: object) -> dict[str, object]:
+    """Return the content of a valid file.
+
+    Args:
+        entries: Entries at its top that differ from the usual ones; an entry that is None is left out.
+    """
+    content: dict[str, object] = {
         "name": "n0",
         "listen": f"{HOST}:0",
         "discovery": f"{HOST}:{NO_DISCOVERY_PORT}",
@@ -24,24 +27,28 @@
     return {name: value for name, value in content.items() if value is not None}
 
 
-def file_with(**entries: Any) -> bytes:
-    """Return a good file with other entries at its top; None leaves one out."""
+def file_with(**entries: object) -> bytes:
+    """Return a valid file with changed entries at its top, as in `raw_config`."""
     return json.dumps(raw_config(**entries)).encode()
 
 
-def file_with_settings(**settings: Any) -> bytes:
-    """Return a good file with other settings."""
+def file_with_settings(**settings: object) -> bytes:
+    """Return a valid file with changed settings."""
     return file_with(settings=RAW_SETTINGS | settings)
 
 
 def file_with_objective(number: bytes) -> bytes:
-    """Return a file with a latency objective that no JSON encoder writes."""
+    """Return a file with a latency objective that `json.dumps` can't write.
+
+    Args:
+        number: The objective as it stands in the file.
+    """
     placeholder = 7
     file = file_with_settings(Services=[READ_CLASS | {"Aim": placeholder}])
     return file.replace(b'"Aim": %d' % placeholder, b'"Aim": ' + number)
 
 
-#: Files that can not be taken, each for one reason.
+#: Invalid files, each with one error.
 BAD_FILES: dict[str, bytes] = {
     "empty": b"",
     "broken": b"{",
--- a/tests/support/reloadable_proxy.py
+++ b/tests/support/reloadable_proxy.py
@@ -1,11 +1,12 @@
-"""A proxy in this process that reads its configuration again from a file, as SIGHUP makes it do."""
+"""A proxy in this process that can reload its configuration from a file, as after SIGHUP."""
 
 from __future__ import annotations
 
 import json
 import os
 from contextlib import asynccontextmanager
-from typing import TYPE_CHECKING, Any
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from proxy.config_file import load
 from proxy.proxy import Proxy
@@ -22,7 +23,7 @@
 )
 
 if TYPE_CHECKING:
-    from collections.abc import AsyncIterator
+    from collections.abc import AsyncIterator, Mapping, Sequence
     from pathlib import Path
 
 
@@ -31,52 +32,88 @@
 
     Attributes:
         path: Where the file is.
-        content: What the file holds where `write` does not change it.
+        content: The content that `write` starts from; change it to change all later files.
     """
 
-    def __init__(self, path: Path, entries: list[dict[str, Any]], discovery: int = NO_DISCOVERY_PORT) -> None:
+    def __init__(
+        self, path: Path, entries: Sequence[Mapping[str, object]], discovery: int = NO_DISCOVERY_PORT
+    ) -> None:
+        """Write the file.
+
+        Args:
+            path: Where the file is.
+            entries: The endpoint list that it states, in discovery's form.
+            discovery: The port of discovery; by default nothing listens there.
+        """
         self.path = path
         self.content = raw_config(
             discovery=f"{HOST}:{discovery}",
-            known={"index": 7, "snapshot": True, "endpoints": entries},
+            known={"index": 7, "snapshot": True, "endpoints": list(entries)},
         )
         self.write()
 
-    def write(self, top_entries: dict[str, Any] | None = None, **settings: Any) -> None:
-        """Write the file with other entries at its top, and with other settings."""
-        content = self.content | {"settings": RAW_SETTINGS | settings} | (top_entries or {})
+    def write(self, top_entries: Mapping[str, object] | None = None, /, **settings: object) -> None:
+        """Write the file with changes that the next call does not keep.
+
+        Args:
+            top_entries: Entries at the top of the file that differ from `content`.
+            settings: Settings that differ from `RAW_SETTINGS`.
+        """
+        content = self.content | {"settings": RAW_SETTINGS | settings} | dict(top_entries or {})
         self.path.write_text(json.dumps(content))
 
 
+@dataclass(slots=True, frozen=True)
+class HealthResponse:
+    """A response of `/healthz`.
+
+    Attributes:
+        status: Its status code.
+        lines: The lines of its body.
+    """
+
+    status: int
+    lines: list[bytes]
+
+
 class ReloadableProxy(RunningProxy):
-    """A proxy in this process, with its configuration file."""
+    """A proxy in this process, with its configuration file.
+
+    Attributes:
+        file: The configuration file.
+    """
 
     def __init__(self, proxy: Proxy, port: int, file: ConfigFile) -> None:
         super().__init__(proxy, port)
         self.file = file
 
-    def reload(self, top_entries: dict[str, Any] | None = None, **settings: Any) -> None:
-        """Change the file, and do what SIGHUP does."""
+    def reload(self, top_entries: Mapping[str, object] | None = None, /, **settings: object) -> None:
+        """Write the file with changes, as `ConfigFile.write` does, and reload it."""
         self.file.write(top_entries, **settings)
         self.reload_file()
 
     def reload_file(self) -> None:
-        """Do what SIGHUP does, with the file as it is."""
+        """Reload the file as it is, as after SIGHUP."""
         self.proxy.reloader.reload(os.environ)
 
-    async def health(self) -> tuple[int, list[bytes]]:
-        """Return the status and the body's lines of a response to `/healthz`."""
+    async def health(self) -> HealthResponse:
+        """Request `/healthz`."""
         client = await self.connect()
         response = await client.request(HEALTH_REQUEST)
         body = response.partition(b"\r\n\r\n")[2]
-        return status_of(response), body.splitlines()
+        return HealthResponse(status_of(response), body.splitlines())
 
 
 @asynccontextmanager
 async def reloadable_proxy(
-    config_path: Path, entries: list[dict[str, Any]]
+    config_path: Path, entries: Sequence[Mapping[str, object]]
 ) -> AsyncIterator[ReloadableProxy]:
-    """Run a proxy on a free port, from a file that knows these entries of the endpoint list."""
+    """Run a proxy on a free port.
+
+    Args:
+        config_path: Where its configuration file is written, which the environment must name.
+        entries: The endpoint list that the file states.
+    """
     file = ConfigFile(config_path, entries)
     proxy = Proxy(load(os.environ))
     sock = await proxy.listener.listen()
@@ -91,12 +128,12 @@
 async def reloadable_proxy_with_backend(
     config_path: Path, script: Script
 ) -> AsyncIterator[tuple[ReloadableProxy, StubBackend]]:
-    """Run a backend, and a proxy that knows it as "a" from its file."""
+    """Run a backend with this script, and a proxy whose file lists it under the name "a"."""
     async with stub_backend(script) as backend:
         async with reloadable_proxy(config_path, [endpoint_entry("a", backend.address)]) as proxy:
             yield proxy, backend
 
 
 def request_of_class(class_name: str, number: int, method: str = "GET") -> bytes:
-    """Return a request of a class, with any method."""
+    """Return a request of a class; its id is `id` and the number."""
     return get_request(number, X_Priority_Class=class_name).replace(b"GET", method.encode(), 1)
