--- a/tests/proxy/discovery/test_endpoint_list.py
+++ b/tests/proxy/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The proxy and its endpoint list: readiness, the watch that keeps the list, and removed backends."""
+"""The proxy and its endpoint list: readiness, resuming the watch, and removed backends."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 @in_event_loop
-async def test_clock_of_the_decisions_is_the_clock_of_the_endpoint_list() -> None:
+async def test_clock_of_the_balancer_is_the_clock_of_the_endpoint_list() -> None:
     async with running_proxy([]) as proxy:
         assert abs(proxy.proxy.clock.now() - time.time()) < 5.0
 
@@ -66,7 +66,7 @@
 
 
 @in_event_loop
-async def test_removed_backends_are_forgotten() -> None:
+async def test_removed_backends_do_not_accumulate() -> None:
     async with proxy_with_backends(respond_ok) as (proxy, [backend]):
         client = await proxy.connect()
         for number in range(50):
--- a/tests/proxy/discovery/test_notification_deadline.py
+++ b/tests/proxy/discovery/test_notification_deadline.py
@@ -1,6 +1,6 @@
-"""A change of the endpoint list is delivered within 6 s, whatever calls of discovery fail before.
+"""A change of the endpoint list is delivered within 6 s, although watches on discovery fail before.
 
-The tests move the clock by hand, on loopback sockets: no sum of the proxy's waits may pass the deadline.
+The tests use a manual clock and loopback sockets: no sum of the proxy's waits may exceed the deadline.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
     SNAPSHOT,
     SNAPSHOT_RESPONSE,
     SNAPSHOT_TEXT,
-    CallFault,
     FaultyDiscovery,
+    WatchFault,
     faulty_discovery,
     measure_delivery,
     updates,
@@ -30,7 +30,7 @@
 from tests.support.loopback import ManualClock, RunningProxy, free_port, in_event_loop, running_proxy
 from tests.support.proxy_inputs import HOST, RAW_SETTINGS, endpoint_entry
 
-#: Seconds after discovery had a change, and could be reached, by which the change counts as delivered.
+#: Seconds after discovery had a change, and was reachable, by which the change counts as delivered.
 DELIVERY_DEADLINE = 6.0
 OLD_ENTRIES = [endpoint_entry("a", f"{HOST}:1")]
 
@@ -53,11 +53,11 @@
 
 def describe(delay: float, discovery: FaultyDiscovery) -> str:
     """Return the message of a failed test."""
-    return f"delivered after {delay:.2f} s and {discovery.calls} calls"
+    return f"delivered after {delay:.2f} s and {discovery.calls} watches"
 
 
-async def check_delivery_after_failed_calls(fault: CallFault, times: int) -> None:
-    """Require that a change is delivered in time although so many calls from the start fail alike."""
+async def check_delivery_after_failed_watches(fault: WatchFault, times: int) -> None:
+    """Require that a change is delivered in time although so many watches from the start have a fault."""
     clock = ManualClock()
     async with (
         faulty_discovery([fault] * times) as discovery,
@@ -70,33 +70,33 @@
 @pytest.mark.parametrize("times", [1, 2])
 @pytest.mark.parametrize("fault", FAULTS)
 @in_event_loop
-async def test_failed_calls_from_the_start_do_not_delay_a_change_past_the_deadline(
+async def test_failed_watches_from_the_start_do_not_delay_a_change_past_the_deadline(
     fault: str, times: int
 ) -> None:
-    await check_delivery_after_failed_calls(FAULTS[fault], times)
+    await check_delivery_after_failed_watches(FAULTS[fault], times)
 
 
 @pytest.mark.parametrize("fault", IMMEDIATE_FAULTS)
 @in_event_loop
-async def test_backoff_after_calls_that_fail_at_once_stays_within_the_deadline(fault: str) -> None:
-    await check_delivery_after_failed_calls(FAULTS[fault], 10)
+async def test_backoff_after_watches_that_fail_at_once_stays_within_the_deadline(fault: str) -> None:
+    await check_delivery_after_failed_watches(FAULTS[fault], 10)
 
 
 @pytest.mark.parametrize("ending", ["silent", "a line that trickles", "an object that trickles"])
 @pytest.mark.parametrize("fault", FAULTS)
 @in_event_loop
-async def test_silent_watch_and_a_failed_call_together_stay_within_the_deadline(
+async def test_silent_watch_and_a_failed_one_together_stay_within_the_deadline(
     fault: str, ending: str
 ) -> None:
     empty_list = updates(SNAPSHOT | {"index": 8, "endpoints": []})
     after_list = FAULTS[ending].response.removeprefix(CHUNKED_HEAD)
-    falls_silent = CallFault(empty_list + after_list, FAULTS[ending].trickle)
+    falls_silent = WatchFault(empty_list + after_list, FAULTS[ending].trickle)
     clock = ManualClock()
     async with (
         faulty_discovery([falls_silent, FAULTS[fault]]) as discovery,
         running_proxy(OLD_ENTRIES, discovery=discovery.port) as proxy,
     ):
-        await clock.wait_until(lambda: not has_backends(proxy))  # the empty list has come
+        await clock.wait_until(lambda: not has_backends(proxy))  # the empty list has arrived
         delay = await measure_delivery(clock, discovery, partial(has_backends, proxy))
         assert delay < DELIVERY_DEADLINE, describe(delay, discovery)
 
@@ -122,14 +122,14 @@
     clock = ManualClock()
     async with running_proxy([], discovery=port, settings=polled_settings(60.0)) as proxy:
         for _ in range(60):
-            await clock.advance(0.5)  # nobody listens there
+            await clock.advance(0.5)  # nothing listens there
         async with faulty_discovery(port=port) as discovery:
             delay = await measure_delivery(clock, discovery, partial(has_backends, proxy))
             assert delay < 0.25
 
 
 def next_poll_time(balancer: Balancer, now: float, actions: list[Action]) -> float:
-    """Return when the decisions poll again, and require that the deadline leaves time for another poll."""
+    """Return when the balancer polls again, and require that the deadline leaves time for another poll."""
     [timer] = actions
     assert isinstance(timer, SetTimer)
     assert timer.at - now <= DELIVERY_DEADLINE / 2.0
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize("poll_interval", [0.5, 2.0, 10.0, 60.0])
-def test_decisions_poll_twice_in_any_span_as_long_as_the_deadline(poll_interval: float) -> None:
+def test_balancer_polls_twice_in_any_interval_as_long_as_the_deadline(poll_interval: float) -> None:
     for seed in range(50):
         rules = Rules(poll_interval=poll_interval)
         balancer = Balancer(Settings(discovery=DiscoveryMode.POLLED, rules=rules), seed)
@@ -160,7 +160,7 @@
     ],
 )
 @in_event_loop
-async def test_list_may_come_in_any_form_of_http(response: bytes) -> None:
+async def test_list_may_arrive_in_any_form_of_http(response: bytes) -> None:
     clock = ManualClock()
     async with (
         faulty_discovery(response=response) as discovery,
@@ -174,7 +174,7 @@
 @in_event_loop
 async def test_snapshot_on_return_replaces_the_list_and_a_delta_follows_on_it(index: int) -> None:
     both_entries = [endpoint_entry("a", f"{HOST}:1"), endpoint_entry("b", f"{HOST}:2")]
-    falls_silent = CallFault(updates(SNAPSHOT | {"index": 8, "endpoints": both_entries}))
+    falls_silent = WatchFault(updates(SNAPSHOT | {"index": 8, "endpoints": both_entries}))
     delta = {"index": index + 1, "snapshot": False, "endpoints": [endpoint_entry("c", f"{HOST}:3")]}
     on_return = updates(SNAPSHOT | {"index": index}, delta)
     clock = ManualClock()
--- a/tests/proxy/discovery/test_watch.py
+++ b/tests/proxy/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery, on loopback sockets: when it is opened again, and what it reads."""
+"""The watch on discovery, on loopback sockets: when it is reopened, and which forms it can read."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 from tests.support.proxy_inputs import HOST, endpoint_entry
 
 HEARTBEAT_INTERVAL = 2.0  # seconds between two empty lines, by the protocol
-DELIVERY_DEADLINE = 6.0  # seconds after a watch fell silent by which what it misses counts as delivered
-DRAIN_GRACE = 0.25  # seconds from the delivery that a backend drains in which it may still get a request
+DELIVERY_DEADLINE = 6.0  # seconds after a watch fell silent by which missed changes count as delivered
+DRAIN_GRACE = 0.25  # seconds after the delivery of a drain in which the backend may still get a request
 
 
 @in_event_loop
@@ -47,7 +47,7 @@
     async with stub_discovery() as discovery:
         port = discovery.port
     clock = ManualClock()
-    async with running_proxy([], discovery=port):  # nobody listens there any more
+    async with running_proxy([], discovery=port):  # nothing listens there any more
         for _ in range(40):
             await clock.advance(DRAIN_GRACE)
         server = await asyncio.start_server(discovery.serve, HOST, port)
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("line", [b"nonsense\n", b'{"index":9,\n{"index":10}\n', b'{"index":9,\n\n', b"[]\n"])
 @in_event_loop
-async def test_update_that_can_not_be_read_reopens_the_watch_after_the_last_good_one(line: bytes) -> None:
+async def test_unreadable_update_reopens_the_watch_after_the_last_readable_one(line: bytes) -> None:
     async with stub_discovery() as discovery, running_proxy([], discovery=discovery.port) as proxy:
         await with_timeout(discovery.watch_requests.get())
         discovery.send_update(8, [endpoint_entry("a", f"{HOST}:1")])
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("error", [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.ENFILE])
 @in_event_loop
-async def test_watch_is_reopened_in_time_though_calls_of_the_system_fail_for_a_moment(
+async def test_watch_is_reopened_in_time_although_system_calls_fail_for_a_short_time(
     error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = ManualClock()
@@ -129,7 +129,7 @@
 
 
 @in_event_loop
-async def test_list_that_can_not_be_read_is_not_called_for_all_the_time() -> None:
+async def test_unreadable_list_is_not_requested_continuously() -> None:
     unreadable = {"index": 9, "snapshot": True, "endpoints": [endpoint_entry("a", f"{HOST}:1", "unknown")]}
     clock = ManualClock()
     async with faulty_discovery(response=updates(unreadable)) as discovery:
--- a/tests/proxy/test_config.py
+++ b/tests/proxy/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration file: the version of a good one, and the one plain line that reports a bad one."""
+"""The configuration file: the version of a valid one, and the one line that reports an invalid one."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
     assert line.startswith("proxy: the known list can't be read: endpoints[0].status: 'asleep' is not one of")
 
 
-def test_digest_goes_by_the_settings_alone_and_not_by_the_order_of_the_file(config_path: Path) -> None:
+def test_digest_depends_on_the_settings_alone_and_not_on_the_order_of_the_file(config_path: Path) -> None:
     reversed_file = json.dumps(dict(reversed(raw_config().items()))).encode()
     versions = set()
     for content in (file_with(), file_with(known=None, discovery=f"{HOST}:10"), reversed_file):
--- a/tests/proxy/test_log.py
+++ b/tests/proxy/test_log.py
@@ -1,4 +1,4 @@
-"""The log on standard error: nothing is written there where a write would wait for whoever reads it."""
+"""The log on standard error: its lines, its limits, and that a log call neither blocks nor raises."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Iterator
 
-LONG_TEXT = "x" * 100_000  # more than a pipe takes
+LONG_TEXT = "x" * 100_000  # more than a pipe holds
 
 
 class StandardError:
-    """Standard error that is a pipe; it keeps what is written, and lets nothing wait."""
+    """Standard error that is a pipe; it records what would be written, and never blocks."""
 
     def __init__(self, descriptor: int) -> None:
         self.written: list[str] = []
@@ -36,12 +36,12 @@
         return self._descriptor
 
     def write(self, text: str) -> int:
-        """Keep what would be written."""
+        """Record what would be written."""
         self.written.append(text)
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing: what is written is kept at once."""
+        """Do nothing: nothing is buffered."""
 
 
 @pytest.fixture
@@ -68,13 +68,13 @@
 
 
 async def receive_nonsense() -> None:
-    """Let discovery send what is no list."""
+    """Receive a response of discovery that is not HTTP."""
     connection = WatchConnection(lambda _connection, _message: None, b"")
     connection.data_received(b"nonsense\r\n\r\n")
 
 
 async def report_from_the_event_loop() -> None:
-    """Let the event loop report a defect of a callback."""
+    """Report an exception of a callback through the event loop."""
     context = {"message": "a defect", "exception": RuntimeError(LONG_TEXT)}
     asyncio.get_running_loop().call_exception_handler(context)
 
--- a/tests/proxy/test_start_signals.py
+++ b/tests/proxy/test_start_signals.py
@@ -1,6 +1,6 @@
-"""Signals that reach a process while it starts or has just ended its work, at points that the test forces.
+"""Signals that reach a process while it starts or has just finished, at points that the test forces.
 
-The configuration file is a named pipe: the process waits in reading it until the test writes it.
+The configuration file is a named pipe: the process blocks in reading it until the test writes it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from testbed.paths import PROJECT_ROOT
 from testbed.processes import inherited_environment, survives_hangup
 from tests.support.config_files import raw_config
-from tests.support.loopback import Client, connect, free_port, in_event_loop, with_timeout
+from tests.support.loopback import Client, connect, free_port, in_event_loop, wait_until, with_timeout
 from tests.support.proxy_inputs import HEALTH_REQUEST, HOST, MAX_WAIT, endpoint_entry
 from tests.support.proxy_process import (
     killed_at_the_end,
@@ -40,17 +40,22 @@
 
 
 class ConfigPipe:
-    """A configuration file whose readers wait until a test writes it."""
+    """A configuration file whose readers block until a test writes it."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         os.mkfifo(path)
 
     async def serve(self, *texts: bytes, meanwhile: Callable[[], None] = lambda: None) -> None:
-        """Give one text to each of the next processes that open the file, after calling `meanwhile`."""
+        """Write one text for each of the next processes that open the file.
+
+        Args:
+            texts: The texts, in order.
+            meanwhile: Called while a process reads, before its text is written.
+        """
         for text in texts:
             descriptor = await self._wait_for_reader()
-            # Whoever opens the file next gets another pipe, and not the rest of this one.
+            # The next process to open the file gets a new pipe, and no bytes of this one.
             self.path.unlink()
             os.mkfifo(self.path)
             meanwhile()
@@ -64,7 +69,7 @@
                 try:
                     return os.open(self.path, os.O_WRONLY | os.O_NONBLOCK)
                 except OSError as error:
-                    if error.errno != errno.ENXIO:  # ENXIO: nobody reads it yet
+                    if error.errno != errno.ENXIO:  # ENXIO: no process reads it yet
                         raise
                     await asyncio.sleep(0.001)
 
@@ -80,7 +85,7 @@
 
 
 async def version_of(port: int) -> bytes:
-    """Return the line of a proxy's health check that names the version in force."""
+    """Return the line of a proxy's health response that names the version in force."""
     client: Client = await connect(port)
     response = await client.request(HEALTH_REQUEST)
     client.writer.close()
@@ -99,11 +104,9 @@
             process.send_signal(signal.SIGHUP)
 
         if moment == "before the program runs":
-            async with asyncio.timeout(MAX_WAIT):
-                while not survives_hangup(process.pid):
-                    await asyncio.sleep(0)
+            await wait_until(lambda: survives_hangup(process.pid))
             send_hangup()
-            # The file is read after the signal, and what it says then is in force: no second look is needed.
+            # The file is read after the signal, so its content is in force: a second read changes nothing.
             reads = asyncio.create_task(pipe.serve(config_text(port, "one"), config_text(port, "one")))
         else:
             # The file may have changed since it was read: it is read again.
--- a/tests/proxy/test_startup.py
+++ b/tests/proxy/test_startup.py
@@ -1,4 +1,4 @@
-"""The start of proxies, with the clock moved by hand: when they are ready, and when they take requests."""
+"""The start of proxies, under a manual clock: when they are ready, and when they accept requests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import os
 import signal
 from contextlib import asynccontextmanager
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -42,7 +42,7 @@
 TIER_SIZE = 20  # proxies
 CLOCK_STEP = 0.25  # seconds
 
-CACHED_ENTRIES: dict[str, list[dict[str, Any]]] = {
+CACHED_ENTRIES = {
     "one backend": [endpoint_entry("a", f"{HOST}:1")],
     "all drain": [endpoint_entry("a", f"{HOST}:1", "terminating")],
     "no backend": [],
@@ -51,7 +51,7 @@
 
 @asynccontextmanager
 async def silent_discovery() -> AsyncIterator[int]:
-    """Run a discovery that accepts calls and never responds, and yield its port."""
+    """Run a discovery that accepts connections and never responds, and yield its port."""
 
     async def serve_call(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
@@ -65,7 +65,7 @@
 
 
 async def is_ready(clock: ManualClock, port: int) -> bool:
-    """Return whether a proxy says that it is ready, without any more time."""
+    """Return whether a proxy's health check passes at the present time of the clock."""
     client = await clock.wait_for(connect(port))
     response = asyncio.ensure_future(client.request(HEALTH_REQUEST))
     await clock.settle()
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 @pytest.mark.parametrize("cached", CACHED_ENTRIES)
-@pytest.mark.parametrize("discovery", ["refuses", "is silent", "never comes up"])
+@pytest.mark.parametrize("discovery", ["refuses", "is silent", "never connects"])
 @in_event_loop
 async def test_tier_that_starts_without_discovery_is_ready_in_time(
     mode: str, cached: str, discovery: str, monkeypatch: pytest.MonkeyPatch
@@ -85,7 +85,7 @@
     async with silent_discovery() as silent_port:
         clock = ManualClock()
         discovery_port = free_port() if discovery == "refuses" else silent_port
-        gate = ConnectGate(monkeypatch, unheld=0 if discovery == "never comes up" else UNLIMITED)
+        gate = ConnectGate(monkeypatch, unheld=0 if discovery == "never connects" else UNLIMITED)
         settings = read_settings(RAW_SETTINGS | {"RegistryMode": mode})
         ports = [free_port() for _ in range(TIER_SIZE)]
         configs = [
@@ -112,7 +112,7 @@
 
 @pytest.mark.parametrize("has_list", [True, False])
 @in_event_loop
-async def test_no_request_is_taken_before_discovery_has_sent_its_list_or_is_given_up(has_list: bool) -> None:
+async def test_no_request_is_accepted_before_the_list_has_arrived_or_timed_out(*, has_list: bool) -> None:
     async with (
         stub_discovery() as discovery,
         stub_backend(respond_ok) as cached_backend,
--- a/tests/proxy/upstream/test_attempt_races.py
+++ b/tests/proxy/upstream/test_attempt_races.py
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("late_event", ["response", "close", "nothing"])
 @pytest.mark.parametrize("make_request", [post_request, get_request])
 @in_event_loop
-async def test_late_bytes_behind_a_response_do_not_meet_the_next_request(
+async def test_late_bytes_behind_a_response_do_not_answer_the_next_request(
     late_event: str, make_request: Callable[[int], bytes]
 ) -> None:
     clock = ManualClock()
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("change", ["disconnected", "drained", "timed out"])
 @in_event_loop
-async def test_resting_connection_sends_nothing_after_a_drain_a_disconnect_or_the_deadline(
+async def test_connection_in_its_reuse_delay_sends_nothing_after_a_drain_a_disconnect_or_the_deadline(
     change: str,
 ) -> None:
     async with (
@@ -171,7 +171,7 @@
 
 
 @in_event_loop
-async def test_connection_rests_for_longer_where_responses_were_seen_to_come_late() -> None:
+async def test_reuse_delay_is_longer_where_second_responses_were_seen_to_arrive_late() -> None:
     clock = ManualClock()
     async with proxy_with_backends(respond_ok) as (proxy, [backend]):
         client = await clock.wait_for(proxy.connect())
--- a/tests/proxy/upstream/test_connection_pool.py
+++ b/tests/proxy/upstream/test_connection_pool.py
@@ -4,7 +4,7 @@
 
 import asyncio
 from dataclasses import replace
-from typing import Any
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -43,6 +43,9 @@
     send_attempt,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
 
 @pytest.mark.parametrize(
     "change",
@@ -53,12 +56,12 @@
     ],
 )
 @in_event_loop
-async def test_idle_connections_to_a_replaced_process_are_closed(change: dict[str, Any]) -> None:
+async def test_idle_connections_to_a_replaced_process_are_closed(change: Mapping[str, object]) -> None:
     async with proxy_with_backends(respond_ok) as (proxy, [backend]):
         client = await proxy.connect()
         assert status_of(await client.request(post_request())) == 200
         assert backend.disconnects.empty()
-        proxy.notify([endpoint_entry("a", backend.address) | change])
+        proxy.notify([endpoint_entry("a", backend.address) | dict(change)])
         await with_timeout(backend.disconnects.get())
 
 
@@ -181,13 +184,13 @@
 
 
 @in_event_loop
-async def test_connection_is_kept_where_its_attempt_ends_in_the_turn_in_which_it_took_it() -> None:
+async def test_connection_stays_open_if_its_attempt_ends_in_the_loop_turn_in_which_it_started() -> None:
     async with stub_backend(respond_ok) as backend:
         clock = ManualClock()
         scenario = PoolScenario(backend)
         assert await clock.wait_for(scenario.run()) is Outcome.SUCCESS
         attempt = scenario.start()
-        assert attempt.connect_task is not None, "the connection does not rest"
+        assert attempt.connect_task is not None, "the connection has no reuse delay"
         attempt.finish(Outcome.CANCELLED)
         await clock.settle()
         assert established_connections(scenario.pool) == 1
--- a/tests/proxy/upstream/test_keepalive_policy.py
+++ b/tests/proxy/upstream/test_keepalive_policy.py
@@ -1,4 +1,4 @@
-"""Which idle connections attempts reuse, by how earlier reuses fared and whether the attempt is retryable."""
+"""Which idle connections attempts reuse, depending on earlier reuses and on whether they are retryable."""
 
 from __future__ import annotations
 
@@ -94,7 +94,7 @@
 
         assert await run_after(0.0) is Outcome.SUCCESS
         broken_connections = 0
-        for _ in range(9):  # whatever has been idle for 5 s is broken
+        for _ in range(9):  # connections that were idle for 5 s are broken
             connections = len(backend.writers)
             breaks_connections = True
             await run_after(5.0)
@@ -108,7 +108,7 @@
         connections = len(backend.writers)
         for _ in range(5):
             assert await run_after(1.0) is Outcome.SUCCESS
-        assert len(backend.writers) == connections  # what has been idle for less is still reused
+        assert len(backend.writers) == connections  # connections that were idle for less are still reused
         assert await run_after(5.0) is Outcome.SUCCESS
         assert len(backend.writers) == connections + 1
 
--- a/tests/proxy/upstream/test_responses.py
+++ b/tests/proxy/upstream/test_responses.py
@@ -36,12 +36,12 @@
 
 
 @in_event_loop
-async def test_response_larger_than_a_request_may_be_is_passed_on() -> None:
+async def test_response_larger_than_a_request_may_be_is_forwarded() -> None:
     body = bytes(range(256)) * 1400  # 350 KB
     scripted = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
     async with proxy_with_backends(lambda _: scripted) as (proxy, _):
         client = await proxy.connect()
-        for number in range(40):  # together more than may be buffered: what has been passed on is released
+        for number in range(40):  # together more than may be buffered: what has been forwarded is released
             response = await client.request(post_request(number))
             assert status_of(response) == 200
             assert response.endswith(b"\r\n\r\n" + body)
@@ -49,7 +49,7 @@
 
 
 @in_event_loop
-async def test_large_responses_cannot_fill_the_memory() -> None:
+async def test_large_responses_can_not_fill_the_memory() -> None:
     part = b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + b"x" * 900000
     async with proxy_with_backends(lambda _: part, memory_limit=2 << 20) as (proxy, _):
         client = await proxy.connect()
@@ -72,7 +72,7 @@
     [(post_request(), OK_RESPONSE[:-2]), (get_request(), b"HTTP/1.1 102 Processing\r\n\r\n")],
 )
 @in_event_loop
-async def test_slow_response_is_waited_for(request_bytes: bytes, beginning: bytes) -> None:
+async def test_slow_response_is_awaited(request_bytes: bytes, beginning: bytes) -> None:
     async with proxy_with_backends(lambda _: beginning) as (proxy, [backend]):
         client = await proxy.connect()
         client.writer.write(request_bytes)
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize("request_bytes", [post_request(), get_request()], ids=["POST", "GET"])
 @pytest.mark.parametrize("pieces", [[b"wh", b"ole"], [b""]], ids=["body in pieces", "empty body"])
 @in_event_loop
-async def test_response_without_length_is_whole_when_the_backend_ends_it(
+async def test_response_without_length_is_complete_when_the_backend_closes_in_order(
     request_bytes: bytes, pieces: list[bytes]
 ) -> None:
     async with proxy_with_backends(stay_silent) as (proxy, [backend]):
--- a/tests/support/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery whose first calls fail in given ways, and the ways in which a call can fail."""
+"""A discovery whose first watches fail in given ways, and the ways in which a watch can fail."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 import json
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from testbed.http_messages import CHUNKED_HEAD, encode_chunk
 from tests.support.proxy_inputs import HOST, endpoint_entry
 
 if TYPE_CHECKING:
-    from collections.abc import AsyncIterator, Callable, Sequence
+    from collections.abc import AsyncIterator, Callable, Mapping, Sequence
 
     from tests.support.loopback import ManualClock
 
-TRICKLE_INTERVAL = 0.5  # seconds between two pieces of what trickles
+TRICKLE_INTERVAL = 0.5  # seconds between two pieces of a response that trickles
 CLOCK_STEP = 0.05  # seconds
-MAX_DELIVERY_TIME = 18.0  # seconds after which a delivery is given up: three times the deadline
+MAX_DELIVERY_TIME = 18.0  # seconds after which a delivery counts as failed: three times the deadline
 
-#: The list that a call which does not fail gets: a backend at port 2.
-SNAPSHOT: dict[str, Any] = {
+#: The list that a watch without a fault receives: a backend at port 2.
+SNAPSHOT: dict[str, object] = {
     "index": 9,
     "snapshot": True,
     "endpoints": [endpoint_entry("b", f"{HOST}:2")],
@@ -29,8 +29,8 @@
 SNAPSHOT_TEXT = json.dumps(SNAPSHOT).encode()
 
 
-def updates(*messages: dict[str, Any]) -> bytes:
-    """Return a watch's response that holds these messages and goes on."""
+def updates(*messages: Mapping[str, object]) -> bytes:
+    """Return the beginning of a watch's response, with these messages."""
     return CHUNKED_HEAD + b"".join(encode_chunk(json.dumps(message).encode() + b"\n") for message in messages)
 
 
@@ -38,13 +38,13 @@
 
 
 @dataclass(frozen=True)
-class CallFault:
-    """How a call of discovery fails.
+class WatchFault:
+    """How a watch fails.
 
     Attributes:
-        response: What comes at once.
-        trickle: What comes again and again from then on.
-        closes: The connection is closed at once.
+        response: The bytes that are sent at once.
+        trickle: The bytes that are sent repeatedly after that, every `TRICKLE_INTERVAL`.
+        closes: Whether the connection is closed at once.
     """
 
     response: bytes = b""
@@ -52,22 +52,22 @@
     closes: bool = False
 
 
-FAULTS: dict[str, CallFault] = {
-    "silent": CallFault(),
-    "a head alone": CallFault(CHUNKED_HEAD),
-    "half a head": CallFault(CHUNKED_HEAD[:20]),
-    "a head that trickles": CallFault(CHUNKED_HEAD[:-2], b"X-A: b\r\n"),
-    "a line that trickles": CallFault(CHUNKED_HEAD + encode_chunk(b"{"), encode_chunk(b" ")),
-    "an object that trickles": CallFault(
+FAULTS: dict[str, WatchFault] = {
+    "silent": WatchFault(),
+    "a head alone": WatchFault(CHUNKED_HEAD),
+    "half a head": WatchFault(CHUNKED_HEAD[:20]),
+    "a head that trickles": WatchFault(CHUNKED_HEAD[:-2], b"X-A: b\r\n"),
+    "a line that trickles": WatchFault(CHUNKED_HEAD + encode_chunk(b"{"), encode_chunk(b" ")),
+    "an object that trickles": WatchFault(
         CHUNKED_HEAD + encode_chunk(b"{\n"), encode_chunk(b' "index": 9,\n')
     ),
-    "another status": CallFault(b"HTTP/1.1 503 Down\r\nContent-Length: 9\r\n\r\n"),
-    "another status, chunked": CallFault(CHUNKED_HEAD.replace(b"200 OK", b"500 Down"), encode_chunk(b" ")),
-    "a closed connection": CallFault(closes=True),
-    "an empty response": CallFault(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
-    "no HTTP": CallFault(b"nonsense\r\n\r\n", b" "),
+    "another status": WatchFault(b"HTTP/1.1 503 Down\r\nContent-Length: 9\r\n\r\n"),
+    "another status, chunked": WatchFault(CHUNKED_HEAD.replace(b"200 OK", b"500 Down"), encode_chunk(b" ")),
+    "a closed connection": WatchFault(closes=True),
+    "an empty response": WatchFault(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
+    "no HTTP": WatchFault(b"nonsense\r\n\r\n", b" "),
 }
-#: Those of the faults that a proxy sees at once, without waiting for more.
+#: Those of the faults that a proxy detects at once, without a timeout.
 IMMEDIATE_FAULTS = [
     "another status",
     "another status, chunked",
@@ -78,14 +78,14 @@
 
 
 class FaultyDiscovery:
-    """A discovery each of whose calls meets the next of the given faults, and then gets a good response.
+    """A discovery whose watches meet the given faults in order, one each, and then get a valid response.
 
     Attributes:
-        calls: How many calls have come.
+        calls: The number of watches that were requested.
         port: Where it listens.
     """
 
-    def __init__(self, faults: Sequence[CallFault], response: bytes = SNAPSHOT_RESPONSE) -> None:
+    def __init__(self, faults: Sequence[WatchFault], response: bytes = SNAPSHOT_RESPONSE) -> None:
         self.calls = 0
         self.port = 0
         self._faults = faults
@@ -93,10 +93,10 @@
         self._trickling: list[tuple[asyncio.StreamWriter, bytes]] = []
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one call."""
+        """Serve one connection."""
         await reader.readuntil(b"\r\n\r\n")
         fails = self.calls < len(self._faults)
-        fault = self._faults[self.calls] if fails else CallFault(self._response)
+        fault = self._faults[self.calls] if fails else WatchFault(self._response)
         self.calls += 1
         if fault.closes:
             writer.close()
@@ -106,7 +106,7 @@
             self._trickling.append((writer, fault.trickle))
 
     def trickle(self) -> None:
-        """Send the next piece on each call that trickles."""
+        """Send the next piece on each connection whose response trickles."""
         for writer, piece in self._trickling:
             if not writer.is_closing():
                 writer.write(piece)
@@ -114,9 +114,15 @@
 
 @asynccontextmanager
 async def faulty_discovery(
-    faults: Sequence[CallFault] = (), response: bytes = SNAPSHOT_RESPONSE, port: int = 0
+    faults: Sequence[WatchFault] = (), response: bytes = SNAPSHOT_RESPONSE, port: int = 0
 ) -> AsyncIterator[FaultyDiscovery]:
-    """Run a discovery, on a free port or on a given one."""
+    """Run a discovery.
+
+    Args:
+        faults: The faults of its first watches.
+        response: The response to all later ones.
+        port: The port to listen on; 0 for a free one.
+    """
     discovery = FaultyDiscovery(faults, response)
     server = await asyncio.start_server(discovery.serve, HOST, port)
     discovery.port = server.sockets[0].getsockname()[1]
@@ -129,7 +135,13 @@
 async def measure_delivery(
     clock: ManualClock, discovery: FaultyDiscovery, is_delivered: Callable[[], bool]
 ) -> float:
-    """Return how many seconds pass until a change of the list is delivered, or until that is given up."""
+    """Return the seconds until a change of the list is delivered, or `MAX_DELIVERY_TIME` if it is not.
+
+    Args:
+        clock: The clock, which is advanced.
+        discovery: The discovery that sends the change.
+        is_delivered: Returns whether the proxy has applied the change.
+    """
     began_at = trickled_at = clock.now
     while not is_delivered() and clock.now < began_at + MAX_DELIVERY_TIME:
         await clock.advance(CLOCK_STEP)
--- a/tests/support/pool_scenario.py
+++ b/tests/support/pool_scenario.py
@@ -1,4 +1,4 @@
-"""What the tests on attempts share: a connection pool with its attempts, scripts and settings."""
+"""Helpers of the tests on attempts: a connection pool with one backend, scripts and settings."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 def answer_first_request(response: bytes | None) -> Callable[[bytes], bytes | None]:
-    """A script that several backends share: this response for the first request, then OK."""
+    """Return a script that several backends share: this response to the first request, then OK."""
     responses = [response]
     return lambda _: responses.pop() if responses else OK_RESPONSE
 
 
 def settings_with(**changed: Any) -> Settings:
-    """The usual settings with these changed."""
+    """Return the usual settings with changes, in the form of the configuration file."""
     return read_settings(RAW_SETTINGS | changed)
 
 
@@ -39,7 +39,7 @@
 
     Attributes:
         pool: The connection pool.
-        backend: What the pool knows of the backend that attempts go to.
+        backend: The backend that attempts are sent to.
         outcomes: The outcomes of the attempts, in the order in which they finished.
     """
 
@@ -84,7 +84,7 @@
         return await with_timeout(self.outcomes.get())
 
     async def run_side_by_side(self, count: int) -> None:
-        """Start so many attempts at once, and wait until all of them have succeeded."""
+        """Start several attempts at once, and wait until all of them have succeeded."""
         for _ in range(count):
             self.start()
         for _ in range(count):
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -1,4 +1,4 @@
-"""A proxy in a process of its own, as operators start it."""
+"""A proxy in its own process, started as operators start it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import os
 import sys
 from contextlib import asynccontextmanager
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from testbed.health_check import wait_until_healthy
 from testbed.paths import PROJECT_ROOT
@@ -17,24 +17,33 @@
 
 if TYPE_CHECKING:
     from asyncio.subprocess import Process
-    from collections.abc import AsyncIterator
+    from collections.abc import AsyncIterator, Mapping, Sequence
     from pathlib import Path
 
 
-def write_config(config_path: Path, listen: str, discovery: str, endpoints: list[dict[str, Any]]) -> None:
-    """Write the file of a proxy process that knows these entries of the endpoint list."""
+def write_config(
+    config_path: Path, listen: str, discovery: str, endpoints: Sequence[Mapping[str, object]]
+) -> None:
+    """Write the configuration file of a proxy process.
+
+    Args:
+        config_path: Where the file is written.
+        listen: The proxy's address, as `host:port`.
+        discovery: The address of discovery.
+        endpoints: The entries of the cached endpoint list, in discovery's form.
+    """
     content = raw_config(
         listen=listen,
         discovery=discovery,
         seed="8c1f30d27a5be964",
         limits={"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        known={"index": 3, "snapshot": True, "endpoints": endpoints},
+        known={"index": 3, "snapshot": True, "endpoints": list(endpoints)},
     )
     config_path.write_text(json.dumps(content))
 
 
 def environment_with_addresses(config_path: Path, listen: str, discovery: str) -> dict[str, str]:
-    """Return the environment of a proxy process that gives its addresses beside its file."""
+    """Return the environment of a proxy process whose addresses override those of its file."""
     return {
         **os.environ,
         "RELAY_CONFIG": str(config_path),
@@ -45,7 +54,7 @@
 
 @asynccontextmanager
 async def killed_at_the_end(process: Process) -> AsyncIterator[None]:
-    """Kill a process that has not ended by the end of the context, and wait until it is gone."""
+    """Kill a process that has not ended by the end of the context, and wait until it has ended."""
     try:
         yield
     finally:
@@ -56,7 +65,7 @@
 
 @asynccontextmanager
 async def proxy_process(config_path: Path) -> AsyncIterator[Process]:
-    """Run a proxy that has its configuration from a file alone, and whose log can be read from a pipe.
+    """Run a proxy whose configuration is a file alone, and whose log is a pipe.
 
     A process that has not ended by the end of the context is killed.
     """
@@ -73,5 +82,5 @@
 
 
 async def wait_until_ready(port: int) -> None:
-    """Wait until a proxy is ready, for as long as that may take on a loaded machine."""
+    """Wait until the health check of the proxy at a port passes, for as long as `MAX_WAIT`."""
     await wait_until_healthy(port, within=MAX_WAIT)
