--- a/tests/support/client_scenarios.py
+++ b/tests/support/client_scenarios.py
@@ -1,4 +1,4 @@
-"""What the tests on clients share: requests, ways to disconnect, and clients on plain sockets."""
+"""Clients of a proxy under test: requests, ways to disconnect, and clients on plain sockets."""
 
 from __future__ import annotations
 
@@ -24,24 +24,24 @@
 #: The ways in which a client disconnects.
 DISCONNECTIONS = ["close", "half close", "reset"]
 
-#: A receive buffer so small that a proxy soon can't write any more.
+#: The size of a receive buffer that is soon full, so that the proxy can't write any more.
 SLOW_READER_BUFFER_BYTES = 4096
 
 #: The settings of the first and of a later tier, by test id.
 TIERS = {"first": {"Tier": 0, "Tiers": ["a", "b"]}, "later": {"Tier": 1, "Tiers": ["a", "b"]}}
 
-#: Whether the settings let attempts be cancelled, by test id.
+#: Whether the settings allow attempts to be cancelled, by test id.
 CANCELLATION = {"cancels": True, "no cancels": False}
 
 
 def disconnect_settings(tier: str, cancellation: str = "cancels", **bounds: Any) -> Settings:
-    """The usual settings, for a tier, with or without cancellation of attempts."""
+    """Return the usual settings, for a tier, with or without cancellation of attempts."""
     limits = RAW_SETTINGS["Bounds"] | {"Cancel": CANCELLATION[cancellation]} | bounds
     return read_settings(RAW_SETTINGS | TIERS[tier] | {"Bounds": limits})
 
 
 def reset_on_close(sock: socket.socket) -> None:
-    """Let the socket's end be a reset."""
+    """Make closing the socket reset its connection."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
@@ -55,13 +55,13 @@
 
 
 class RawClient:
-    """A client whose bytes and whose end reach the proxy's socket before the proxy's loop runs again."""
+    """A client whose bytes and disconnect reach the proxy's socket before the event loop runs again."""
 
     def __init__(self, proxy: RunningProxy) -> None:
         self.sock = socket.create_connection((HOST, proxy.port))
 
     def disconnect(self, kind: str) -> None:
-        """Close the connection, its sending end alone, or reset it."""
+        """Close the connection, or only its sending side, or reset it."""
         if kind == "half close":
             self.sock.shutdown(socket.SHUT_WR)
             return
@@ -100,5 +100,5 @@
 
 
 def requests_received(*backends: StubBackend) -> int:
-    """How many requests the backends have received and the test has not taken yet."""
+    """Return how many requests the backends have received that the test has not read yet."""
     return sum(each.received.qsize() for each in backends)
--- a/tests/support/proxy_internals.py
+++ b/tests/support/proxy_internals.py
@@ -75,17 +75,17 @@
 
 
 def send_attempt(pool: ConnectionPool, attempt: UpstreamAttempt, connection: UpstreamConnection) -> None:
-    """Let the pool send an attempt on a connection, whatever has become of the attempt."""
+    """Make the pool send an attempt on a connection, even if the attempt has finished."""
     pool._send(attempt, connection)
 
 
 def pause_reading(connection: UpstreamConnection) -> None:
-    """Leave unread what comes from now on, as in a busy moment of the event loop."""
+    """Leave unread what is received from now on, as while the event loop is busy."""
     connection._transport.pause_reading()
 
 
 def has_pipelined_input(connection: DownstreamConnection) -> bool:
-    """Return whether a client has sent a further request, or a part of one, behind the one in progress."""
+    """Return whether a client has sent a further request, or a part of one, after the one in progress."""
     return bool(connection._input.queue or connection._input.parser.reading)
 
 
@@ -106,5 +106,5 @@
 
 
 def unwritten_bytes(connection: DownstreamConnection) -> int:
-    """Return how many bytes of responses the client's socket has not taken yet."""
+    """Return how many bytes of responses the client's socket has not accepted yet."""
     return connection._transport.get_write_buffer_size()
