--- a/tests/proxy/downstream/test_client_disconnect.py
+++ b/tests/proxy/downstream/test_client_disconnect.py
@@ -66,7 +66,7 @@
         client, other = await proxy.connect(), await proxy.connect()
         gate = ConnectGate(monkeypatch)
         client.writer.write(post_request(body=b"x" * 5000))
-        await wait_until(lambda: gate.held == 1)
+        await wait_until(lambda: gate.blocked == 1)
         if sent_after:  # input after the request must not hide the disconnect
             client.writer.write(sent_after)
             connections = proxy.listener.connections.open
@@ -97,10 +97,10 @@
     ):
         client = await proxy.connect()
         gate = ConnectGate(
-            monkeypatch, unheld=1
+            monkeypatch, passing=1
         )  # the first attempt fails, the second one waits for its connection
         client.writer.write(get_request())
-        await wait_until(lambda: gate.held == 1)
+        await wait_until(lambda: gate.blocked == 1)
         disconnect(client, kind)
         await wait_until(lambda: has_no_requests(proxy))
         gate.release()
@@ -186,7 +186,7 @@
         close_idle_connections(proxy.pool)
         gate = ConnectGate(monkeypatch)
         sock.send(post_request(9000))
-        await wait_until(lambda: gate.held == 1)
+        await wait_until(lambda: gate.blocked == 1)
         sock.shutdown(socket.SHUT_WR)
         await wait_until(lambda: has_no_requests(proxy))
         gate.release()
--- a/tests/proxy/test_invariants.py
+++ b/tests/proxy/test_invariants.py
@@ -88,7 +88,7 @@
         client = await clock.wait_for(proxy.connect())
         gate = ConnectGate(monkeypatch)
         client.writer.write(get_request())
-        await clock.wait_until(lambda: gate.held == 1)
+        await clock.wait_until(lambda: gate.blocked == 1)
         [active] = proxy.dispatcher.active_requests.values()
         proxy.notify([endpoint_entry("a", backend.address, "terminating")])
         proxy.proxy.monitor.on_written(clock.now, active, active.attempts[0], 0.0)
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -103,7 +103,7 @@
         await clock.wait_until(lambda: backend.disconnects.qsize() == 1)
         gate = ConnectGate(monkeypatch)
         client.writer.write(get_request(2))
-        await clock.wait_until(lambda: gate.held == 1)
+        await clock.wait_until(lambda: gate.blocked == 1)
         await clock.advance(0.6)
         assert status_of(await client.response()) == 503
 
--- a/tests/proxy/test_reload_active_requests.py
+++ b/tests/proxy/test_reload_active_requests.py
@@ -176,7 +176,7 @@
         client = await proxy.connect()
         gate = ConnectGate(monkeypatch)
         client.writer.write(post_request(1))
-        await wait_until(lambda: gate.held == 1)
+        await wait_until(lambda: gate.blocked == 1)
         in_other_zone = endpoint_entry("b", other_backend.address) | {"zone": "there"}
         proxy.notify([in_other_zone])
         proxy.reload(Services=[READ_CLASS, BOOK_CLASS | {"AllowedIn": [1]}])
--- a/tests/proxy/test_retry_races.py
+++ b/tests/proxy/test_retry_races.py
@@ -85,9 +85,9 @@
     settings = settings_with_once_class(scope)
     async with proxy_with_backends(fail, fail, settings=settings) as (proxy, backends):
         client = await clock.wait_for(proxy.connect())
-        gate = ConnectGate(monkeypatch, unheld=1)
+        gate = ConnectGate(monkeypatch, passing=1)
         client.writer.write(keyed_request())
-        await clock.wait_until(lambda: gate.held == 1)  # the first attempt has failed, the retry dials
+        await clock.wait_until(lambda: gate.blocked == 1)  # the first attempt has failed, the retry dials
         change(proxy, clock, backends)
         for backend in backends:
             backend.script = respond_ok
@@ -112,8 +112,8 @@
     settings = settings_with_once_class()
     async with proxy_with_backends(respond, respond, settings=settings) as (proxy, _backends):
         client = await clock.wait_for(proxy.connect())
-        gate = ConnectGate(monkeypatch, unheld=1)
+        gate = ConnectGate(monkeypatch, passing=1)
         client.writer.write(keyed_request())
-        await clock.wait_until(lambda: gate.held == 1)
+        await clock.wait_until(lambda: gate.blocked == 1)
         gate.release()
         assert status_of(await clock.wait_for(client.response())) == 200
--- a/tests/proxy/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -120,7 +120,7 @@
         proxy = await start_proxy(backend)
         clock = proxy.clock
         client, idle_client = await proxy.connect(), await proxy.connect()
-        gate = ConnectGate(monkeypatch, unheld=0 if state == "connecting" else UNLIMITED)
+        gate = ConnectGate(monkeypatch, passing=0 if state == "connecting" else UNLIMITED)
         request = post_request(1)
         if state == "partly read":
             client.writer.write(request[:-2])
--- a/tests/proxy/test_startup.py
+++ b/tests/proxy/test_startup.py
@@ -85,7 +85,7 @@
     async with silent_discovery() as silent_port:
         clock = ManualClock()
         discovery_port = free_port() if discovery == "refuses" else silent_port
-        gate = ConnectGate(monkeypatch, unheld=0 if discovery == "never connects" else UNLIMITED)
+        gate = ConnectGate(monkeypatch, passing=0 if discovery == "never connects" else UNLIMITED)
         settings = read_settings(RAW_SETTINGS | {"RegistryMode": mode})
         ports = [free_port() for _ in range(TIER_SIZE)]
         configs = [
@@ -102,7 +102,7 @@
         began_at = clock.now
         while clock.now < began_at + READINESS_DEADLINE - CLOCK_STEP:
             await clock.advance(CLOCK_STEP)
-        gate.unheld = UNLIMITED  # from here on the test's own connections
+        gate.passing = UNLIMITED  # from here on the test's own connections
         ready = [await is_ready(clock, port) for port in ports]
         assert sum(ready) >= READY_SHARE * TIER_SIZE, f"{sum(ready)} of {TIER_SIZE} are ready"
         for proxy in tier:
--- a/tests/proxy/upstream/test_attempt_races.py
+++ b/tests/proxy/upstream/test_attempt_races.py
@@ -95,7 +95,7 @@
             client = await proxy.connect()
             gate = ConnectGate(monkeypatch)
             client.writer.write(post_request(1))
-            await wait_until(lambda: gate.held == 1)
+            await wait_until(lambda: gate.blocked == 1)
             if change in ("back", "drained"):
                 proxy.notify(
                     [
--- a/tests/support/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -1,4 +1,8 @@
-"""A discovery whose first watches fail in given ways, and the ways in which a watch can fail."""
+"""A discovery whose first watches fail in given ways, and the ways in which a watch can fail.
+
+It is separate from `testbed.discovery`, which speaks the protocol correctly: its responses are incomplete,
+slow or no HTTP at all.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,7 @@
     from tests.support.loopback import ManualClock
 
 TRICKLE_INTERVAL = 0.5  # seconds between two pieces of a response that trickles
-CLOCK_STEP = 0.05  # seconds
+CLOCK_STEP = 0.05  # seconds by which the clock is advanced at a time
 MAX_DELIVERY_TIME = 18.0  # seconds after which a delivery counts as failed: three times the deadline
 
 #: The list that a watch without a fault receives: a backend at port 2.
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,7 +1,10 @@
-"""The neighbours of a proxy, faked on loopback sockets: clients, backends, discovery, and the clock.
+"""Stand-ins for a proxy's neighbours on loopback sockets: clients, backends, discovery, and the clock.
 
-`running_proxy` runs a real proxy between them. `ManualClock` and `ConnectGate` let a test force the order in
-which events meet, so that no test depends on how long something takes.
+`running_proxy` runs a real proxy between them, in the test's own event loop. `ManualClock` and `ConnectGate`
+force the order of events, so that no test depends on how long something takes.
+
+These stand-ins are separate from those of `testbed` because a test controls them step by step: a backend
+responds by a script, and discovery sends exactly the bytes that a test gives it.
 """
 
 from __future__ import annotations
@@ -24,6 +27,7 @@
     MAX_WAIT,
     NO_DISCOVERY_PORT,
     OK_RESPONSE,
+    RawEntries,
     endpoint_entry,
     proxy_config,
 )
@@ -38,8 +42,8 @@
     from proxy.upstream import ConnectionPool
 
 CLOSE_CONNECTION = b""  # a script's result that closes the connection without a response
-UNLIMITED = 1 << 30  # connection attempts that a `ConnectGate` lets pass
-SETTLE_TURNS = 100  # turns of the event loop in which all that is on its way on loopback arrives
+UNLIMITED = 1 << 30  # connection attempts that pass a `ConnectGate`
+SETTLE_TURNS = 100  # turns of the event loop in which everything sent on loopback arrives
 
 Script = Callable[[bytes], bytes | None]
 T = TypeVar("T")
@@ -47,7 +51,7 @@
 
 
 def in_event_loop(test: Callable[Parameters, Coroutine[Any, Any, None]]) -> Callable[Parameters, None]:
-    """Run a test that is a coroutine function to its end, in an event loop of its own."""
+    """Turn a coroutine function into a test, which runs in an event loop of its own."""
 
     @functools.wraps(test)
     def run_test(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
@@ -57,22 +61,22 @@
 
 
 async def with_timeout(awaitable: Awaitable[T]) -> T:
-    """Wait for an event, but not for ever."""
+    """Return an awaitable's result; TimeoutError after `MAX_WAIT` seconds."""
     return await asyncio.wait_for(awaitable, MAX_WAIT)
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait for something that has no event of its own."""
+    """Poll a condition until it is true; TimeoutError after `MAX_WAIT` seconds."""
     async with asyncio.timeout(MAX_WAIT):
         while not condition():
             await asyncio.sleep(0.001)
 
 
 class ManualClock:
-    """Makes the running loop's time stand still: timers fall due only when a test advances it.
+    """Controls the running loop's time: timers expire only when a test advances it.
 
     Attributes:
-        now: The loop's time.
+        now: The loop's time in seconds.
     """
 
     def __init__(self) -> None:
@@ -81,25 +85,25 @@
         loop.time = lambda: self.now  # type: ignore[method-assign]
 
     async def wait_until(self, condition: Callable[[], bool]) -> None:
-        """Wait for something to arrive over the sockets; no timer falls due meanwhile."""
+        """Poll a condition that becomes true by events on sockets; no timer expires meanwhile."""
         give_up_at = time.monotonic() + MAX_WAIT
         while not condition():
-            assert time.monotonic() < give_up_at, "it did not come"
+            assert time.monotonic() < give_up_at, "the condition did not become true"
             await asyncio.sleep(0)
 
     async def wait_for(self, awaitable: Awaitable[T]) -> T:
-        """Return the result of something that comes without any more time."""
+        """Return the result of an awaitable that depends on no timer."""
         future = asyncio.ensure_future(awaitable)
         await self.wait_until(future.done)
         return future.result()
 
     async def settle(self) -> None:
-        """Let the loop run what is due, and read what is on its way on loopback."""
+        """Run everything that is due, and read everything that was sent on loopback."""
         for _ in range(SETTLE_TURNS):
             await asyncio.sleep(0)
 
     async def advance(self, seconds: float) -> None:
-        """Let so much time pass at once, and run what falls due by it."""
+        """Advance the time by so many seconds at once, and run what is due then."""
         self.now += seconds
         await self.settle()
 
@@ -116,14 +120,14 @@
 class StubBackend:
     """A backend that responds by a script.
 
-    The script gets each request and returns the bytes to respond with, `CLOSE_CONNECTION`, or None for
-    silence. After bytes that contain `cut` the connection is closed.
+    The script receives each request and returns the bytes to respond with, `CLOSE_CONNECTION`, or None for no
+    response. After bytes that contain `cut` the connection is closed.
 
     Attributes:
-        script: What the backend goes by; a test may replace it.
-        received: The requests that have arrived and that the test has not taken yet.
+        script: The script; a test may replace it.
+        received: The requests that have arrived and that the test has not removed yet.
         disconnects: One item for each connection that has ended.
-        writers: The connections so far, in the order in which they came.
+        writers: The connections so far, in the order in which they were accepted.
         address: Where it listens, as `host:port`.
     """
 
@@ -156,7 +160,7 @@
 
 @asynccontextmanager
 async def stub_backend(script: Script) -> AsyncIterator[StubBackend]:
-    """Run a backend on a free port."""
+    """Run a backend on a free port until the context ends."""
     stub = StubBackend(script)
     server = await asyncio.start_server(stub.serve, HOST, 0, limit=1 << 20)
     stub.address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
@@ -167,10 +171,10 @@
 
 
 class StubDiscovery:
-    """A discovery whose watches send what a test says.
+    """A discovery whose watches send what a test gives them.
 
     Attributes:
-        watch_requests: The targets of the watches that were opened and that the test has not taken yet.
+        watch_requests: The targets of the watches that were opened and that the test has not removed yet.
         disconnects: One item for each watch that the proxy has closed.
         writer: The watch that was opened last.
         port: Where it listens.
@@ -183,7 +187,7 @@
         self.port = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one watch: the head of its response at once, and then what `send_update` is given."""
+        """Serve one watch: send the response's head at once, and then what `send_update` is given."""
         request = await reader.readuntil(b"\r\n\r\n")
         writer.write(CHUNKED_HEAD)
         self.writer = writer
@@ -194,14 +198,14 @@
         self.disconnects.put_nowait(None)
 
     def send_update(
-        self, index: int, entries: list[dict[str, Any]], snapshot: bool = False, indent: int | None = None
+        self, index: int, entries: RawEntries, *, snapshot: bool = False, indent: int | None = None
     ) -> None:
-        """Send one update on the watch that is open, on one line or indented."""
+        """Send one update on the open watch, on one line, or over several lines with an indentation."""
         message = {"index": index, "snapshot": snapshot, "endpoints": entries}
         self.send_bytes(json.dumps(message, indent=indent).encode() + b"\n")
 
     def send_bytes(self, data: bytes) -> None:
-        """Send bytes on the watch that is open, cut in two chunks."""
+        """Send bytes on the open watch, split into two chunks."""
         assert self.writer is not None
         for part in filter(None, (data[:9], data[9:])):
             self.writer.write(encode_chunk(part))
@@ -209,7 +213,7 @@
 
 @asynccontextmanager
 async def stub_discovery() -> AsyncIterator[StubDiscovery]:
-    """Run a discovery on a free port."""
+    """Run a discovery on a free port until the context ends."""
     stub = StubDiscovery()
     server = await asyncio.start_server(stub.serve, HOST, 0)
     stub.port = server.sockets[0].getsockname()[1]
@@ -220,7 +224,7 @@
 
 
 def free_port() -> int:
-    """Return a port that nobody listens on."""
+    """Return a port on which no process listens."""
     with socket.socket() as sock:
         sock.bind((HOST, 0))
         return int(sock.getsockname()[1])
@@ -233,7 +237,7 @@
         self.reader, self.writer = reader, writer
 
     async def request(self, request: bytes) -> bytes:
-        """Send a request, or the rest of one, and return the next complete response."""
+        """Send a request, or the remaining part of one, and return the next complete response."""
         self.writer.write(request)
         return await self.response()
 
@@ -248,35 +252,35 @@
 
 
 class ConnectGate:
-    """Holds the proxy's connection attempts, all but the first few, until a test releases them.
+    """Blocks the proxy's connection attempts, except for the first few, until a test releases them.
 
-    While nobody listens at discovery's port, the watch attempts a connection again and again: these
-    attempts are neither held nor counted.
+    A watch retries its connection while no process listens at discovery's port: these attempts are neither
+    blocked nor counted.
 
     Attributes:
-        held: How many attempts have been held, with those that were released.
-        unheld: How many attempts still pass before the first one is held.
+        blocked: How many attempts have been blocked, including those that were released.
+        passing: How many attempts still pass before the first one is blocked.
     """
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, unheld: int = 0) -> None:
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, passing: int = 0) -> None:
         loop = asyncio.get_running_loop()
         self._create_connection: Callable[..., Any] = loop.create_connection
-        self.held = 0
-        self.unheld = unheld
+        self.blocked = 0
+        self.passing = passing
         self._released = asyncio.Event()
         monkeypatch.setattr(loop, "create_connection", self._attempt)
 
     def release(self) -> None:
-        """Let the attempts that are held, and all later ones, go on."""
+        """Release the blocked attempts, and block no later ones."""
         self._released.set()
 
     async def _attempt(self, *args: Any, **kwargs: Any) -> Any:
         if args[2:] == (NO_DISCOVERY_PORT,):
             return await self._create_connection(*args, **kwargs)
-        if self.unheld:
-            self.unheld -= 1
+        if self.passing:
+            self.passing -= 1
         else:
-            self.held += 1
+            self.blocked += 1
             await self._released.wait()
         return await self._create_connection(*args, **kwargs)
 
@@ -289,41 +293,41 @@
 
     @property
     def balancer(self) -> Balancer:
-        """Its decisions."""
+        """The proxy's balancer."""
         return self.proxy.balancer
 
     @property
     def dispatcher(self) -> Dispatcher:
-        """Its active requests."""
+        """The proxy's dispatcher, with its active requests."""
         return self.proxy.dispatcher
 
     @property
     def endpoint_table(self) -> EndpointTable:
-        """The backends that it knows."""
+        """The proxy's endpoint table."""
         return self.proxy.endpoint_table
 
     @property
     def listener(self) -> Listener:
-        """Its clients' connections."""
+        """The proxy's listener, with its clients' connections."""
         return self.proxy.listener
 
     @property
     def pool(self) -> ConnectionPool:
-        """Its connections to backends."""
+        """The proxy's pool of connections to backends."""
         return self.proxy.pool
 
-    def notify(self, entries: list[dict[str, Any]]) -> None:
+    def notify(self, entries: RawEntries) -> None:
         """Deliver a delta of the endpoint list to the proxy, as if discovery had sent it."""
         self.proxy.on_update(UpdateKind.DELTA, self.proxy.reader.endpoints({"endpoints": entries}))
 
     async def connect(self) -> Client:
-        """Open a client's connection to it."""
+        """Open a client's connection to the proxy."""
         return await connect(self.port)
 
 
 @asynccontextmanager
-async def running_proxy(entries: list[dict[str, Any]], **changed: Any) -> AsyncIterator[RunningProxy]:
-    """Run a proxy on a free port; the arguments are those of `proxy_config`."""
+async def running_proxy(entries: RawEntries, **changed: Any) -> AsyncIterator[RunningProxy]:
+    """Run a proxy on a free port until the context ends; the arguments are those of `proxy_config`."""
     proxy = Proxy(proxy_config(entries, **changed))
     sock = await proxy.listener.listen()
     try:
@@ -337,7 +341,7 @@
 async def proxy_with_backends(
     *scripts: Script, **changed: Any
 ) -> AsyncIterator[tuple[RunningProxy, list[StubBackend]]]:
-    """Run a proxy, and a backend for each of the scripts, which the proxy knows as "a", "b" and so on."""
+    """Run a proxy and a backend for each of the scripts; the backends are named "a", "b" and so on."""
     async with AsyncExitStack() as stack:
         backends = [await stack.enter_async_context(stub_backend(script)) for script in scripts]
         entries = [
--- a/tests/support/proxy_inputs.py
+++ b/tests/support/proxy_inputs.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
 from balancer.settings_reader import read_settings
@@ -11,6 +12,8 @@
 if TYPE_CHECKING:
     from balancer.settings import Settings
 
+RawEntries = Sequence[Mapping[str, object]]  # endpoint entries in discovery's form, valid or not
+
 HOST = "127.0.0.1"
 MAX_WAIT = 20.0  # seconds that any wait may take on a loaded machine
 NO_DISCOVERY_PORT = 9  # discovery's port where nobody is to listen
@@ -54,7 +57,7 @@
     }
 
 
-def proxy_config(entries: list[dict[str, Any]], discovery: int = NO_DISCOVERY_PORT, **changed: Any) -> Config:
+def proxy_config(entries: RawEntries, discovery: int = NO_DISCOVERY_PORT, **changed: Any) -> Config:
     """Return a proxy's configuration.
 
     Args:
@@ -70,7 +73,7 @@
         "seed": 1,
         "max_sockets": 1024,
         "memory_limit": 64 << 20,
-        "cached_list": {"index": 7, "snapshot": True, "endpoints": entries},
+        "cached_list": {"index": 7, "snapshot": True, "endpoints": list(entries)},
         "settings": settings,
         "class_indices": {"read": 0, "book": 1, "once": 2},
         "tenant_indices": {"acme": 0},
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -1,4 +1,8 @@
-"""A proxy in its own process, started as operators start it."""
+"""A proxy in its own process, started as operators start it.
+
+It is separate from `testbed.processes`, whose processes are bound to processor cores and exchange lines over
+pipes: the tests read a proxy's log and choose its environment.
+"""
 
 from __future__ import annotations
 
@@ -13,17 +17,15 @@
 from testbed.paths import PROJECT_ROOT
 from testbed.processes import inherited_environment
 from tests.support.config_files import raw_config
-from tests.support.proxy_inputs import MAX_WAIT
+from tests.support.proxy_inputs import MAX_WAIT, RawEntries
 
 if TYPE_CHECKING:
     from asyncio.subprocess import Process
-    from collections.abc import AsyncIterator, Mapping, Sequence
+    from collections.abc import AsyncIterator
     from pathlib import Path
 
 
-def write_config(
-    config_path: Path, listen: str, discovery: str, endpoints: Sequence[Mapping[str, object]]
-) -> None:
+def write_config(config_path: Path, listen: str, discovery: str, endpoints: RawEntries) -> None:
     """Write the configuration file of a proxy process.
 
     Args:
--- a/tests/support/small_fleet.py
+++ b/tests/support/small_fleet.py
@@ -1,4 +1,4 @@
-"""What the tests of the control machine and of its watches share: a small fleet and a running registry."""
+"""A small fleet and a running registry, which the tests of discovery's stand-in and its watches share."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
     from testbed.discovery.entry import EndpointEntry, EndpointStatus
 
-SEED, BACKENDS, SERVICES = 1, 20, 4
+SEED, BACKENDS, SERVICES = 1, 20, 4  # of the fleet
 FLEET = topology.build(SEED, BACKENDS, SERVICES)
 NAMES = [entry["name"] for entry in FLEET.entries]
-ENDPOINT = "all"  # an endpoint that shows every backend
+ENDPOINT = "all"  # the name of an endpoint that shows every backend
 
 
 def changed(position: int, status: EndpointStatus = "terminating") -> EndpointEntry:
@@ -27,7 +27,7 @@
 
 @asynccontextmanager
 async def running_registry() -> AsyncIterator[Registry]:
-    """A registry of the small fleet, whose endpoints are closed at the end."""
+    """Run a registry of the small fleet; its endpoints are closed at the end of the context."""
     registry = Registry(FLEET.entries)
     try:
         yield registry
