--- a/balancer/settings_reader.py
+++ b/balancer/settings_reader.py
@@ -63,13 +63,15 @@
 
 
 class RawLimits(TypedDict, total=False):
-    """`Bounds`: what the deployment permits."""
+    """`Bounds`: what the deployment permits; `ConnIdle` and `DialTimeout` are for the proxy alone."""
 
     Cancel: bool
     SecondCopies: bool
     MaxAttempts: int
     RetryAfter: bool
     MaxRetryAfter: float
+    ConnIdle: float
+    DialTimeout: float
 
 
 class RawRules(TypedDict, total=False):
@@ -100,7 +102,10 @@
 
 
 class RawSettings(TypedDict, total=False):
-    """The settings as the platform states them, as far as the balancer uses them."""
+    """The settings as the platform states them, as far as this project uses them.
+
+    The proxy alone uses `HostTypes`: it numbers the machine types in their order.
+    """
 
     Services: list[RawClass]
     Orgs: list[RawTenant]
@@ -110,6 +115,7 @@
     Tiers: list[str]
     Zone: int
     Zones: list[str]
+    HostTypes: list[str]
     RegistryMode: str
     OverShareWorth: float
     FamilyInfo: RawServiceDetails
--- a/emulator/cli.py
+++ b/emulator/cli.py
@@ -28,10 +28,12 @@
 TIME_LIMIT, TIME_LIMIT_QUICK = 300, 60  # seconds that one run may take
 RUNS: dict[str, Run] = {
     "slopes": slopes.run,
-    "hollow": simulated_cost.run,
+    simulated_cost.NAME: simulated_cost.run,
     "fleet": fleet.run,
     settings_reload.NAME: settings_reload.run,
 }
+#: Former names of runs, which the command line still takes and no longer shows.
+ALIASES = {"hollow": simulated_cost.NAME}
 RUNS_OF_ANY_PROGRAM = (settings_reload.NAME,)  # those that can measure the proxy of another tree
 
 EXIT_FAILURE, EXIT_USAGE, EXIT_INTERRUPTED, EXIT_TERMINATED = 1, 2, 130, 143
@@ -77,11 +79,11 @@
 
 
 def _command(name: str, run: Run) -> click.Command:
-    """Build the command of a run that has a time limit and is held against the budgets."""
+    """Build the command of a run that has a time limit and whose figures are compared with the budgets."""
 
     @click.command(name, help=(run.__doc__ or name).partition("\n")[0])
     @run_options
-    def command(seed: int, out: Path, quick: bool, program: Path = PROJECT_ROOT) -> None:
+    def command(*, seed: int, out: Path, quick: bool, program: Path = PROJECT_ROOT) -> None:
         """Do the run; exits 1 where an enforced budget is violated."""
         result = _run_within_limit(run, RunOptions(seed, out, quick, program))
         report_progress(name, f"result in {result.path}")
@@ -99,6 +101,10 @@
 
 for _name, _run in RUNS.items():
     cli.add_command(_command(_name, _run))
+for _alias, _name in ALIASES.items():
+    _hidden = _command(_name, RUNS[_name])
+    _hidden.hidden = True
+    cli.add_command(_hidden, _alias)
 
 
 def _run_added(options: RunOptions) -> RunResult:
@@ -118,14 +124,14 @@
 
 @cli.command(ADDED, help=(added_latency.run.__doc__ or ADDED).partition("\n")[0])
 @run_options
-def added_command(seed: int, out: Path, quick: bool) -> None:
+def added_command(*, seed: int, out: Path, quick: bool) -> None:
     """Measure the added latency; exits 0 even where a budget is violated."""
     _run_added(RunOptions(seed, out, quick))
 
 
 @cli.command("all", help="All runs that feed the budgets, one after the other.")
 @run_options
-def all_command(seed: int, out: Path, quick: bool) -> None:
+def all_command(*, seed: int, out: Path, quick: bool) -> None:
     """Do every run; exits 1 where an enforced budget is violated."""
     options = RunOptions(seed, out, quick)
     figures: dict[str, float] = {}
@@ -140,8 +146,8 @@
 def _usage_error(error: click.UsageError) -> str:
     """Return one line on bad arguments."""
     if isinstance(error, click.exceptions.NoArgsIsHelpError):
-        commands = f": {', '.join(cli.list_commands(error.ctx))}" if error.ctx else ""
-        return f"a command is needed{commands}"
+        names = (name for name, command in sorted(cli.commands.items()) if not command.hidden)
+        return f"a command is needed: {', '.join(names)}"
     return " ".join(error.format_message().split())
 
 
--- a/emulator/fleet/placement.py
+++ b/emulator/fleet/placement.py
@@ -29,11 +29,13 @@
 
 
 def place(cores: Sequence[int], proxies: int) -> Placement:
-    """Give each process a core where there are enough; else the proxies share what the others leave."""
+    """Give each process a core where there are enough; else the proxies share the cores that are left."""
     if len(cores) < MIN_SEPARATE_CORES:
         shared = frozenset(cores)
-        return Placement(shared, shared, [shared] * proxies, False)
-    rest = cores[2:]
-    exclusive = len(rest) >= proxies
-    proxy_cores = [frozenset(rest[n : n + 1]) if exclusive else frozenset(rest) for n in range(proxies)]
-    return Placement(frozenset(cores[:1]), frozenset(cores[1:2]), proxy_cores, exclusive)
+        return Placement(shared, shared, [shared] * proxies, exclusive=False)
+    remaining = cores[2:]
+    exclusive = len(remaining) >= proxies
+    proxy_cores = [
+        frozenset(remaining[n : n + 1]) if exclusive else frozenset(remaining) for n in range(proxies)
+    ]
+    return Placement(frozenset(cores[:1]), frozenset(cores[1:2]), proxy_cores, exclusive=exclusive)
--- a/emulator/fleet/role_processes.py
+++ b/emulator/fleet/role_processes.py
@@ -50,9 +50,9 @@
         return cls(process)
 
     async def begin(self) -> None:
-        """Let it make its calls."""
+        """Start the calls."""
         await self.process.write_line(b"go\n")
 
-    async def report(self, timeout: float) -> LoadReport:
-        """Wait for its report; ProcessError where there is none within `timeout` seconds."""
-        return LoadReport.from_line(await self.process.read_line(timeout))
+    async def report(self, max_wait: float) -> LoadReport:
+        """Wait for its report; ProcessError where there is none within `max_wait` seconds."""
+        return LoadReport.from_line(await self.process.read_line(max_wait))
--- a/emulator/fleet/settings.py
+++ b/emulator/fleet/settings.py
@@ -6,12 +6,31 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING
 
 from emulator.fleet.topology import TYPES, ZONES, Topology
 
+if TYPE_CHECKING:
+    from balancer.settings_reader import RawClass, RawLimits, RawRules, RawSettings
 
-def proxy_settings(topology: Topology, position: int, fleet_size: int | None = None) -> dict[str, Any]:
+CLASSES: list[RawClass] = [
+    {"Name": "read", "Aim": 0.5, "HardLimit": 2.0, "Repeat": "retryable", "LateWorth": 0.5},
+    {"Name": "book", "Aim": 1.0, "HardLimit": 3.0, "Repeat": "fragile", "LateWorth": 0.5},
+]
+LIMITS: RawLimits = {"Cancel": True, "MaxAttempts": 3, "ConnIdle": 15.0, "DialTimeout": 0.25}
+RULES: RawRules = {
+    "DrainGrace": 0.25,
+    "ColdFrom": 0.1,
+    "Cold": 30.0,
+    "FallMultiple": 2.0,
+    "TipAfter": 1.0,
+    "ExtraFree": 5.0,
+    "ExtraPerRequest": 0.2,
+    "RatioSpan": 10.0,
+}
+
+
+def proxy_settings(topology: Topology, position: int, fleet_size: int | None = None) -> RawSettings:
     """Build the settings of one backend's proxy.
 
     Args:
@@ -25,25 +44,13 @@
         "Instances": fleet_size,
         "Ordinal": position % fleet_size,
         "RegistryMode": "pushed",
-        "Services": [
-            {"Name": "read", "Aim": 0.5, "HardLimit": 2.0, "Repeat": "retryable", "LateWorth": 0.5},
-            {"Name": "book", "Aim": 1.0, "HardLimit": 3.0, "Repeat": "fragile", "LateWorth": 0.5},
-        ],
+        "Services": CLASSES,
         "Orgs": [{"Name": "acme", "Share": 1.0}],
         "Tiers": ["front", "rest"],
         "Tier": 1,
         "Zones": list(ZONES),
         "Zone": ZONES.index(entry["zone"]),
         "HostTypes": list(TYPES),
-        "Bounds": {"Cancel": True, "MaxAttempts": 3, "ConnIdle": 15.0, "DialTimeout": 0.25},
-        "Rules": {
-            "DrainGrace": 0.25,
-            "ColdFrom": 0.1,
-            "Cold": 30.0,
-            "FallMultiple": 2.0,
-            "TipAfter": 1.0,
-            "ExtraFree": 5.0,
-            "ExtraPerRequest": 0.2,
-            "RatioSpan": 10.0,
-        },
+        "Bounds": LIMITS,
+        "Rules": RULES,
     }
--- a/emulator/fleet/simulated_host.py
+++ b/emulator/fleet/simulated_host.py
@@ -1,8 +1,8 @@
 """A process of simulated proxies.
 
-It owns their start, the calls fed to them, the waits for them and the sums of what they measured.
-A run calls its methods by name from another process (`child`), so arguments and results are plain or typed
-values without a tie to this process.
+It owns their start, the calls fed to them, the waits for them and the sums of what they measured. A run
+calls its methods by name from another process (`testbed.child_process`), so arguments and results are
+values that can be pickled.
 """
 
 from __future__ import annotations
@@ -54,17 +54,21 @@
 
 
 class SimulatedHost:
-    """The simulated proxies of one process."""
+    """The simulated proxies of one process.
+
+    Attributes:
+        proxies: The proxies, in the order in which they were started.
+    """
 
     def __init__(self, seed: int, backends: int, services: int | None = None) -> None:
         self._topology = topology.build(seed, backends, services)
         self._seed = seed
         self._reader = endpoint_reader()
-        self._proxies: list[SimulatedProxy] = []
+        self.proxies: list[SimulatedProxy] = []
         self._feeding: asyncio.Task[None] | None = None
 
     async def start_proxies(
-        self, placements: list[ProxyPlacement], fleet_size: int | None = None, narrow_view: bool = False
+        self, placements: list[ProxyPlacement], fleet_size: int | None = None, *, narrow_view: bool = False
     ) -> StartCost:
         """Start proxies and wait until they hold their lists.
 
@@ -80,7 +84,10 @@
         before = meter.own_usage()
         for first in range(0, len(placements), START_BATCH):
             batch = placements[first : first + START_BATCH]
-            await self._start_batch([self._create(each, fleet_size, narrow_view) for each in batch])
+            views = [self._called_names(each.position) if narrow_view else None for each in batch]
+            await self._start_batch(
+                [self._create(each, fleet_size, view) for each, view in zip(batch, views, strict=True)]
+            )
         gc.collect()
         after = meter.own_usage()
         return StartCost(
@@ -90,11 +97,15 @@
             resident=after.memory,
         )
 
-    def _create(self, placement: ProxyPlacement, fleet_size: int | None, narrow_view: bool) -> SimulatedProxy:
-        position, view = placement.position, None
-        if narrow_view:
-            called = self._topology.called_backends(self._topology.service_of[position])
-            view = frozenset(self._topology.entries[backend]["name"] for backend in called)
+    def _called_names(self, position: int) -> frozenset[str]:
+        """Return the names of the backends that the service of a backend calls."""
+        called = self._topology.called_backends(self._topology.service_of[position])
+        return frozenset(self._topology.entries[backend]["name"] for backend in called)
+
+    def _create(
+        self, placement: ProxyPlacement, fleet_size: int | None, view: frozenset[str] | None
+    ) -> SimulatedProxy:
+        position = placement.position
         settings = proxy_settings(self._topology, position, fleet_size)
         return SimulatedProxy(settings, self._seed + position, placement.port, self._reader, view)
 
@@ -104,24 +115,24 @@
         async with asyncio.timeout(LIST_TIMEOUT):
             for proxy in proxies:
                 await proxy.has_list.wait()
-        self._proxies += proxies
+        self.proxies += proxies
 
     def freeze(self) -> None:
         """Exempt all present objects from garbage collection, as the real proxy does once it has its list."""
         gc.collect()
         gc.freeze()
 
-    async def wait_until_applied(self, latest: dict[str, int], timeout: float) -> bool:
-        """Wait until no proxy is behind the latest versions, by name; False where that takes longer."""
-        return await self._wait_for_all(lambda proxy: not proxy.is_behind(latest), timeout)
+    async def wait_until_applied(self, latest: dict[str, int], max_wait: float) -> bool:
+        """Wait until no proxy is behind the latest versions, by name; False after `max_wait` seconds."""
+        return await self._wait_for_all(lambda proxy: not proxy.is_behind(latest), max_wait)
 
-    async def wait_for_snapshots(self, count: int, timeout: float) -> bool:
-        """Wait until every proxy has had `count` complete lists; False where that takes longer."""
-        return await self._wait_for_all(lambda proxy: proxy.snapshots >= count, timeout)
+    async def wait_for_snapshots(self, count: int, max_wait: float) -> bool:
+        """Wait until every proxy has had `count` complete lists; False after `max_wait` seconds."""
+        return await self._wait_for_all(lambda proxy: proxy.snapshots >= count, max_wait)
 
-    async def _wait_for_all(self, holds: Callable[[SimulatedProxy], bool], timeout: float) -> bool:
-        deadline = time.monotonic() + timeout
-        while not all(holds(proxy) for proxy in self._proxies):
+    async def _wait_for_all(self, condition: Callable[[SimulatedProxy], bool], max_wait: float) -> bool:
+        deadline = time.monotonic() + max_wait
+        while not all(condition(proxy) for proxy in self.proxies):
             if time.monotonic() > deadline:
                 return False
             await asyncio.sleep(POLL_INTERVAL)
@@ -141,7 +152,7 @@
         while True:
             await asyncio.sleep(FEEDING_INTERVAL)
             due = int((loop.time() - started) * rate)
-            for proxy in self._proxies:
+            for proxy in self.proxies:
                 for _ in range(due - fed):
                     proxy.call()
             fed = due
@@ -152,13 +163,13 @@
 
     def worst_list_cost(self, started: float, ended: float, window: float = meter.WORST_WINDOW) -> float:
         """Return the most processor seconds that a proxy spent on lists in any `window` between two times."""
-        costs = (proxy.worst_list_cost(started, ended, window) for proxy in self._proxies)
+        costs = (proxy.worst_list_cost(started, ended, window) for proxy in self.proxies)
         return max(costs, default=0.0)
 
     def age_report(self, publications: Publications) -> AgeReport:
         """Sum up the ages of versions when the proxies applied them."""
         histogram, oldest, missing = age_histogram(), dict.fromkeys(publications, 0.0), 0
-        for proxy in self._proxies:
+        for proxy in self.proxies:
             ages = proxy.ages(publications)
             expected = sum(publication.concerns(proxy.view) for publication in publications.values())
             missing += expected - len(ages)
--- a/emulator/fleet/simulated_proxy.py
+++ b/emulator/fleet/simulated_proxy.py
@@ -1,4 +1,4 @@
-"""One simulated proxy: the real decisions and the real watch, without callers and backends.
+"""One simulated proxy: the real balancer and the real watch, without callers and backends.
 
 Calls are events that are fed to the balancer; nothing goes to a backend. What a proxy does for control is
 real: the socket, the parsing, the reading of entries and the balancer's endpoint list.
@@ -8,7 +8,7 @@
 
 import asyncio
 import time
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from balancer.balancer import Balancer
 from balancer.endpoints import UpdateKind
@@ -24,6 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
+    from balancer.settings_reader import RawSettings
     from proxy.discovery.messages import EndpointListMessage
     from proxy.discovery.watch_connection import WatchConnection
 
@@ -54,7 +55,7 @@
 
     Attributes:
         applied: The messages applied, in order.
-        cost_by_second: Processor time in seconds of reading and applying entries, by whole second of the
+        cost_by_second: Processor time in seconds of reading and applying entries, by full second of the
             monotonic clock.
     """
 
@@ -98,7 +99,7 @@
 
     def __init__(
         self,
-        settings: dict[str, Any],
+        settings: RawSettings,
         seed: int,
         port: int,
         reader: EndpointReader,
@@ -130,7 +131,7 @@
         simulate_call(self.balancer, self._now(), self._calls)
 
     def is_behind(self, latest: Mapping[str, int]) -> bool:
-        """Tell whether it hasn't applied the latest version, by name, of a backend that it sees."""
+        """Whether it has not applied the latest version, by name, of a backend that it sees."""
         names = latest.keys() if self.view is None else self.view & latest.keys()
         return self.discovery.index < max((latest[name] for name in names), default=0)
 
--- a/emulator/fleet/stub_fleet.py
+++ b/emulator/fleet/stub_fleet.py
@@ -5,13 +5,14 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from testbed.loopback import HOST
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
+    from balancer.settings_reader import RawSettings
     from testbed.discovery.entry import EndpointEntry, EndpointUpdate
 
 
@@ -37,7 +38,7 @@
     ]
 
 
-def stub_proxy_settings(fleet_size: int, ordinal: int) -> dict[str, Any]:
+def stub_proxy_settings(fleet_size: int, ordinal: int) -> RawSettings:
     """Build the settings of one proxy of a fleet, in the form of the configuration file."""
     return {
         "Instances": fleet_size,
--- a/emulator/fleet/topology.py
+++ b/emulator/fleet/topology.py
@@ -11,6 +11,8 @@
 
 import numpy as np
 
+from emulator.errors import TopologySizeError
+
 if TYPE_CHECKING:
     from testbed.discovery.entry import EndpointEntry
 
@@ -66,12 +68,12 @@
         services: How many services there are; None: in the target's proportion to the backends.
 
     Raises:
-        ValueError: There are fewer backends than services, or no service.
+        TopologySizeError: There are fewer backends than services, or no service.
     """
     if services is None:
         services = max(1, round(backends * SERVICES / BACKENDS))
     if not 1 <= services <= backends:
-        raise ValueError(f"{services} services do not fit {backends} backends")
+        raise TopologySizeError(services, backends)
     rng = np.random.default_rng(seed)
     shares = rng.lognormal(0.0, 0.8, services)
     sizes = 1 + rng.multinomial(backends - services, shares / shares.sum())
--- a/emulator/load/generator.py
+++ b/emulator/load/generator.py
@@ -1,4 +1,4 @@
-"""An open-loop load generator: calls start at their scheduled times, whatever became of those before.
+"""An open-loop load generator: calls start at their scheduled times, even if earlier ones have not ended.
 
 Run as `python -m emulator.load.generator`: it reads its `LoadPlan` as one JSON line, prints `ready`, waits
 for a line, makes the calls, prints its `LoadReport` as one JSON line, and ends with its input. What a plan
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-CALL_TIMEOUT = 5.0  # seconds that a call may take, as its X-Timeout says
+CALL_TIMEOUT = 5.0  # seconds that a call may take; its X-Timeout
 READ_SIZE = 64 << 10  # bytes
 EVENTS_PER_POLL = 32  # few, so that calls that fall due do not wait behind hundreds of responses
 STALL = 1e-3  # seconds between two polls beyond which something else had the processor core
@@ -54,7 +54,7 @@
 
 
 class _Connection:
-    """A connection that is kept alive, and the call that it carries, if any."""
+    """A persistent connection, and the call that it carries, if any."""
 
     __slots__ = ("call", "first_use", "port", "request", "response", "sock")
 
@@ -65,7 +65,7 @@
         self.first_use = True  # carries its first call
         self.sock = socket.socket()
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.sock.setblocking(False)
+        self.sock.settimeout(0.0)  # non-blocking
         self.sock.connect_ex((HOST, port))
 
 
@@ -191,8 +191,8 @@
     def _on_disconnect(self, connection: _Connection) -> None:
         """End or repeat the call that the connection carried.
 
-        The server may close a connection that was kept alive while a request is on its way: that request is
-        sent once more, on a new connection.
+        The server may close an idle connection while a request is on its way: that request is sent once
+        more, on a new connection.
         """
         call = connection.call
         closed_while_idle = not connection.first_use and not connection.response
--- a/emulator/load/watches.py
+++ b/emulator/load/watches.py
@@ -35,7 +35,7 @@
         self._watches: list[DiscardingWatch] = []
 
     async def open(self, port: int, count: int) -> None:
-        """Open `count` more; OSError where the control machine refuses."""
+        """Open `count` more; OSError where the control machine rejects a connection."""
         loop = asyncio.get_running_loop()
         for _ in range(count):
             _, watch = await loop.create_connection(DiscardingWatch, HOST, port)
--- a/emulator/measurement/__init__.py
+++ b/emulator/measurement/__init__.py
@@ -1,1 +1,1 @@
-"""Measurement: what is counted, the budgets it is held to, and the result files."""
+"""Measurement: what is counted, the budgets for it, and the result files."""
--- a/emulator/measurement/budgets.py
+++ b/emulator/measurement/budgets.py
@@ -21,7 +21,7 @@
         name: What is limited, in words.
         limit: The most that the figure may be.
         unit: Of the limit.
-        enforced: Whether the budget is said to be held today, so that a figure over it is a failure.
+        enforced: Whether the target is met today, so that a figure over the limit is a failure.
         reason: Why the figure is what it is.
     """
 
@@ -139,7 +139,7 @@
     """Which budgets a set of figures meets.
 
     Attributes:
-        checked: Figures that were held against their budgets.
+        checked: Figures that were compared with their budgets.
         unchecked: Budgets that had no figure.
         over: One text for each figure over its limit.
         violated: Those figures over their limits whose budgets are enforced.
--- a/emulator/measurement/change_ages.py
+++ b/emulator/measurement/change_ages.py
@@ -22,7 +22,7 @@
     names: frozenset[str]
 
     def concerns(self, view: frozenset[str] | None) -> bool:
-        """Tell whether a proxy that sees these backends (None: all) is sent the version."""
+        """Whether a proxy that sees these backends (None: all) is sent the version."""
         return view is None or bool(view & self.names)
 
 
--- a/emulator/measurement/control_cost.py
+++ b/emulator/measurement/control_cost.py
@@ -1,12 +1,16 @@
 """What control costs a proxy, and a simulated one beside a real one for one kind of event.
 
-It owns the arithmetic and the form of the comparison in a result; the events happen in `runs.hollow`.
+It owns the arithmetic and the form of the comparison in a result; the events happen in
+`runs.simulated_cost`. Results call a simulated proxy "hollow", its former name.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
-from typing import Any
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from emulator.measurement.json_values import JsonObject
 
 
 @dataclass(slots=True, frozen=True)
@@ -71,7 +75,7 @@
         real, simulated = self.real.as_dict(), self.simulated.as_dict()
         return {name: _difference_percent(simulated[name], real[name]) for name in simulated}
 
-    def as_dict(self) -> dict[str, Any]:
+    def as_dict(self) -> JsonObject:
         """Return the cost as a result holds it."""
         return {
             "events": self.events,
--- a/emulator/measurement/fit.py
+++ b/emulator/measurement/fit.py
@@ -6,13 +6,17 @@
 from __future__ import annotations
 
 from dataclasses import asdict, dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import numpy as np
 
+from emulator.errors import FitPointsError, FitRangeError
+
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
+    from emulator.measurement.json_values import JsonObject
+
 MIN_POINTS = 4  # through fewer almost anything fits
 LINE, N_LOG_N = "line", "n log n"  # what results call the two models
 
@@ -35,7 +39,7 @@
     residual: float
     worst: float
 
-    def as_dict(self) -> dict[str, Any]:
+    def as_dict(self) -> JsonObject:
         """Return the fit as a result holds it."""
         return asdict(self)
 
@@ -44,7 +48,7 @@
     """Fit a straight line.
 
     Raises:
-        ValueError: There are fewer than `MIN_POINTS` points, or unequal numbers of x and y.
+        FitPointsError: There are fewer than `MIN_POINTS` points, or unequal numbers of x and y.
     """
     return _solve(LINE, np.asarray(xs, float), ys)
 
@@ -53,18 +57,19 @@
     """Fit a line in x log2 x.
 
     Raises:
-        ValueError: As `fit_line`, or an x isn't above 0.
+        FitPointsError: As `fit_line`.
+        FitRangeError: An x is not above 0.
     """
     x = np.asarray(xs, float)
     if (x <= 0.0).any():
-        raise ValueError("x must be above 0")
+        raise FitRangeError
     return _solve(N_LOG_N, x * np.log2(x), ys)
 
 
 def _solve(kind: str, x: np.ndarray, ys: Sequence[float]) -> Fit:
     y = np.asarray(ys, float)
     if len(x) != len(y) or len(x) < MIN_POINTS:
-        raise ValueError(f"{len(x)} and {len(y)} values: at least {MIN_POINTS} of each are needed")
+        raise FitPointsError(len(x), len(y), MIN_POINTS)
     (intercept, slope), *_ = np.linalg.lstsq(np.column_stack([np.ones(len(x)), x]), y, rcond=None)
     residuals = y - intercept - slope * x
     root_mean_square = float(np.sqrt(np.mean(residuals**2)))
--- a/emulator/measurement/latency.py
+++ b/emulator/measurement/latency.py
@@ -6,13 +6,15 @@
 from __future__ import annotations
 
 from dataclasses import asdict, dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from hdrh.histogram import HdrHistogram
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
+    from emulator.measurement.json_values import JsonObject
+
 LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS = 1, 60_000_000, 3  # of every histogram
 TICKS_PER_HALF_DISTANCE = 10  # points of a percentile curve for each halving of the distance to 100
 
@@ -23,7 +25,7 @@
 
 
 def to_microseconds(seconds: float) -> int:
-    """Convert a latency to whole microseconds in the range that a histogram takes."""
+    """Round a latency to microseconds, within the range of a histogram."""
     return min(HIGHEST_US, max(LOWEST_US, round(seconds * 1e6)))
 
 
@@ -95,6 +97,6 @@
         count = int(histogram.get_total_count())
         return cls(count, Quantiles.of(histogram), percentile_curve(histogram))
 
-    def as_dict(self) -> dict[str, Any]:
+    def as_dict(self) -> JsonObject:
         """Return plain values for a result."""
         return asdict(self)
--- a/emulator/measurement/result.py
+++ b/emulator/measurement/result.py
@@ -11,19 +11,21 @@
 import subprocess
 from datetime import UTC, datetime
 from importlib import metadata
-from typing import TYPE_CHECKING, Any
+from pathlib import Path
+from typing import TYPE_CHECKING
 
 from testbed.paths import PROJECT_ROOT
 
 if TYPE_CHECKING:
-    from pathlib import Path
+    from emulator.measurement.json_values import JsonObject
 
 RESULTS = PROJECT_ROOT / "results"  # where results go by default
 GIT_TIMEOUT = 10  # seconds
+CPU_INFO = Path("/proc/cpuinfo")
 LIBRARIES = ("httptools", "orjson", "click", "hdrhistogram", "numpy", "psutil")
 
 
-def machine() -> dict[str, Any]:
+def machine() -> JsonObject:
     """Describe this machine: its processors (count, model), Python and kernel."""
     return {
         "cpus": os.cpu_count(),
@@ -36,8 +38,8 @@
 
 def _processor() -> str:
     try:
-        with open("/proc/cpuinfo", encoding="utf-8") as file:
-            names = [line.partition(":")[2].strip() for line in file if line.startswith("model name")]
+        lines = CPU_INFO.read_text(encoding="utf-8").splitlines()
+        names = [line.partition(":")[2].strip() for line in lines if line.startswith("model name")]
     except OSError:
         names = []
     return names[0] if names else platform.machine()
@@ -75,7 +77,7 @@
         return "unknown"
 
 
-def write_result(name: str, seed: int, body: dict[str, Any], out: Path) -> Path:
+def write_result(name: str, seed: int, body: JsonObject, out: Path) -> Path:
     """Write `out`/`name`.json and return its path.
 
     Args:
--- a/emulator/measurement/usage_sampler.py
+++ b/emulator/measurement/usage_sampler.py
@@ -21,7 +21,7 @@
 
 
 class UsageSampler:
-    """Reads processes from outside, whatever they are doing, for as long as the block lasts.
+    """Reads processes from outside, without their help, for as long as the block lasts.
 
     Attributes:
         processor: The processor time of each process, in their order.
@@ -40,7 +40,7 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         """Take a last reading and stop."""
         self._stop_requested.set()
--- a/emulator/runs/added_latency.py
+++ b/emulator/runs/added_latency.py
@@ -37,6 +37,8 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
+    from emulator.measurement.json_values import JsonObject
+
 NAME = "added"
 
 
@@ -118,7 +120,7 @@
 def run(options: RunOptions) -> RunResult:
     """The time that real proxies add to a call, against the same backend called directly.
 
-    Writes added.json. Raises ProcessError or OSError where a process does not come up or ends early.
+    Writes added.json. Raises ProcessError or OSError where a process does not start or ends early.
     """
     cores = sorted(os.sched_getaffinity(0))
     os.sched_setaffinity(0, cores[:1])
@@ -129,7 +131,7 @@
     finally:
         os.sched_setaffinity(0, cores)
     figures = budget_figures({name: report.added()[ALL_PROXIES] for name, report in reports.items()})
-    body = {
+    body: JsonObject = {
         "cores": len(cores),
         "wall_s": time.monotonic() - start,
         "warmup_s": WARMUP,
--- a/emulator/runs/common.py
+++ b/emulator/runs/common.py
@@ -12,6 +12,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from emulator.errors import RunTimeoutError
 from testbed.paths import PROJECT_ROOT
 
 if TYPE_CHECKING:
@@ -53,11 +54,11 @@
 
 @contextmanager
 def time_limit(seconds: int) -> Iterator[None]:
-    """Raise TimeoutError inside the block after so many seconds; works in the main thread only."""
+    """Raise RunTimeoutError inside the block after so many seconds; works in the main thread only."""
 
     def expire(*_: object) -> None:
         """Interrupt the block."""
-        raise TimeoutError(f"it takes more than {seconds} s")
+        raise RunTimeoutError(seconds)
 
     former = signal.signal(signal.SIGALRM, expire)
     signal.alarm(seconds)
--- a/emulator/runs/endpoint_changes.py
+++ b/emulator/runs/endpoint_changes.py
@@ -33,14 +33,14 @@
         return self.entries[index]
 
     def change_any(self) -> EndpointEntry:
-        """Let a random endpoint drain, or restart it where it is draining or gone."""
+        """Drain a random endpoint, or restart it where it is draining or removed."""
         index = int(self._rng.integers(len(self.entries)))
         if self.entries[index]["status"] == "in_service":
             return self._set(index, {"status": "terminating"})
         return self.restart(index)
 
     def terminate(self, index: int) -> EndpointEntry:
-        """Take an endpoint out of service for good."""
+        """Remove an endpoint from service."""
         return self._set(index, {"status": "terminated"})
 
     def restart(self, index: int) -> EndpointEntry:
--- a/emulator/runs/fleet.py
+++ b/emulator/runs/fleet.py
@@ -9,7 +9,7 @@
 import time
 from contextlib import ExitStack
 from dataclasses import asdict, dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from emulator.measurement.result import write_result
 from emulator.runs.common import RunOptions, RunResult, report_progress
@@ -19,6 +19,7 @@
 from emulator.runs.simulated_fleet import FleetStart, SimulatedFleet
 
 if TYPE_CHECKING:
+    from emulator.measurement.json_values import JsonObject
     from emulator.runs.fleet_figures import EventMeasurement
 
 
@@ -30,7 +31,7 @@
     start: FleetStart
     events: dict[str, EventMeasurement]
 
-    def as_dict(self) -> dict[str, Any]:
+    def as_dict(self) -> JsonObject:
         """Return the plan as a result holds it."""
         return {
             "proxies": self.plan.proxies,
@@ -47,7 +48,7 @@
     started = time.monotonic()
     plans = [run_plan(plan, options.seed) for plan in (QUICK_PLANS if options.quick else PLANS)]
     figures = budget_figures(plans)
-    body = {
+    body: JsonObject = {
         "quick": options.quick,
         "plans": {each.plan.name: each.as_dict() for each in plans},
         "figures": figures,
@@ -57,7 +58,7 @@
 
 
 def run_plan(plan: Plan, seed: int) -> PlanResult:
-    """Start a plan's fleet and let its events happen, one after the other."""
+    """Start a plan's fleet and carry out its events, one after the other."""
     events: dict[str, EventMeasurement] = {}
     with ExitStack() as stack:
         fleet = SimulatedFleet(plan, seed, stack)
--- a/emulator/runs/fleet_figures.py
+++ b/emulator/runs/fleet_figures.py
@@ -6,13 +6,14 @@
 from __future__ import annotations
 
 from dataclasses import asdict, dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from emulator.measurement.change_ages import MICROSECONDS, AgeReport, age_histogram, record_age
 
 if TYPE_CHECKING:
     from hdrh.histogram import HdrHistogram
 
+    from emulator.measurement.json_values import JsonObject
     from testbed.discovery.registry import RegistryUsage
 
 
@@ -48,7 +49,7 @@
             hdr=histogram.encode().decode(),
         )
 
-    def as_dict(self) -> dict[str, Any]:
+    def as_dict(self) -> JsonObject:
         """Return the summary as a result holds it, without the figures that an empty one lacks."""
         return {name: value for name, value in asdict(self).items() if value is not None}
 
@@ -82,7 +83,7 @@
         missing = sum(report.missing for report in reports)
         return cls(AgeSummary.of(everywhere), AgeSummary.of(at_last), missing)
 
-    def as_dict(self) -> dict[str, Any]:
+    def as_dict(self) -> JsonObject:
         """Return the ages as a result holds them."""
         return {
             "all": self.everywhere.as_dict(),
@@ -146,7 +147,7 @@
             processor_worst=processor_worst,
         )
 
-    def as_dict(self) -> dict[str, Any]:
+    def as_dict(self) -> JsonObject:
         """Return the cost as a result holds it."""
         return {
             "processor": self.processor,
@@ -182,7 +183,7 @@
     resident_mb: float
     machines: list[MachineCost]
 
-    def as_dict(self) -> dict[str, Any]:
+    def as_dict(self) -> JsonObject:
         """Return the measurement as a result holds it."""
         return {
             "seconds": self.seconds,
--- a/emulator/runs/fleet_layout.py
+++ b/emulator/runs/fleet_layout.py
@@ -14,7 +14,7 @@
     from collections.abc import Sequence
 
 MACHINES = 3  # for control
-TAKEOVER_GROUPS = MACHINES - 1  # parts of a machine's watches, one for each machine that takes over
+TAKEOVER_GROUPS = MACHINES - 1  # parts of a machine's watches, one for each machine that may replace it
 
 
 @dataclass(slots=True)
@@ -52,7 +52,7 @@
 
 
 def assign_proxies(
-    topology: Topology, positions: Sequence[int], narrow_view: bool, process_count: int
+    topology: Topology, positions: Sequence[int], process_count: int, *, narrow_view: bool
 ) -> FleetLayout:
     """Assign the proxies of some backends to control machines and processes in turn.
 
@@ -62,7 +62,7 @@
     processes: list[list[tuple[int, FleetEndpoint]]] = [[] for _ in range(process_count)]
     processes_per_machine = process_count // MACHINES
     for number, position in enumerate(positions):
-        endpoint = _endpoint(topology, number, position, narrow_view)
+        endpoint = _endpoint(topology, number, position, narrow_view=narrow_view)
         endpoint = endpoints.setdefault(endpoint.name, endpoint)
         round_number = number // MACHINES
         process = endpoint.machine + MACHINES * (round_number % processes_per_machine)
@@ -70,7 +70,7 @@
     return FleetLayout(list(endpoints.values()), processes)
 
 
-def _endpoint(topology: Topology, number: int, position: int, narrow_view: bool) -> FleetEndpoint:
+def _endpoint(topology: Topology, number: int, position: int, *, narrow_view: bool) -> FleetEndpoint:
     """Describe what the proxy with a number watches; equal names mean the same endpoint."""
     machine = number % MACHINES
     takeover_group = number // (2 * MACHINES) % TAKEOVER_GROUPS
--- a/emulator/runs/fleet_measurement.py
+++ b/emulator/runs/fleet_measurement.py
@@ -12,6 +12,7 @@
 
 import psutil
 
+from emulator.errors import MemoryLimitError
 from emulator.measurement.usage_sampler import UsageSampler
 from emulator.runs.fleet_figures import EventAges, EventMeasurement, MachineCost, ProxyFigures
 from testbed.meter import MB, WORST_WINDOW
@@ -26,10 +27,10 @@
 
 
 def measure(fleet: SimulatedFleet, event: FleetEvent) -> EventMeasurement:
-    """Let an event happen, wait until it is applied everywhere, and measure its cost.
+    """Carry out an event, wait until it is applied everywhere, and measure its cost.
 
     Raises:
-        RuntimeError: The processes take too much of this machine's memory.
+        MemoryLimitError: The processes take too much of this machine's memory.
     """
     fleet.forget_publications()
     before, started = fleet.machine_usages(), time.monotonic()
@@ -56,7 +57,7 @@
 
 def _check_memory(resident: int) -> None:
     if resident > MAX_MEMORY_FRACTION * psutil.virtual_memory().total:
-        raise RuntimeError(f"the processes take {resident / MB:.0f} MB")
+        raise MemoryLimitError(resident)
 
 
 def _machine_costs(
@@ -79,7 +80,9 @@
     proxies, versions = fleet.plan.proxies, max(1, len(fleet.publications))
     hosts = sampler.processor[: len(fleet.hosts)]
     processor = sum(series.growth() for series in hosts)
-    worst_shares = [series.worst() / held for series, held in zip(hosts, fleet.proxies_per_host, strict=True)]
+    worst_shares = [
+        series.worst() / count for series, count in zip(hosts, fleet.proxies_per_host, strict=True)
+    ]
     sent_bytes = sum(machine.sent_bytes for machine in machines)
     worst_bytes = max(machine.sent_bytes / max(1, machine.open_watches) for machine in machines)
     return ProxyFigures(
--- a/emulator/runs/latency_report.py
+++ b/emulator/runs/latency_report.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from dataclasses import asdict, dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from emulator.load.plan import SERVED, LoadReport, StreamReport
 from emulator.measurement.latency import Distribution, Quantiles, merge
@@ -18,11 +18,12 @@
     from collections.abc import Mapping, Sequence
 
     from emulator.fleet.placement import Placement
+    from emulator.measurement.json_values import JsonObject
     from testbed.processes import ProcessUsage
 
 ALL_PROXIES = "all"  # the group of calls through any proxy
 
-#: The trial whose 99th percentile each budget is held against.
+#: The trial whose 99th percentile is compared with each budget.
 BUDGET_TRIALS = {
     "added_p99": one_proxy(AVERAGE_RATE, SERVICE_ROWS, 0.0).name,
     "added_p99_all_rows": one_proxy(AVERAGE_RATE, ALL_ROWS, 0.0).name,
@@ -104,7 +105,7 @@
     load_generator_preemptions: int
     backend_core_share: float
 
-    def as_dict(self) -> dict[str, Any]:
+    def as_dict(self) -> JsonObject:
         """Return plain values for the result, which calls the load generator a caller."""
         return {
             "caller_stalls": self.stalls,
@@ -145,7 +146,7 @@
         """Return by how much each quantile through the proxies lies above the direct one, by group."""
         return {name: group.us.above(self.direct.us) for name, group in self.through.items()}
 
-    def as_dict(self) -> dict[str, Any]:
+    def as_dict(self) -> JsonObject:
         """Return plain values for the result."""
         return {
             "rows": self.trial.rows,
--- a/emulator/runs/latency_trials.py
+++ b/emulator/runs/latency_trials.py
@@ -17,7 +17,7 @@
 
 SERVICE_ROWS, ALL_ROWS = 12, 910  # rows of an endpoint list: of one service, and of all
 FLEET_SIZE, BUSY_PROXIES = 24, 3
-WARMUP = 1.0  # seconds of calls that are not counted: connections come up
+WARMUP = 1.0  # seconds of calls that are not counted: connections are established
 MIN_CORES_FOR_PAIRS = 7  # one for the run itself, three for each of two trials
 
 
--- a/emulator/runs/settings_changes.py
+++ b/emulator/runs/settings_changes.py
@@ -5,18 +5,21 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING
 
 from emulator.fleet.stub_fleet import stub_proxy_settings
 
+if TYPE_CHECKING:
+    from balancer.settings_reader import RawSettings
+
 #: What changes, one after the other; results name each kind so: latency objective, tenant quota, fleet size,
 #: and a request class more or less.
 KINDS = ("aim", "share", "size", "class")
 
-OBJECTIVE_STEPS, QUOTA_STEPS, SIZE_STEPS = 50, 10, 10  # values that each takes in turn
+OBJECTIVE_STEPS, QUOTA_STEPS, SIZE_STEPS = 50, 10, 10  # how many values each of them has in turn
 
 
-def settings_after(changes: int, fleet_size: int, ordinal: int) -> dict[str, Any]:
+def settings_after(changes: int, fleet_size: int, ordinal: int) -> RawSettings:
     """Build a proxy's settings after so many changes, each of the next kind; no two in a row are equal."""
     kinds = len(KINDS)
     objective, quota, size, request_class = ((changes + kinds - 1 - index) // kinds for index in range(kinds))
--- a/emulator/runs/settings_report.py
+++ b/emulator/runs/settings_report.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 from dataclasses import asdict, dataclass, field
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from emulator.load.plan import SERVED
 from emulator.measurement.latency import Distribution, histogram_of, to_microseconds
@@ -12,6 +12,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping, Sequence
 
+    from emulator.measurement.json_values import JsonObject
+
 MAX_AGE = 6.0  # seconds in which a change must be in force
 
 
@@ -44,9 +46,9 @@
         """Return the oldest in seconds; where some were given up, it is at least that."""
         return max([*self.in_force, *self.given_up], default=0.0)
 
-    def as_dict(self) -> dict[str, Any]:
+    def as_dict(self) -> JsonObject:
         """Return counts, and the distribution of those in force, as plain values for the result."""
-        found: dict[str, Any] = {
+        found: JsonObject = {
             "in_force": len(self.in_force),
             "of": len(self.in_force) + len(self.given_up),
         }
@@ -63,7 +65,7 @@
     all: Ages
     by_kind: Mapping[str, Ages]
 
-    def as_dict(self) -> dict[str, Any]:
+    def as_dict(self) -> JsonObject:
         """Return plain values for the result; kinds of which there was no change are left out."""
         return {
             "changes": self.changes,
@@ -106,7 +108,7 @@
     proxies: int
     latency: Distribution
 
-    def as_dict(self) -> dict[str, Any]:
+    def as_dict(self) -> JsonObject:
         """Return plain values for the result."""
         return asdict(self.outcomes) | {
             "rate": self.rate,
--- a/emulator/runs/simulated_cost.py
+++ b/emulator/runs/simulated_cost.py
@@ -1,8 +1,9 @@
-"""The run `hollow`: what control costs a simulated proxy, compared with a real one.
+"""The run `simulated-cost`: what control costs a simulated proxy, compared with a real one.
 
-"Hollow" is what the command and its results call a simulated proxy. Four proxies of each kind watch one
-control machine and are given the same events at the same time. The run owns the processes and the events; the
-comparison is worked out in `emulator.measurement.control_cost`.
+Four proxies of each kind watch one control machine and are given the same events at the same time. The run
+owns the processes and the events; the comparison is worked out in `emulator.measurement.control_cost`. Its
+result file keeps its former name and keys, in which "hollow" is a simulated proxy, so that older results
+can be compared.
 """
 
 from __future__ import annotations
@@ -10,10 +11,11 @@
 import time
 from contextlib import ExitStack, contextmanager
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import numpy as np
 
+from emulator.errors import WatchTimeoutError
 from emulator.fleet import topology
 from emulator.fleet.real_proxies import real_proxies
 from emulator.fleet.simulated_host import ProxyPlacement, SimulatedHost, StartCost
@@ -36,15 +38,18 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
+    from emulator.measurement.json_values import JsonObject
 PROXIES = 4  # of each group
 CHANGE_RATE = 10.0  # changes a second: each is applied alone
 SNAPSHOT_TIMEOUT = 15.0  # seconds in which every proxy has been sent its list
 SETTLING_TIME = 1.0  # seconds after which what was sent has been applied
 RECONNECT_TIME = 0.3  # seconds in which watches that were reset reconnect
 POLL_INTERVAL = 0.05  # seconds between two checks
-REAL, SIMULATED = "real", "hollow"  # the two groups' endpoints
+REAL, SIMULATED = "real", "simulated"  # the two groups' endpoints
+NAME = "simulated-cost"
+RESULT_NAME = "hollow"
 NOTE = (
-    "a hollow (simulated) proxy has no connections of clients and backends: it does not sweep them, keeps no "
+    "a simulated proxy (hollow) has no connections of clients and backends: it does not sweep them, keeps no "
     "addresses of backends, and shares its interpreter's memory with the others of its process"
 )
 
@@ -79,10 +84,10 @@
         self._index = 1
 
     def measure(self, event: Callable[[], int]) -> EventCost:
-        """Let events of one kind happen, and measure what one of them costs a proxy of each group.
+        """Carry out events of one kind, and measure what one of them costs a proxy of each group.
 
         Args:
-            event: Lets them happen; returns how many there were.
+            event: Carries them out; returns how many there were.
         """
         before, started = self._readings(), time.monotonic()
         events = event()
@@ -114,13 +119,13 @@
     def send_snapshots(self, count: int) -> int:
         """Make both groups reconnect for a complete list, `count` times."""
         for number in range(count):
-            self._registry.call("reset_connections", [REAL, SIMULATED], True)
+            self._registry.call("reset_connections", [REAL, SIMULATED], forget_log=True)
             time.sleep(RECONNECT_TIME)
             wait_for_snapshots(self._registry, number + 2)  # the first was that of the start
         return count
 
     def stay_idle(self, seconds: float) -> int:
-        """Let time pass with heartbeats alone, which counts as one event."""
+        """Wait while nothing but heartbeats is sent, which counts as one event."""
         time.sleep(seconds)
         return 1
 
@@ -138,7 +143,7 @@
     """Start the control machine and both groups, and wait until all of them watch.
 
     Raises:
-        RuntimeError: A proxy does not watch in time.
+        WatchTimeoutError: A proxy does not watch in time.
     """
     rng = np.random.default_rng(seed)
     fleet = topology.build(seed)
@@ -162,29 +167,29 @@
     """Wait until every proxy of both groups has been sent `count` complete lists.
 
     Raises:
-        RuntimeError: It takes too long.
+        WatchTimeoutError: It takes too long.
     """
     deadline = time.monotonic() + SNAPSHOT_TIMEOUT
     while any(
         registry.call("endpoint_traffic", name).snapshots < PROXIES * count for name in (REAL, SIMULATED)
     ):
         if time.monotonic() > deadline:
-            raise RuntimeError("a proxy does not watch")
+            raise WatchTimeoutError
         time.sleep(POLL_INTERVAL)
 
 
 def run(options: RunOptions) -> RunResult:
-    """Changes of one row, snapshots and keepalive lines at both groups; writes hollow.json."""
+    """Changes of one row, snapshots and keepalive lines at real and simulated proxies; writes hollow.json."""
     started = time.monotonic()
     with running_comparison(options.seed) as comparison:
-        report_progress("hollow", f"{PROXIES} real and {PROXIES} hollow proxies watch")
+        report_progress(NAME, f"{PROXIES} real and {PROXIES} simulated proxies watch")
         events = _measure_events(comparison, QUICK if options.quick else FULL)
         memory = comparison.memory()
     for name, event in events.items():
         differences = {figure: round(value or 0.0, 1) for figure, value in event.difference_percent().items()}
-        report_progress("hollow", f"{name}: hollow beside real, in percent: {differences}")
+        report_progress(NAME, f"{name}: simulated compared with real, in percent: {differences}")
     figures = {"memory": memory["real_mb"], "processor_mean": _mean_processor_percent(events)}
-    body: dict[str, Any] = {
+    body: JsonObject = {
         "quick": options.quick,
         "rows": topology.BACKENDS,
         "proxies": PROXIES,
@@ -194,7 +199,7 @@
         "note": NOTE,
         "duration": time.monotonic() - started,
     }
-    return RunResult(figures, write_result(options.result_name("hollow"), options.seed, body, options.out))
+    return RunResult(figures, write_result(options.result_name(RESULT_NAME), options.seed, body, options.out))
 
 
 def _measure_events(comparison: Comparison, amounts: Amounts) -> dict[str, EventCost]:
--- a/emulator/runs/simulated_fleet.py
+++ b/emulator/runs/simulated_fleet.py
@@ -96,7 +96,7 @@
             for _ in range(_host_count(plan))
         ]
         positions = [int(position) for position in self.rng.permutation(plan.backends)[: plan.proxies]]
-        layout = assign_proxies(self.topology, positions, plan.narrow_view, len(self.hosts))
+        layout = assign_proxies(self.topology, positions, len(self.hosts), narrow_view=plan.narrow_view)
         self.endpoints = layout.endpoints
         self.proxies_per_host = [len(proxies) for proxies in layout.processes]
         self.start = self._start(layout)
@@ -108,7 +108,7 @@
         self.open_endpoints(self.endpoints)
         for host, proxies in zip(self.hosts, layout.processes, strict=True):
             placements = [ProxyPlacement(position, endpoint.port) for position, endpoint in proxies]
-            host.send("start_proxies", placements, self.plan.proxies, self.plan.narrow_view)
+            host.send("start_proxies", placements, self.plan.proxies, narrow_view=self.plan.narrow_view)
         costs: list[StartCost] = [host.result() for host in self.hosts]
         call_all(self.hosts, "freeze")
         return FleetStart.of(costs)
@@ -171,7 +171,7 @@
     def restart_without_log(self, machine: int) -> None:
         """Simulate the restart of a control machine without its log: its watches return for a snapshot."""
         names = [endpoint.name for endpoint in self.endpoints_at(machine)]
-        self.machines[machine].call("reset_connections", names, True)
+        self.machines[machine].call("reset_connections", names, forget_log=True)
 
     def partition_region(self, region: int) -> None:
         """Cut a region's proxies off from the control machines."""
--- a/emulator/runs/slope.py
+++ b/emulator/runs/slope.py
@@ -7,13 +7,15 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from emulator.measurement.fit import Fit, fit_all
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
+    from emulator.measurement.json_values import JsonObject
+
 Point = dict[str, float]  # one measurement: figures by the names that they have in results
 
 
@@ -36,7 +38,7 @@
         xs = [point[self.against] for point in self.points]
         return fit_all(xs, [point[figure] for point in self.points])
 
-    def as_dict(self) -> dict[str, Any]:
+    def as_dict(self) -> JsonObject:
         """Return the slope as a result holds it."""
         fits = {figure: [fit.as_dict() for fit in self.fits(figure)] for figure in self.figures}
         return {"points": list(self.points), "fits": fits}
--- a/emulator/runs/slopes.py
+++ b/emulator/runs/slopes.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import time
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from emulator.fleet import topology
 from emulator.measurement.fit import LINE
@@ -18,6 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
+    from emulator.measurement.json_values import JsonObject
     from emulator.runs.slope import Slope
 
 MILLISECONDS = 1e3  # in a second
@@ -43,7 +44,7 @@
         elapsed = time.monotonic() - started
         report_progress("slopes", f"{name}: {len(slopes[name].points)} points after {elapsed:.0f} s")
     figures = budget_figures(slopes)
-    body: dict[str, Any] = {
+    body: JsonObject = {
         "quick": options.quick,
         **{name: slope.as_dict() for name, slope in slopes.items()},
         "figures": figures,
--- a/emulator/runs/slopes_proxy.py
+++ b/emulator/runs/slopes_proxy.py
@@ -10,6 +10,7 @@
 
 import numpy as np
 
+from emulator.errors import ApplyTimeoutError
 from emulator.fleet import topology
 from emulator.fleet.simulated_host import ProxyPlacement, SimulatedHost, StartCost
 from emulator.measurement.control_cost import GroupReading
@@ -61,16 +62,16 @@
         self._latest[entry["name"]] = self._index
 
     def wait_until_applied(self) -> None:
-        """Wait until the proxies have applied every change; RuntimeError where that takes too long."""
+        """Wait until the proxies have applied every change; ApplyTimeoutError where that takes too long."""
         if not self._host.call("wait_until_applied", self._latest, APPLY_TIMEOUT):
-            raise RuntimeError(f"a change was not applied within {APPLY_TIMEOUT:g} s")
+            raise ApplyTimeoutError(what="a change", seconds=APPLY_TIMEOUT)
 
     def send_snapshot(self) -> None:
-        """Send the proxies a complete list and wait for it; RuntimeError where that takes too long."""
+        """Send the proxies a complete list and wait for it; ApplyTimeoutError where that takes too long."""
         self._snapshots += 1
-        self._registry.call("reset_connections", [ENDPOINT], True)
+        self._registry.call("reset_connections", [ENDPOINT], forget_log=True)
         if not self._host.call("wait_for_snapshots", self._snapshots, APPLY_TIMEOUT):
-            raise RuntimeError(f"a snapshot was not applied within {APPLY_TIMEOUT:g} s")
+            raise ApplyTimeoutError(what="a snapshot", seconds=APPLY_TIMEOUT)
 
     def set_call_rate(self, rate: float) -> None:
         """Feed each proxy calls at a rate a second from now on."""
@@ -90,7 +91,7 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         self._host.close()
         self._registry.close()
--- a/tests/emulator/test_added_latency.py
+++ b/tests/emulator/test_added_latency.py
@@ -16,7 +16,7 @@
 
 def test_processes_get_cores_of_their_own_where_there_are_enough() -> None:
     alone = place([4, 5, 6], 1)
-    assert alone == Placement(frozenset([4]), frozenset([5]), [frozenset([6])], True)
+    assert alone == Placement(frozenset([4]), frozenset([5]), [frozenset([6])], exclusive=True)
     many = place([1, 2, 3, 4, 5], 24)
     assert many.proxies == [frozenset([3, 4, 5])] * 24
     assert not many.exclusive
--- a/tests/emulator/test_budgets.py
+++ b/tests/emulator/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets and what a set of figures says of them."""
+"""Budgets, and the verdict on a set of figures."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 def test_a_violated_budget_is_named_and_a_known_one_violates_nothing() -> None:
     enforced = {"a": True, "b": False, "c": True}
-    budgets = [Budget(name, name, 1.0, "s", must_hold, "") for name, must_hold in enforced.items()]
+    budgets = [Budget(name, name, 1.0, "s", is_enforced, "") for name, is_enforced in enforced.items()]
     fine = check_budgets({"a": 1.0, "b": 2.0}, budgets)
     assert fine.violated == ()
     assert fine.line() == "checked 2 budgets (a, b); not checked: c; over: b 2 of 1 s (known)"
--- a/tests/emulator/test_cli.py
+++ b/tests/emulator/test_cli.py
@@ -19,7 +19,8 @@
         ["odd"],
         ["slopes", "--seed", "x"],
         ["fleet", "--odd"],
-        ["hollow", "--out", __file__],
+        ["simulated-cost", "--out", __file__],
+        ["hollow", "--out", __file__],  # the former name
         ["settings", "--program", __file__],
         ["slopes", "--program", "."],
     ],
--- a/tests/emulator/test_health_check.py
+++ b/tests/emulator/test_health_check.py
@@ -1,4 +1,4 @@
-"""What a proxy's health check says of its configuration."""
+"""What a proxy's health check reports of its configuration."""
 
 from __future__ import annotations
 
--- a/tests/emulator/test_settings_reload.py
+++ b/tests/emulator/test_settings_reload.py
@@ -10,7 +10,7 @@
 from emulator.measurement.budgets import BUDGETS, check_budgets
 from emulator.runs.latency_trials import ALL_ROWS
 from emulator.runs.settings_changes import KINDS, kind_of, settings_after
-from emulator.runs.settings_reload import FULL, QUICK
+from emulator.runs.settings_measurement import FULL, QUICK
 from emulator.runs.settings_report import (
     MAX_AGE,
     Ages,
@@ -22,13 +22,13 @@
 
 
 def test_each_change_is_of_one_kind_and_makes_other_settings() -> None:
-    changed = [settings_after(number, 24, 3) for number in range(2 * len(KINDS) + 1)]
+    following = [settings_after(number, 24, 3) for number in range(300)]
+    changed = [dict(each) for each in following[: 2 * len(KINDS) + 1]]
     keys = {"aim": {"Services"}, "share": {"Orgs"}, "size": {"Instances"}, "class": {"Services"}}
     for number, (before, after) in enumerate(pairwise(changed), 1):
         assert {key for key in before if before[key] != after[key]} == keys[kind_of(number)]
     assert len({json.dumps(each) for each in changed}) == len(changed)
-    assert [len(each["Services"]) for each in changed[3:9]] == [1, 2, 2, 2, 2, 1]
-    following = [settings_after(number, 24, 3) for number in range(300)]
+    assert [len(each["Services"]) for each in following[3:9]] == [1, 2, 2, 2, 2, 1]
     assert all(before != after for before, after in pairwise(following))
 
 
@@ -41,7 +41,7 @@
     assert ages.worst() == 0.03
     ages.add(ChangeAge(MAX_AGE + 0.2, in_force=True))  # too late
     ages.add(ChangeAge(MAX_AGE + 0.1, in_force=False))
-    found = ages.as_dict()
+    found = json.loads(json.dumps(ages.as_dict()))  # as a result holds it
     assert (found["in_force"], found["of"], found["age"]["count"]) == (3, 5, 3)
     assert found["age"]["us"]["median"] == pytest.approx(20_000, rel=2e-3)
     assert ages.worst() == MAX_AGE + 0.2
--- a/tests/emulator/test_simulated_host.py
+++ b/tests/emulator/test_simulated_host.py
@@ -52,7 +52,7 @@
             host = SimulatedHost(SEED, BACKENDS, SERVICES)
             await with_timeout(host.start_proxies([ProxyPlacement(0, port)]))
             host.set_call_rate(1000.0)
-            balancer = host._proxies[0].balancer
+            balancer = host.proxies[0].balancer
             await wait_until(lambda: balancer.statistics.sample_count >= 10)
             host.set_call_rate(0.0)
             assert not balancer.requests
