--- a/proxy/discovery/endpoint_reader.py
+++ b/proxy/discovery/endpoint_reader.py
@@ -1,18 +1,21 @@
 """Reads the entries of the endpoint list, in discovery's form, into typed values.
 
-It owns the numbers that the names of zones and machine types have in this process. It owns neither the list
-itself nor the connection that the list arrives on.
+It owns the numbers of zones and machine types in this process, but neither the list itself nor the connection
+that the list arrives on.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, cast
 
-from balancer.endpoints import Endpoint, EndpointId, EndpointStatus
+from balancer.endpoints import Endpoint, EndpointId
 from proxy.address import Address, read_address
-from proxy.json_values import EntryError, InvalidEntryError, MissingEntryError, require_entry, require_object
+from proxy.discovery.entry_errors import entry_error
+from proxy.discovery.messages import STATUSES
+from proxy.discovery.name_index import NameIndex
+from proxy.json_values import EntryError, InvalidEntryError, require_entry, require_object
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -21,17 +24,8 @@
     from proxy.config import Config
     from proxy.discovery.messages import EndpointEntry
 
-STATUSES = {
-    "in_service": EndpointStatus.UP,
-    "terminating": EndpointStatus.DRAINING,
-    "terminated": EndpointStatus.REMOVED,
-}
-MAX_NAMES = 4096  # names of zones, or of machine types, that are distinguished
-UNKNOWN_NAME = -1  # the number of all names beyond those
 MS_PER_SECOND = 1000.0
 
-Places = tuple[int, ...] | None  # the zones or machine types that a class is bound to; None: any
-
 
 @dataclass(slots=True, frozen=True)
 class DiscoveredEndpoint:
@@ -66,41 +60,6 @@
     return int.from_bytes(name.encode(), "big")
 
 
-class NameIndex:
-    """The numbers of zones, or of machine types; a name keeps its number until the process ends.
-
-    Placement therefore stays right when the settings change: endpoints that were read before still state
-    where they are, and a number never comes to mean another zone or machine type.
-    """
-
-    def __init__(self, names: Mapping[str, int]) -> None:
-        self._numbers = dict(names)
-
-    def number_of(self, name: str) -> int:
-        """Return the number of a name, a new one for a new name.
-
-        Names beyond the first `MAX_NAMES` would fill the memory: all of them have the number `UNKNOWN_NAME`.
-        """
-        number = self._numbers.get(name)
-        if number is not None:
-            return number
-        if len(self._numbers) >= MAX_NAMES:
-            return UNKNOWN_NAME
-        return self._numbers.setdefault(name, max(self._numbers.values(), default=-1) + 1)
-
-    def translate(self, places: Places, names: Mapping[str, int]) -> Places:
-        """Return the numbers that places of a configuration have in this process.
-
-        Args:
-            places: Positions in the configuration's list of names; None: any.
-            names: The configuration's names, in the order of that list.
-        """
-        if places is None:
-            return None
-        listed = list(names)
-        return tuple(sorted({self.number_of(listed[place]) for place in places}))
-
-
 class EndpointReader:
     """Reads entries in discovery's form into endpoints; names of zones and machine types become numbers."""
 
@@ -134,7 +93,7 @@
         except EntryError:
             raise
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise _error_of(entry) from error
+            raise entry_error(entry) from error
 
     def endpoints(self, message: Mapping[str, object]) -> list[DiscoveredEndpoint]:
         """Read all entries of a message.
@@ -179,40 +138,3 @@
         )
         zones = self._zones.translate(request_class.allowed_zones, config.zone_indices)
         return replace(request_class, allowed_machine_types=machine_types, allowed_zones=zones)
-
-
-def _error_of(entry: object) -> EntryError:
-    """Return the error that names what makes an entry unreadable."""
-    if not isinstance(entry, dict):
-        return InvalidEntryError(key="entry", value=entry, expected="an object")
-    for key in REQUIRED_KEYS:
-        if key not in entry:
-            return MissingEntryError(key)
-    for key, is_valid, expected in VALUE_CHECKS:
-        if key in entry and not is_valid(entry[key]):
-            return InvalidEntryError(key=key, value=entry[key], expected=expected)
-    return InvalidEntryError(key="entry", value=entry, expected="a valid entry")
-
-
-def _is_text(value: object) -> bool:
-    return isinstance(value, str)
-
-
-def _is_status(value: object) -> bool:
-    return isinstance(value, str) and value in STATUSES
-
-
-def _is_number(value: object) -> bool:
-    return isinstance(value, (int, float))
-
-
-REQUIRED_KEYS = ("name", "status", "address")
-#: What an entry's values have to be, in the order in which errors are reported: key, check, and its
-#: description.
-VALUE_CHECKS: tuple[tuple[str, Callable[[object], bool], str], ...] = (
-    ("name", _is_text, "a text"),
-    ("status", _is_status, f"one of {', '.join(STATUSES)}"),
-    ("since_ms", _is_number, "a number"),
-    ("zone", _is_text, "a text"),
-    ("type", _is_text, "a text"),
-)
--- a/proxy/discovery/message_assembler.py
+++ b/proxy/discovery/message_assembler.py
@@ -56,7 +56,7 @@
             raise MessageTooLongError
 
     def _feed_line(self, line: bytes) -> Iterator[EndpointListMessage | None]:
-        """Add one line: empty as a sign of life, else an object, or a part of an indented one."""
+        """Add one line: empty as a heartbeat, else an object, or a part of an indented one."""
         if not line.strip():
             if self._object:
                 raise IncompleteMessageError
--- a/proxy/discovery/messages.py
+++ b/proxy/discovery/messages.py
@@ -4,6 +4,15 @@
 
 from typing import NotRequired, TypedDict
 
+from balancer.endpoints import EndpointStatus
+
+#: The words for an endpoint's status.
+STATUSES = {
+    "in_service": EndpointStatus.UP,
+    "terminating": EndpointStatus.DRAINING,
+    "terminated": EndpointStatus.REMOVED,
+}
+
 
 class EndpointEntry(TypedDict):
     """One backend of the endpoint list.
--- a/proxy/upstream/__init__.py
+++ b/proxy/upstream/__init__.py
@@ -1,6 +1,11 @@
-"""The backends' side of the proxy: connections to backends, attempts on them, and how each attempt ended.
+"""The backends' side of the proxy: connections to backends, and the attempts that they carry.
 
-It decides nothing about which endpoint serves a request or whether a retry follows: `balancer` does.
+Read `connection_pool` first: it finds a connection for each `attempt`, a new one or one of
+`idle_connections`, whose reuse `keepalive_policy` limits. `connection` is one connection, `response_parser`
+parses its input, `memory_budget` limits incomplete responses, and `backend` is one backend of the endpoint
+list.
+
+Which endpoint serves a request, and whether a retry follows, is decided in `balancer` alone.
 """
 
 from proxy.upstream.attempt import AttemptCallbacks, UpstreamAttempt
--- a/tests/proxy/discovery/test_endpoint_list.py
+++ b/tests/proxy/discovery/test_endpoint_list.py
@@ -24,7 +24,7 @@
     proxy_config,
     status_of,
 )
-from tests.support.proxy_internals import established_connections
+from tests.support.proxy_internals import backends_with_idle_connections, established_connections
 
 
 @in_event_loop
@@ -75,6 +75,7 @@
             proxy.notify([endpoint_entry(f"b{number}", backend.address, "terminated", since_ms=1000)])
         backends = proxy.proxy.endpoint_table.backends
         assert len(backends) == len(proxy.balancer.endpoints.states) == 1
+        assert backends_with_idle_connections(proxy.pool) <= 1
         await wait_until(lambda: established_connections(proxy.pool) <= 1)
 
 
--- a/tests/support/proxy_internals.py
+++ b/tests/support/proxy_internals.py
@@ -58,6 +58,11 @@
     return list(pool._idle._by_backend.get(backend, ()))
 
 
+def backends_with_idle_connections(pool: ConnectionPool) -> int:
+    """Return the number of backends that the pool stores idle connections, or an empty list of them, for."""
+    return len(pool._idle._by_backend)
+
+
 def remove_idle_connection(pool: ConnectionPool, connection: UpstreamConnection) -> None:
     """Remove a connection from the idle ones without closing it, as if an attempt reused it."""
     pool._idle.remove(connection)
