--- a/proxy/responder.py
+++ b/proxy/responder.py
@@ -38,13 +38,15 @@
         self._monitor = monitor
         self._event_log = event_log
 
-    def answer(self, active: ActiveRequest, status: int, head: bytes, body: bytes, reason: str = "") -> None:
+    def answer(
+        self, active: ActiveRequest, status: int, headers: bytes, body: bytes, reason: str = ""
+    ) -> None:
         """Send the final answer, if one is still pending.
 
         Args:
             active: The request.
             status: The status code of the response.
-            head: Its end-to-end headers, each with its line end.
+            headers: Its end-to-end headers, each with its line end.
             body: Its complete body.
             reason: Why the request is rejected, for the event log.
         """
@@ -55,12 +57,12 @@
                 self._event_log.record(ResponseSent(id=active.logged_id, status=status, reason=reason))
         self._registry.settle(active)
         if response_sink is not None:
-            response_sink.send_response(status, head, body)
+            response_sink.send_response(status, headers, body)
 
     def reject(self, active: ActiveRequest, action: Reject) -> None:
         """Answer that the request was rejected, so that the client may repeat it without harm."""
-        head = b"Retry-After: %.3f\r\n" % action.retry_after if action.retry_after > 0.0 else b""
-        self.answer(active, SERVICE_UNAVAILABLE, head, SHED_BODY, action.reason.value)
+        headers = b"Retry-After: %.3f\r\n" % action.retry_after if action.retry_after > 0.0 else b""
+        self.answer(active, SERVICE_UNAVAILABLE, headers, SHED_BODY, action.reason.value)
 
     def return_fault(self, active: ActiveRequest, status: int) -> None:
         """Answer with the status by which a backend found the request itself at fault."""
--- a/tests/proxy/test_event_log.py
+++ b/tests/proxy/test_event_log.py
@@ -4,12 +4,13 @@
 
 import os
 from contextlib import suppress
-from typing import TYPE_CHECKING
+from dataclasses import fields
+from typing import TYPE_CHECKING, get_args
 
 import orjson
 
 from proxy.event_log import VARIABLE, EventLog
-from proxy.logged_events import EndpointsUpdated, Event, ShutdownStarted
+from proxy.logged_events import EndpointsUpdated, Event, LinesDropped, LoggedEvent, ShutdownStarted
 from proxy.proxy import Proxy
 from tests.support.loopback import RunningProxy, in_event_loop, respond_ok, stub_backend
 from tests.support.proxy_inputs import endpoint_entry, get_request, proxy_config, status_of
@@ -47,6 +48,13 @@
         proxy.listener.stop_keepalive()
 
 
+def test_each_event_has_one_type_that_documents_its_fields() -> None:
+    types = [*get_args(LoggedEvent), LinesDropped]
+    assert sorted(each.event for each in types) == sorted(Event)
+    for each in types:
+        assert all(f"{field.name}: " in str(each.__doc__) for field in fields(each)), each
+
+
 @in_event_loop
 async def test_lines_are_dropped_and_counted_while_the_pipe_is_full() -> None:
     reading, writing = os.pipe()
