--- a/balancer/admission_control.py
+++ b/balancer/admission_control.py
@@ -42,17 +42,20 @@
 
 #: Multiple of the latency's baseline at which shedding by chance begins: a higher value lets more requests
 #: pile up at endpoints that serve less the more they have in flight, a lower one sheds bursts that they
-#: could have served. 1.75 to 2.5 raised the mean score of twelve days from 0.73 to 0.79; 2 to 3 was worse
-#: on the days of overload (docs/postmortems.md, "All proxies together had more in flight than backends
-#: bear").
+#: could have served. 1.75 to 2.5 raised the mean score of twelve days from 0.73 to 0.79 (1 play each); 2 to
+#: 3 was worse on days of overload. Since the baseline is one of means, lower values were tried on
+#: lima-feeds and served less: 0.466 from 1.2 to 1.7, where 1.75 to 2.5 served 0.547 and 0.568
+#: (docs/postmortems.md, "All proxies together had more in flight than backends bear" and "Figures: the
+#: standing test").
 SHEDDING_START = 1.75
 #: Multiple of the baseline at which all requests are shed; from the same trials.
 SHEDDING_FULL = 2.5
 #: Part by which both multiples are higher for the highest priority weight; from the same trials.
 SHEDDING_PRIORITY = 0.5
 #: Fleet sizes, in proxies: nothing is shed by chance at the first, and in full from the second on. Two or
-#: three proxies see an overload by themselves, and shedding cost them more bursts than it saved (0.900 to
-#: 0.877 on the day "reload"; commit 3494bfc). Found by trials on that day and three days of large fleets.
+#: three proxies see an overload by themselves, and shedding cost them more bursts than it saved (median
+#: 0.901 to 0.877 of 3 plays each on the day "reload"; commit 3494bfc). Found by trials on that day and
+#: three days of large fleets.
 SHEDDING_MIN_FLEET, SHEDDING_FULL_FLEET = 2, 6
 #: Seconds over which pending requests are averaged, as the number of one moment is mostly chance at a proxy
 #: that has a few. Set together with SHEDDING_START, not derived.
@@ -68,7 +71,7 @@
 
 #: Part of the tier's mean latency for which rejected clients should stay away: half of what is in flight has
 #: ended by then. The time of one place (1 / rate served) let clients use up their attempts at once: 0.917
-#: against 0.943 on event5803 (docs/postmortems.md, "Rejected clients never got a Retry-After").
+#: against 0.943 and 0.938 on event5803 (docs/postmortems.md, "Rejected clients never got a Retry-After").
 RETRY_AFTER_PART = 0.5
 #: Seconds that a client should stay away at most where the settings state no limit. Chosen.
 MAX_RETRY_AFTER = 1.0
--- a/balancer/circuit_breaker.py
+++ b/balancer/circuit_breaker.py
@@ -16,9 +16,7 @@
 #: one. The part beyond 1 lets an endpoint fail occasionally, and admits calls that find out that it
 #: recovered.
 MAX_MULTIPLIER = 1.5
-MIN_MULTIPLIER = (
-    1.1  # what K falls to where every recent bucket holds failures alone: throttle a dead one harder
-)
+MIN_MULTIPLIER = 1.1  # what K falls to where all recent buckets hold failures alone
 PROTECTED_REQUESTS = 5  # requests that never count against an endpoint: a few failures are no evidence
 #: Failures in the window from which an endpoint may be an outlier; one alone would make one of an endpoint
 #: that is called for the first time. Chosen: it came with the program, and no derivation is known.
