--- a/balancer/client_timeouts.py
+++ b/balancer/client_timeouts.py
@@ -19,12 +19,10 @@
 MAX_BUCKETS = 256
 #: Requests with the usual timeout before a different one indicates a retry: less is no usual timeout. Chosen.
 MIN_USUAL_COUNT = 4
-MIN_TIMEOUT = (
-    1e-6  # seconds: shorter ones, also those already over, are counted as this, as 0 has no logarithm
-)
-SAME_TIMEOUT_BUCKETS = (
-    1  # buckets by which equal timeouts may differ: they can lie on both sides of a boundary
-)
+#: Seconds: shorter timeouts, also those that are already over, are counted as this, as 0 has no logarithm.
+MIN_TIMEOUT = 1e-6
+#: Buckets by which equal timeouts may differ, as they can lie on both sides of a boundary.
+SAME_TIMEOUT_BUCKETS = 1
 
 
 class ClientTimeouts:
--- a/emulator/__init__.py
+++ b/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""A simulated fleet on one machine: discovery, proxies, and runs that measure what the size costs."""
+"""A simulated fleet on one machine: discovery, proxies, and runs that measure what its size costs."""
--- a/emulator/cli.py
+++ b/emulator/cli.py
@@ -63,7 +63,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
-    """Measure on one machine what the size costs."""
+    """Measure on one machine what the size of a fleet costs."""
 
 
 def _report_verdict(figures: dict[str, float]) -> int:
--- a/emulator/load/generator.py
+++ b/emulator/load/generator.py
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class StreamTally:
-    """What became of a stream's calls.
+    """The outcomes and latencies of a stream's calls.
 
     Attributes:
         latencies_us: Microseconds from the scheduled start to the response's last byte, for those calls of
@@ -76,8 +76,9 @@
     and its core is its own.
 
     Attributes:
-        tallies: What became of each stream's calls, in the plan's order.
-        stalls_us: Each time in microseconds in which it did not run: what was measured then is not reliable.
+        tallies: The outcomes of each stream's calls, in the plan's order.
+        stalls_us: The length in microseconds of each stall of the loop: measurements during a stall are
+            unreliable.
     """
 
     def __init__(self, plan: LoadPlan, clock: Callable[[], float] = time.perf_counter) -> None:
--- a/emulator/load/plan.py
+++ b/emulator/load/plan.py
@@ -30,7 +30,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadPlan:
-    """The streams of one load generator, for `warmup` seconds uncounted and then for `seconds` counted."""
+    """The streams of one load generator.
+
+    Attributes:
+        seed: For everything random.
+        warmup: Seconds of calls that are not counted.
+        seconds: Seconds of calls after those, which are counted.
+        streams: The kinds of calls.
+    """
 
     seed: int
     warmup: float
@@ -79,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StreamReport:
-    """What became of one stream's calls.
+    """The outcomes and latencies of one stream's calls.
 
     Attributes:
         ended: Number of calls by outcome: a status, or an outcome of `emulator.load.generator`.
--- a/emulator/measurement/control_cost.py
+++ b/emulator/measurement/control_cost.py
@@ -1,4 +1,4 @@
-"""What control costs a proxy, and a simulated one beside a real one for one kind of event.
+"""What control costs a proxy, and how a simulated proxy compares with a real one, for one kind of event.
 
 It owns the arithmetic and the form of the comparison in a result; the events happen in
 `runs.simulated_cost`. Results call a simulated proxy "hollow", its former name.
--- a/emulator/runs/latency_report.py
+++ b/emulator/runs/latency_report.py
@@ -1,4 +1,4 @@
-"""What a trial of added latency found: as it goes into the result, for the budgets, and in one line.
+"""The report of a trial of added latency: for the result file, for the budgets, and as one line of text.
 
 The added latency is the difference of two quantiles, through the proxies and direct. That is not a quantile
 of differences, since no call goes both ways.
@@ -40,12 +40,12 @@
 
     @property
     def processor(self) -> float:
-        """Processor time spent meanwhile, in seconds."""
+        """Processor time spent between the two, in seconds."""
         return self.after.processor - self.before.processor
 
     @property
     def preemptions(self) -> int:
-        """Involuntary context switches meanwhile."""
+        """Involuntary context switches between the two."""
         return self.after.preemptions - self.before.preemptions
 
 
@@ -62,7 +62,7 @@
 class ProxyReport:
     """One proxy's own figures, by their names in the result.
 
-    Its processor time covers the warm-up, and what it does beside calls.
+    Its processor time covers the warm-up, and its work that no call causes.
     """
 
     rate: float
@@ -76,7 +76,7 @@
 
     @classmethod
     def of(cls, rate: float, stream: StreamReport, usage: UsagePair) -> ProxyReport:
-        """Summarise the calls through one proxy, and what it used meanwhile."""
+        """Summarise the calls through one proxy, and what it used during them."""
         calls = sum(stream.ended.values())
         histogram = merge([stream.histogram])
         return cls(
--- a/emulator/runs/settings_measurement.py
+++ b/emulator/runs/settings_measurement.py
@@ -39,7 +39,7 @@
 
 POLL_INTERVAL = 0.01  # seconds between two health checks while a change is awaited: an age is exact to that
 RATE = 20.0  # calls a second at each proxy that is called
-MEMORY_READINGS = 2  # of the memory over its reloads, beside the one before
+MEMORY_READINGS = 2  # of the memory during the reloads, after the one before them
 
 
 @dataclass(slots=True, frozen=True)
@@ -48,7 +48,7 @@
 
     Attributes:
         proxies: Proxies at which settings change.
-        called: Those of them that are called meanwhile.
+        called: Those of them that are called during the changes.
         series: Time in which changes begin.
         interval: Between two changes.
         rows: Endpoint lists at which processor time is measured; the last one is that of the complete fleet.
@@ -91,11 +91,11 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadedChanges:
-    """What changes under load gave.
+    """What was measured of changes under load.
 
     Attributes:
         changes: How old the changes were when in force.
-        calls: What became of the calls meanwhile.
+        calls: The outcomes and latencies of the calls during them.
     """
 
     changes: ChangesReport
@@ -104,7 +104,7 @@
 
 @dataclass(slots=True, frozen=True)
 class IdleChanges:
-    """What changes at proxies without calls gave.
+    """What was measured of changes at proxies without calls.
 
     Attributes:
         memory: How a proxy's memory grew.
--- a/emulator/runs/settings_reload.py
+++ b/emulator/runs/settings_reload.py
@@ -1,6 +1,6 @@
 """The run `settings`: changes that come into force without a restart, at real proxies.
 
-It measures their age, processor time and memory, and the calls lost meanwhile. The changes are built in
+It measures their age, processor time and memory, and the calls lost during them. The changes are built in
 `emulator.runs.settings_changes`, and `emulator.runs.settings_measurement` makes and measures them.
 """
 
--- a/emulator/runs/settings_report.py
+++ b/emulator/runs/settings_report.py
@@ -1,4 +1,4 @@
-"""What the run of settings changes found: ages, calls, processor time and memory, as its result has them."""
+"""The report of a run of settings changes: ages, calls, processor time and memory, as its result has them."""
 
 from __future__ import annotations
 
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallsReport:
-    """What became of the calls that were made while settings changed."""
+    """The outcomes and latencies of the calls that were made while settings changed."""
 
     outcomes: CallOutcomes
     rate: float
@@ -124,7 +124,7 @@
     Attributes:
         rows: Rows of the endpoint list.
         signals: SIGHUPs sent with other settings.
-        swaps: How often the settings were swapped meanwhile; None where the proxy does not report it.
+        swaps: How often the settings were replaced by them; None where the proxy does not report it.
         reload: Of a SIGHUP with other settings, reading the file and its known list included.
         reread: Of a SIGHUP with the same settings.
         swap: The difference between these.
