--- a/tests/emulator/test_cli.py
+++ b/tests/emulator/test_cli.py
@@ -8,7 +8,7 @@
 import pytest
 from click.testing import CliRunner
 
-from emulator.cli import added_command
+from emulator.cli import added_command, cli
 from testbed.paths import PROJECT_ROOT
 
 
@@ -45,3 +45,10 @@
 )
 def test_bad_arguments_of_added_exit_with_2(arguments: list[str]) -> None:
     assert CliRunner().invoke(added_command, arguments).exit_code == 2
+
+
+def test_the_former_name_of_a_run_is_accepted_and_not_shown() -> None:
+    shown = CliRunner().invoke(cli, ["--help"]).output
+    assert "simulated-cost" in shown
+    assert "hollow" not in shown
+    assert CliRunner().invoke(cli, ["hollow", "--help"]).exit_code == 0
