--- a/balancer/hedging.py
+++ b/balancer/hedging.py
@@ -1,9 +1,9 @@
 """Hedging: when a second attempt is considered while one is open; `attempt_dispatch` starts it.
 
 The page docs/postmortems.md ("Views waited for responses that never came") has the trials behind the
-constants. The first form hedged at every tier, earlier, and from the budget of retries: it cost 31
-simulated days 0.025 of their score on average. In this form they lose 0.005 (standard error 0.006), and the
-day that it was made for gains.
+constants. The first form hedged at every tier, sooner where time ran short, and from the budget of retries:
+it cost 31 simulated days 0.025 of their score on average. In this form they lose 0.005 (standard error
+0.006), and the day that it was made for gains.
 """
 
 from dataclasses import dataclass, field
--- a/balancer/reconfiguration.py
+++ b/balancer/reconfiguration.py
@@ -1,8 +1,8 @@
 """Reconfiguration: replaces the settings of a running balancer, also for the requests in flight.
 
-What was learned of a class or a tenant follows its name, not its index. A request in flight
-may do only what both the settings that admitted it and the new ones allow: an effect that could be repeated
-under one of them must not be repeated under the other.
+What was learned of a class or a tenant follows its name, not its index. A request in flight may do only what
+both the settings that admitted it and the new ones allow, so that nothing is repeated, sent or cancelled that
+either of them forbids.
 """
 
 from collections.abc import Mapping
--- a/balancer/subsetting.py
+++ b/balancer/subsetting.py
@@ -28,8 +28,8 @@
 RESIZE_INTERVAL = 3.0
 #: Endpoints that are selected where the subset is busy: this many for each one in it, and MIN_FALLBACKS more.
 #: Set with the change to few fallbacks instead of all endpoints, which took a day with 177 proxies from a
-#: score of 0.544 to 0.631 (docs/postmortems.md, "Calls beyond a busy subset went to all backends"); no other
-#: numbers were tried.
+#: score of 0.544 to 0.631 (1 play each; docs/postmortems.md, "Calls beyond a busy subset went to all
+#: backends"). Not derived.
 FALLBACKS_PER_ENDPOINT = 2
 MIN_FALLBACKS = 2
 #: 2^32 over the golden ratio: multiplied by it, consecutive ids scatter over all of 32 bits (Fibonacci
