--- a/balancer/events.py
+++ b/balancer/events.py
@@ -33,6 +33,9 @@
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
 
+    # Members are singletons. Enum's own hash is a Python function, which each attempt would call twice.
+    __hash__ = object.__hash__
+
 
 #: Outcomes that prove that the endpoint did no work for the attempt.
 NEVER_RAN = frozenset({Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NOT_SENT})
