--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the whole project; each package here mirrors one of the project's."""
+"""Tests of the project: each package here mirrors one of the project's packages."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -16,7 +16,7 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Expect the tests that are known to fail to do so; whole runs check that each entry names a test."""
+    """Expect the known failures to fail; a run of all tests also checks that each entry names a test."""
     for item in items:
         for entry in KNOWN_RED:
             if entry.names(item.nodeid):
@@ -24,7 +24,9 @@
     is_complete_run = config.args == config.getini("testpaths")
     missing = known_red.unmatched(KNOWN_RED, [item.nodeid for item in items]) if is_complete_run else []
     if missing:
-        raise pytest.UsageError(f"KNOWN-RED.txt names no test: {', '.join(entry.test for entry in missing)}")
+        names = ", ".join(entry.test for entry in missing)
+        message = f"KNOWN-RED.txt names no test: {names}"
+        raise pytest.UsageError(message)
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,7 +1,7 @@
-"""The tests that are known to fail: those that `KNOWN-RED.txt` at the root lists, with cause and issue.
+"""The known failures: the tests that `KNOWN-RED.txt` at the root lists, each with its cause and issue.
 
-The file has one line for each test, of the form `file::test | cause | issue`; a name stands for all
-parameters of its test. Such a test has to fail: once it passes, the run fails until its line is gone.
+The file has one line for each test, of the form `file::test | cause | issue`; a name without parameters
+includes all of them. Such a test has to fail: once it passes, the run fails until the line is removed.
 """
 
 from __future__ import annotations
@@ -20,9 +20,23 @@
 KNOWN_RED_FILE = PROJECT_ROOT / "KNOWN-RED.txt"
 
 
+class MalformedLineError(ValueError):
+    """A line does not name a test, a cause and an issue."""
+
+    def __init__(self, line: str) -> None:
+        super().__init__(f"not of the form test | cause | issue: {line}")
+
+
+class TooManyEntriesError(ValueError):
+    """The file lists more failures than may be known at once."""
+
+    def __init__(self, count: int) -> None:
+        super().__init__(f"{count} known failures, and at most {MAX_ENTRIES} may be listed")
+
+
 @dataclass(slots=True, frozen=True)
 class KnownRed:
-    """A test that fails for a fault that is not mended yet."""
+    """A test that fails because of a fault that is not fixed yet."""
 
     test: str
     cause: str
@@ -34,20 +48,25 @@
 
 
 def parse(text: str) -> list[KnownRed]:
-    """Read the entries of the file; raises ValueError for a malformed line or too many of them."""
+    """Read the entries of the file.
+
+    Raises:
+        MalformedLineError: A line does not have the form above.
+        TooManyEntriesError: There are more than `MAX_ENTRIES`.
+    """
     entries = []
     for line in filter(None, map(str.strip, text.splitlines())):
         fields = [field.strip() for field in line.split(SEPARATOR)]
         if len(fields) != FIELD_COUNT or not all(fields):
-            raise ValueError(f"not of the form test | cause | issue: {line}")
+            raise MalformedLineError(line)
         entries.append(KnownRed(*fields))
     if len(entries) > MAX_ENTRIES:
-        raise ValueError(f"{len(entries)} known failures, and at most {MAX_ENTRIES} may be listed")
+        raise TooManyEntriesError(len(entries))
     return entries
 
 
 def load(path: Path = KNOWN_RED_FILE) -> list[KnownRed]:
-    """Read the file; none means that no test is known to fail."""
+    """Read the file; without one, no test is known to fail."""
     return parse(path.read_text()) if path.exists() else []
 
 
--- a/tests/support/proxy_inputs.py
+++ b/tests/support/proxy_inputs.py
@@ -16,7 +16,7 @@
 
 HOST = "127.0.0.1"
 MAX_WAIT = 20.0  # seconds that any wait may take on a loaded machine
-NO_DISCOVERY_PORT = 9  # discovery's port where nobody is to listen
+NO_DISCOVERY_PORT = 9  # a port on which no process listens
 
 HEALTH_REQUEST = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
@@ -62,7 +62,7 @@
 
     Args:
         entries: The endpoint list known when the configuration was written.
-        discovery: The port of discovery; by default nobody listens there.
+        discovery: The port of discovery; by default no process listens there.
         changed: Other fields of `Config` that differ from the usual ones.
     """
     settings: Settings = read_settings(RAW_SETTINGS)
@@ -94,20 +94,25 @@
         target: The path and query.
         headers: Other or more headers, with `_` for `-`; an empty value leaves a header out.
     """
-    return _request("GET", "read", number, timeout, target, b"", headers)
+    return _request(
+        "GET", target, class_name="read", number=number, timeout=timeout, body=b"", headers=headers
+    )
 
 
 def post_request(number: int = 1, timeout: str = "30", body: bytes = b"room", **headers: str) -> bytes:
     """Return a request of class `book`, which must not run twice; the arguments are as in `get_request`."""
-    return _request("POST", "book", number, timeout, "/api/k", body, headers)
+    return _request(
+        "POST", "/api/k", class_name="book", number=number, timeout=timeout, body=body, headers=headers
+    )
 
 
 def _request(
     method: str,
+    target: str,
+    *,
     class_name: str,
     number: int,
     timeout: str,
-    target: str,
     body: bytes,
     headers: dict[str, str],
 ) -> bytes:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: its form, its limit, and which tests an entry names."""
+"""The list of known failures: its form, its limit, and which tests an entry names."""
 
 import pytest
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README: its example of embedding the decisions runs as it is printed."""
+"""The README: its example of embedding the balancer runs as it is printed."""
 
 import re
 
