--- a/proxy/config_file.py
+++ b/proxy/config_file.py
@@ -118,6 +118,7 @@
     limits = cast("LimitsEntry", require_object("limits", require_entry(file, "limits")))
     bounds = require_object("Bounds", raw_settings.get("Bounds") or {})
     return Config(
+        # The name is not checked: the proxy only compares it when it reloads the file.
         name=environ.get("RELAY_NAME") or cast("str", require_entry(file, "name")),
         listen=_read_address(environ, "RELAY_LISTEN", file, "listen"),
         discovery=_read_address(environ, "RELAY_DISCOVERY", file, "discovery"),
