--- a/proxy/config_file.py
+++ b/proxy/config_file.py
@@ -7,7 +7,6 @@
 
 import re
 from hashlib import sha256
-from pathlib import Path
 from typing import TYPE_CHECKING, NotRequired, TypedDict, cast
 
 import orjson
@@ -99,7 +98,7 @@
 
 def _read_file(path: str) -> bytes:
     """Read a file of limited size: a large one would fill the memory."""
-    with Path(path).open("rb") as file:
+    with open(path, "rb") as file:
         data = file.read(MAX_FILE_BYTES + 1)
     if len(data) > MAX_FILE_BYTES:
         raise FileTooLargeError(MAX_FILE_BYTES)
