--- a/tests/proxy/downstream/test_client_disconnect_races.py
+++ b/tests/proxy/downstream/test_client_disconnect_races.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -39,11 +39,14 @@
 )
 from tests.support.proxy_internals import all_idle_connections
 
+if TYPE_CHECKING:
+    from tests.support.proxy_inputs import RawEntries
+
 REUSABLE_AFTER = 0.02  # seconds after a response until its connection can be reused without a delay
 LONG_LIST_LENGTH = 910  # entries
 
 
-def long_endpoint_list(*addresses: str) -> list[dict[str, Any]]:
+def long_endpoint_list(*addresses: str) -> RawEntries:
     """Return an endpoint list that keeps the event loop busy; only these addresses are in service."""
     fillers = range(LONG_LIST_LENGTH - len(addresses))
     draining = [endpoint_entry(f"r{number}", f"{HOST}:9", "terminating") for number in fillers]
