--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -170,8 +170,8 @@
         poll_interval: How often discovery may be polled.
         warmup_initial_capacity: The part of its full capacity that a new process has at least, from 0 to 1.
         warmup_duration: After how long it has all of it at the latest.
-        overload_multiple: At which multiple of its present capacity a warming endpoint falls over...
-        overload_interval: ...if it gets that much for this long.
+        overload_multiple: The multiple of its present capacity at which a warming endpoint falls over.
+        overload_interval: How long it has to get that much work to fall over.
         retry_budget_floor: Retries that are allowed in any window.
         retry_budget_ratio: Further retries for each request in the window.
         retry_budget_window: The length of the window; 0: no retry budget is stated.
--- a/emulator/errors.py
+++ b/emulator/errors.py
@@ -1,4 +1,4 @@
-"""Why a run of the emulator can not go on; each error carries its facts and says what is wrong."""
+"""Why a run of the emulator can not go on; each error carries its facts and builds its message from them."""
 
 from __future__ import annotations
 
