--- /dev/null
+++ b/tests/testbed/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the stand-ins."""
