--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,7 @@
 scale:
 	$(PYTHON) -m emulator all
 
-# Real processes under overlapping troubles, each request judged, with nothing else running; some minutes.
+# Real processes under overlapping faults, each request checked, with nothing else running; some minutes.
 .PHONY: soak
 soak:
 	$(PYTHON) -m soak --seeds 3
--- a/testbed/discovery/control_endpoint.py
+++ b/testbed/discovery/control_endpoint.py
@@ -38,7 +38,7 @@
         heartbeats: Empty lines.
         snapshots: Complete lists, in watches and on request.
         watches: Watches opened.
-        list_requests: Lists asked for without a watch.
+        list_requests: Lists requested without a watch.
     """
 
     sent_bytes: int = 0
@@ -104,7 +104,7 @@
 
 
 class ControlConnection(asyncio.Protocol):
-    """One client's connection: it asks for the list, or for a watch on it.
+    """One client's connection: it requests the list, or a watch on it.
 
     Attributes:
         index: The version that this watch has been sent; `NO_WATCH` where it is none.
@@ -145,8 +145,9 @@
             self.abort()
 
     def _answer(self, head: bytes) -> None:
-        method, _, rest = head.partition(b"\r\n")[0].decode("latin-1").partition(" ")
-        target = urlsplit(rest.partition(" ")[0])
+        request_line = head.partition(b"\r\n")[0].decode("latin-1")
+        method, _, target_and_version = request_line.partition(" ")
+        target = urlsplit(target_and_version.partition(" ")[0])
         query = parse_qs(target.query)
         if method != "GET" or target.path != LIST_PATH:
             self._write(NOT_FOUND)
--- a/tests/testbed/test_meter.py
+++ b/tests/testbed/test_meter.py
@@ -1,4 +1,4 @@
-"""The readings of what processes spend."""
+"""Series of readings."""
 
 from __future__ import annotations
 
