--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -100,11 +100,11 @@
                 self._balancer.on_request,
                 IncomingRequest(
                     active.request_id,
-                    class_index=classified.class_index,
-                    tenant=classified.tenant_index,
-                    deadline=self._clock.from_loop_time(deadline),
-                    cost=classified.cost,
-                    is_retry=classified.is_retry,
+                    classified.class_index,
+                    classified.tenant_index,
+                    self._clock.from_loop_time(deadline),
+                    classified.cost,
+                    classified.is_retry,
                 ),
                 about=active,
             )
@@ -145,16 +145,19 @@
         if response is not None:
             outcome = self._answer_with(active, outcome, response, now)
         self._registry.remove_if_finished(active)
-        self._executor.perform(
-            self._notify(
-                partial(self._balancer.on_attempt_finished, last=active.response_sink is None),
+        # Without `_notify`, which would have to bind the keyword for each attempt.
+        try:
+            actions = self._balancer.on_attempt_finished(
+                self._clock.now(),
                 active.request_id,
                 number,
                 outcome,
                 now - attempt.started_at,
-                about=active,
+                last=active.response_sink is None,
             )
-        )
+        except Exception:  # noqa: BLE001 - a defect of the balancer must not end the other requests
+            actions = self._on_balancer_error(active)
+        self._executor.perform(actions)
         active.end_unsent_attempts()
 
     def _answer_with(
@@ -211,10 +214,18 @@
         try:
             return event(self._clock.now(), *args)
         except Exception:  # noqa: BLE001 - a defect of the balancer must not end the other requests
-            self._log_balancer_error()
-            if about is not None:
-                self._fail_undecided(about)
-            return []
+            return self._on_balancer_error(about)
+
+    def _on_balancer_error(self, about: ActiveRequest | None) -> list[Action]:
+        """Log the exception that is being handled, and fail the request that it is about.
+
+        Returns:
+            The actions to carry out in place of the balancer's: none.
+        """
+        self._log_balancer_error()
+        if about is not None:
+            self._fail_undecided(about)
+        return []
 
     def _log_balancer_error(self) -> None:
         """Log the exception that is being handled, with its traceback; at a limited rate."""
