--- /dev/null
+++ b/tests/support/pages.py
@@ -0,0 +1,85 @@
+"""Reads the Markdown pages of the project: the rows of their tables, and the names that they quote."""
+
+from __future__ import annotations
+
+import ast
+import re
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+    from pathlib import Path
+
+QUOTED = re.compile(r"`([^`]+)`")
+FENCED_BLOCK = re.compile(r"^```.*?^```", re.MULTILINE | re.DOTALL)
+IDENTIFIER = re.compile(r"[A-Za-z_]\w*(\.\w+)*")
+SOURCE_PATH = re.compile(r"[\w./]+\.py")
+
+
+def table_rows(page: str, heading: str) -> list[list[str]]:
+    """Return the cells of the first table whose header row begins with some text; without the header.
+
+    Args:
+        page: The text of the page.
+        heading: The beginning of the header row.
+
+    Raises:
+        ValueError: The page has no such table.
+    """
+    lines = page.splitlines()
+    start = next((number for number, line in enumerate(lines) if line.startswith(heading)), None)
+    if start is None:
+        raise MissingTableError(heading)
+    rows = []
+    for line in lines[start + 2 :]:
+        if not line.startswith("|"):
+            break
+        rows.append([cell.strip() for cell in line.strip().strip("|").split(" | ")])
+    return rows
+
+
+class MissingTableError(ValueError):
+    """A page has no table with a certain header row."""
+
+    def __init__(self, heading: str) -> None:
+        super().__init__(f"the page has no table that begins with {heading!r}")
+
+
+def quoted(text: str) -> list[str]:
+    """Return what stands between backquotes, outside of fenced blocks."""
+    return QUOTED.findall(FENCED_BLOCK.sub("", text))
+
+
+def source_paths(page: str) -> set[str]:
+    """Return the paths of Python modules that a page quotes with their folder."""
+    return {text for text in quoted(page) if SOURCE_PATH.fullmatch(text) and "/" in text}
+
+
+def code_names(page: str) -> set[str]:
+    """Return the quoted names that can only be names of the code: with an underscore, a dot or a capital."""
+    texts = (text.removesuffix("()") for text in quoted(page))
+    return {text for text in texts if IDENTIFIER.fullmatch(text) and re.search(r"[_.]|[a-z][A-Z]", text)}
+
+
+def defined_names(modules: Iterable[Path]) -> set[str]:
+    """Return all identifiers and text constants of some modules, and the modules' own names."""
+    names: set[str] = set()
+    for module in modules:
+        names.update((module.stem, module.name, module.parent.name))
+        for node in ast.walk(ast.parse(module.read_text())):
+            names.update(_names_of(node))
+    return names
+
+
+def _names_of(node: ast.AST) -> list[str]:
+    if isinstance(node, (ast.FunctionDef, ast.AsyncFunctionDef, ast.ClassDef)):
+        return [node.name]
+    if isinstance(node, ast.Name):
+        return [node.id]
+    if isinstance(node, ast.Attribute):
+        return [node.attr]
+    if isinstance(node, ast.arg):
+        return [node.arg]
+    if isinstance(node, ast.Constant) and isinstance(node.value, str):
+        return [node.value]
+    return []
