--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -166,7 +166,7 @@
 
     Attributes:
         drain_grace: How long new requests may still go to an endpoint after the list has it draining.
-        answer_slack: How long after the client's deadline its final answer still counts.
+        response_grace: How long after the client's deadline its final answer still counts.
         poll_interval: How often discovery may be polled.
         warmup_initial_capacity: The part of its full capacity that a new process has at least, from 0 to 1.
         warmup_duration: After how long it has all of it at the latest.
@@ -178,7 +178,7 @@
     """
 
     drain_grace: float = 0.0
-    answer_slack: float = 0.0
+    response_grace: float = 0.0
     poll_interval: float = 10.0
     warmup_initial_capacity: float = 0.1
     warmup_duration: float = 30.0
--- a/balancer/settings_reader.py
+++ b/balancer/settings_reader.py
@@ -180,7 +180,7 @@
     default = DEFAULT_RULES
     return Rules(
         drain_grace=_stated(raw.get("DrainGrace"), default.drain_grace),
-        answer_slack=_stated(raw.get("GraceToAnswer"), default.answer_slack),
+        response_grace=_stated(raw.get("GraceToAnswer"), default.response_grace),
         poll_interval=_stated(raw.get("AskEvery"), default.poll_interval),
         warmup_initial_capacity=_stated(raw.get("ColdFrom"), default.warmup_initial_capacity),
         warmup_duration=_stated(raw.get("Cold"), default.warmup_duration),
--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -26,7 +26,7 @@
     from tests.support.rules_checker import RulesChecker
 
 RULES = Rules(
-    answer_slack=0.02,
+    response_grace=0.02,
     warmup_initial_capacity=0.14,
     warmup_duration=20.0,
     overload_multiple=3.0,
--- a/tests/support/rules_checker.py
+++ b/tests/support/rules_checker.py
@@ -202,7 +202,7 @@
                 self.finish_attempt(request_id, number, Outcome.TIMEOUT)
         self.now = target
         for request_id, request in self.requests.items():
-            if self.now > request.deadline + self.settings.rules.answer_slack:
+            if self.now > request.deadline + self.settings.rules.response_grace:
                 assert request.final_answers == 1, (
                     f"{request_id} has {request.final_answers} final answers after its deadline"
                 )
