--- a/balancer/reconfiguration.py
+++ b/balancer/reconfiguration.py
@@ -73,17 +73,17 @@
         self.retry_budgets.configure(settings.rules)
         self.slow_start.rules = settings.rules
         self.subsetting.settings = self.polling.settings = self.hedging.settings = settings
-        self._narrow_requests(settings)
+        self._restrict_requests(settings)
         self.assignment.configure(settings, previous_indices, self.requests.values())
 
-    def _narrow_requests(self, settings: Settings) -> None:
+    def _restrict_requests(self, settings: Settings) -> None:
         """Restrict the requests in flight to what both their own and the new settings allow."""
         indices = _indices_by_name(settings)
         for request in self.requests.values():
-            request.limits = narrow_limits(request.limits, settings.limits)
+            request.limits = restrict_limits(request.limits, settings.limits)
             request.class_index = index = indices.get(request.request_class.name, REMOVED_CLASS)
             if index != REMOVED_CLASS:  # a request of a removed class is finished as it was admitted
-                request.request_class = narrow_class(request.request_class, settings.classes[index])
+                request.request_class = restrict_class(request.request_class, settings.classes[index])
 
     def misplaced_attempts(self) -> list[MisplacedAttempt]:
         """Return the open attempts at endpoints that the pools of their requests no longer allow."""
@@ -99,7 +99,7 @@
     return {request_class.name: index for index, request_class in enumerate(settings.classes)}
 
 
-def narrow_class(admitted: RequestClass, current: RequestClass) -> RequestClass:
+def restrict_class(admitted: RequestClass, current: RequestClass) -> RequestClass:
     """Return the class of a request in flight after a reload: it may do only what both classes allow.
 
     Where the two differ in how far it may be repeated, it is not repeated once it may have run.
@@ -121,7 +121,7 @@
     )
 
 
-def narrow_limits(admitted: Limits, current: Limits) -> Limits:
+def restrict_limits(admitted: Limits, current: Limits) -> Limits:
     """Return what a request in flight is permitted after a reload: what both limits permit.
 
     Args:
--- a/proxy/active_request.py
+++ b/proxy/active_request.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from balancer.events import Outcome
-from balancer.reconfiguration import narrow_class
+from balancer.reconfiguration import restrict_class
 from balancer.settings import Idempotency, RequestClass
 
 if TYPE_CHECKING:
@@ -83,7 +83,7 @@
 
     def narrow_class(self, request_class: RequestClass) -> None:
         """Restrict the class to what both it and the class of new settings allow."""
-        self.request_class = narrow_class(self.request_class, request_class)
+        self.request_class = restrict_class(self.request_class, request_class)
         if not self.is_retryable:
             for attempt in self.attempts:
                 attempt.forbid_retry()
--- a/tests/balancer/test_reconfigure_rules.py
+++ b/tests/balancer/test_reconfigure_rules.py
@@ -77,7 +77,7 @@
     }[now]
     # What a balancer does that keeps to the class as admitted, or to the one in force.
     wrong = (lambda admitted, _stated: admitted) if first == 0 else (lambda _admitted, stated: stated)
-    monkeypatch.setattr("balancer.reconfiguration.narrow_class", wrong)
+    monkeypatch.setattr("balancer.reconfiguration.restrict_class", wrong)
     endpoints = [row for row in ENDPOINTS if row.zone == 0] if now == "places" else ENDPOINTS
     checker = make_checker(
         replace(BASE, limits=Limits(max_attempts=1 if first else 3), zone_count=2), endpoints
