--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -20,7 +20,7 @@
 from balancer.endpoints import Endpoint, UpdateKind
 from balancer.errors import InvalidValueError
 from balancer.events import (
-    NEVER_RAN,
+    NOT_EXECUTED_OUTCOMES,
     Action,
     Fail,
     IncomingRequest,
@@ -251,7 +251,7 @@
         self, now: float, request: RequestState, attempt: AttemptState, outcome: Outcome, latency: float
     ) -> None:
         attempt.is_open = False
-        attempt.may_have_run = outcome not in NEVER_RAN
+        attempt.may_have_run = outcome not in NOT_EXECUTED_OUTCOMES
         # An error that took longer than the wait budget indicates a timeout at a lower tier.
         attempt.overloaded = outcome in OVERLOAD_OUTCOMES or latency > request.wait_budget
         request.open_attempts -= 1
--- a/balancer/events.py
+++ b/balancer/events.py
@@ -38,7 +38,7 @@
 
 
 #: Outcomes that prove that the endpoint did no work for the attempt.
-NEVER_RAN = frozenset({Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NOT_SENT})
+NOT_EXECUTED_OUTCOMES = frozenset({Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NOT_SENT})
 
 
 class SendRejection(Enum):
--- a/proxy/invariants.py
+++ b/proxy/invariants.py
@@ -13,7 +13,7 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING, Protocol
 
-from balancer.events import NEVER_RAN
+from balancer.events import NOT_EXECUTED_OUTCOMES
 from balancer.settings import DeduplicationScope, Idempotency
 from proxy.log import RateLimit
 from proxy.logged_events import ViolationFound
@@ -136,4 +136,4 @@
 
 def _may_have_run(attempt: UpstreamAttempt) -> bool:
     """Return whether a backend may have processed an attempt, or may still do so."""
-    return attempt.written_at is not None and attempt.outcome not in NEVER_RAN
+    return attempt.written_at is not None and attempt.outcome not in NOT_EXECUTED_OUTCOMES
--- a/tests/support/rules_checker.py
+++ b/tests/support/rules_checker.py
@@ -18,7 +18,7 @@
 from balancer.balancer import Balancer
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
 from balancer.events import (
-    NEVER_RAN,
+    NOT_EXECUTED_OUTCOMES,
     Action,
     CancelAttempt,
     Fail,
@@ -54,7 +54,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether the endpoint may have done the work."""
-        return self.outcome is None or self.outcome not in NEVER_RAN
+        return self.outcome is None or self.outcome not in NOT_EXECUTED_OUTCOMES
 
 
 @dataclass
