--- a/balancer/attempts.py
+++ b/balancer/attempts.py
@@ -49,7 +49,7 @@
     answered: bool = False
     response_started: bool = False
 
-    def first_possible_run(self, other_than: int = -1) -> AttemptState | None:
+    def first_attempt_that_may_have_run(self, other_than: int = -1) -> AttemptState | None:
         """Return the first attempt that may have run, or may be running.
 
         Args:
@@ -64,7 +64,7 @@
 
     def retry_endpoints(self, now: float) -> list[EndpointState]:
         """Return the endpoints where a retry can not repeat an effect, by the class's idempotency."""
-        first = self.first_possible_run()
+        first = self.first_attempt_that_may_have_run()
         if first is None or self.request_class.idempotency is Idempotency.IDEMPOTENT:
             return self.pool.ready
         if not self._is_deduplicated(now, first):
@@ -74,7 +74,7 @@
             return self.pool.ready
         return self.pool.deduplication_groups.get((scope, _place(first.endpoint, scope)), [])
 
-    def allows_repeat(self, now: float, endpoint: Endpoint, number: int) -> bool:
+    def allows_retry(self, now: float, endpoint: Endpoint, number: int) -> bool:
         """Whether an attempt may run at an endpoint now, by what the other attempts may have done.
 
         This is the rule of `retry_endpoints`, applied to an attempt that was started and is not yet sent.
@@ -84,7 +84,7 @@
             endpoint: The attempt's endpoint as it is listed now.
             number: The number of the attempt.
         """
-        first = self.first_possible_run(other_than=number)
+        first = self.first_attempt_that_may_have_run(other_than=number)
         if first is None or self.request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
         scope = self.request_class.deduplication_scope
@@ -97,12 +97,12 @@
         is_keyed = self.request_class.idempotency is Idempotency.KEYED
         return is_keyed and now - first.started_at < window
 
-    def is_safe_to_repeat(self) -> bool:
+    def is_safe_to_retry(self) -> bool:
         """Whether the client may repeat the request without harm."""
         idempotency, scope = self.request_class.idempotency, self.request_class.deduplication_scope
         keyed_everywhere = idempotency is Idempotency.KEYED and scope is DeduplicationScope.ALL
         harmless = idempotency is Idempotency.IDEMPOTENT or keyed_everywhere
-        return harmless or self.first_possible_run() is None
+        return harmless or self.first_attempt_that_may_have_run() is None
 
     def cancel_open_attempts(self, spared: int = -1) -> list[Action]:
         """Return the cancellations of the open attempts, if the deployment permits any.
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -277,7 +277,7 @@
         # rejections of its own proxies make it do: that shows in the number of pending requests alone.
         if any(attempt.overloaded for attempt in request.attempts):
             request.pool.breaker.record_failure(now)
-        if request.is_safe_to_repeat():
+        if request.is_safe_to_retry():
             return [Reject(request.id, self.admission.retry_after(), reason), *self._finish(request)]
         return [Fail(request.id), *self._finish(request)]
 
--- a/balancer/send_rejection.py
+++ b/balancer/send_rejection.py
@@ -30,7 +30,7 @@
         return rejection
     if request.has_other_open_attempt(number) and not request.limits.hedging:
         return SendRejection.HEDGING_FORBIDDEN
-    may_repeat = request.allows_repeat(now, attempt.target.endpoint, number)
+    may_repeat = request.allows_retry(now, attempt.target.endpoint, number)
     return None if may_repeat else SendRejection.REPEAT_FORBIDDEN
 
 
--- a/tests/proxy/test_invariants.py
+++ b/tests/proxy/test_invariants.py
@@ -59,7 +59,7 @@
 
 @in_event_loop
 async def test_rejection_of_what_may_have_run_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(RequestState, "is_safe_to_repeat", lambda _self: True)
+    monkeypatch.setattr(RequestState, "is_safe_to_retry", lambda _self: True)
     async with proxy_with_backends(lambda _: MAYBE_PROCESSED_RESPONSE) as (proxy, _):
         client = await proxy.connect()
         assert status_of(await client.request(post_request())) == 503
