--- a/balancer/attempt_dispatch.py
+++ b/balancer/attempt_dispatch.py
@@ -61,7 +61,7 @@
 
     def retry(self, now: float, request: RequestState) -> list[Action]:
         """Start another attempt within the rules and the retry budget; no actions if none is started."""
-        if request.answered or request.response_started or now >= request.useful_until:
+        if request.responded or request.response_started or now >= request.useful_until:
             return []
         within_budget = self.retry_budgets.next_attempt(request.open_attempts).allows(now)
         if not within_budget or len(request.attempts) >= request.limits.max_attempts:
--- a/balancer/attempts.py
+++ b/balancer/attempts.py
@@ -31,7 +31,7 @@
         cost: The work that it is expected to need, in the unit of its caller.
         attempts: Its attempts, in the order in which they were started.
         open_attempts: How many of them have not ended.
-        answered: Whether its final answer has been given.
+        responded: Whether its final answer has been given.
         response_started: Whether it is bound to one attempt, whose response is being streamed.
     """
 
@@ -46,7 +46,7 @@
     cost: float
     attempts: list[AttemptState] = field(default_factory=list)
     open_attempts: int = 0
-    answered: bool = False
+    responded: bool = False
     response_started: bool = False
 
     def first_attempt_that_may_have_run(self, other_than: int = -1) -> AttemptState | None:
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -168,12 +168,12 @@
             self.subsetting.resize(now, self.assignment.pools)
         rejection = self._rejection(now, request, incoming.tenant)
         if rejection is not None:
-            return self._answer(now, request, rejection)
+            return self._respond(now, request, rejection)
         # Where the subset is dead, all endpoints but the warming ones may serve: the instances whose subsets
         # hold a warming endpoint use up all that it can do.
         start = self.dispatch.start
         actions = start(now, request, pool.subset) or start(now, request, pool.ready)
-        return actions or self._answer(now, request, RejectReason.NO_ENDPOINT)
+        return actions or self._respond(now, request, RejectReason.NO_ENDPOINT)
 
     def _rejection(self, now: float, request: RequestState, tenant: int) -> RejectReason | None:
         """Return why not to admit a request: heavy work, or with little time left, may not end in time."""
@@ -201,7 +201,7 @@
     def on_response_started(self, _now: float, request_id: RequestId, number: int) -> list[Action]:
         """Bind a request of a streamed class to the attempt whose response has begun."""
         request = self.requests.get(request_id)
-        if request is None or request.answered:
+        if request is None or request.responded:
             return []
         request.response_started = True
         return request.cancel_open_attempts(number)
@@ -235,7 +235,7 @@
         if not attempt.is_open:
             return []
         self._close_attempt(now, request, attempt, outcome, latency)
-        if request.answered:
+        if request.responded:
             if not request.open_attempts:
                 self.requests.pop(request_id, None)
             return []
@@ -245,7 +245,7 @@
             return self._finish(request)
         if request.open_attempts:
             return []
-        return self.dispatch.retry(now, request) or self._answer(now, request)
+        return self.dispatch.retry(now, request) or self._respond(now, request)
 
     def _close_attempt(
         self, now: float, request: RequestState, attempt: AttemptState, outcome: Outcome, latency: float
@@ -266,9 +266,9 @@
     def on_client_disconnected(self, _now: float, request_id: RequestId) -> list[Action]:
         """Finish the request of a client that has disconnected; no answer is pending any more."""
         request = self.requests.get(request_id)
-        return [] if request is None or request.answered else self._finish(request)
+        return [] if request is None or request.responded else self._finish(request)
 
-    def _answer(
+    def _respond(
         self, now: float, request: RequestState, reason: RejectReason = RejectReason.ATTEMPTS_FAILED
     ) -> list[Action]:
         """Give the final answer: rejected where it may be repeated without harm, else failed."""
@@ -282,8 +282,8 @@
         return [Fail(request.id), *self._finish(request)]
 
     def _finish(self, request: RequestState) -> list[Action]:
-        """Mark a request as answered, and cancel its open attempts unless one is being streamed."""
-        request.answered = True
+        """Mark a request as responded to, and cancel its open attempts unless one is being streamed."""
+        request.responded = True
         request.pool.pending -= 1
         if not request.open_attempts:
             self.requests.pop(request.id, None)
--- a/balancer/pool_assignment.py
+++ b/balancer/pool_assignment.py
@@ -45,8 +45,8 @@
             pool = self.by_class[request.class_index]
             if pool.placement != placement:
                 pool = narrowed.setdefault(placement, EndpointPool(placement))
-            request.pool.pending -= not request.answered
-            pool.pending += not request.answered
+            request.pool.pending -= not request.responded
+            pool.pending += not request.responded
             request.pool = pool
         # Requests in flight may draw from pools that no class uses any more.
         needed = [pool for pool in self.pools if pool.pending and pool not in self.by_class]
--- a/balancer/send_rejection.py
+++ b/balancer/send_rejection.py
@@ -21,7 +21,7 @@
         number: The number of the attempt among those of the request.
     """
     attempt = request.attempts[number]
-    if request.answered or not attempt.is_open:
+    if request.responded or not attempt.is_open:
         return SendRejection.REQUEST_ENDED
     if now >= request.deadline:
         return SendRejection.DEADLINE_PASSED
--- a/tests/balancer/test_reconfigure_invalid.py
+++ b/tests/balancer/test_reconfigure_invalid.py
@@ -19,9 +19,9 @@
 from tests.support.reconfiguration import (
     BASE,
     IDEMPOTENT,
-    answer_requests,
     learned,
     make_checker,
+    respond_to_requests,
     sent,
 )
 
@@ -50,7 +50,7 @@
 def test_settings_that_cannot_be_loaded_change_nothing(name: str, bad: Settings) -> None:
     checker, twin = make_checker(), make_checker()
     for one in (checker, twin):
-        answer_requests(one, 0, 0.1)
+        respond_to_requests(one, 0, 0.1)
         request_id = one.request(1, 4.0)
     with pytest.raises(ValueError, match=name):
         checker.balancer.reconfigure(checker.now, bad)
--- a/tests/balancer/test_reconfigure_learned.py
+++ b/tests/balancer/test_reconfigure_learned.py
@@ -21,9 +21,9 @@
     IDEMPOTENT,
     NON_IDEMPOTENT,
     OTHER,
-    answer_requests,
     learned,
     make_checker,
+    respond_to_requests,
     sent,
 )
 
@@ -31,7 +31,7 @@
 def test_equal_settings_change_nothing() -> None:
     checker, twin = make_checker(), make_checker()
     for one in (checker, twin):
-        answer_requests(one, 0, 0.1)
+        respond_to_requests(one, 0, 0.1)
         request_id = one.request(1, 4.0)
     equal = replace(BASE, classes=tuple(replace(row) for row in BASE.classes))
     pools = checker.balancer.assignment.pools
@@ -47,8 +47,8 @@
 
 def test_what_was_learned_of_a_class_stays_with_its_name() -> None:
     checker = make_checker()
-    answer_requests(checker, 0, 0.1)
-    answer_requests(checker, 1, 0.3)
+    respond_to_requests(checker, 0, 0.1)
+    respond_to_requests(checker, 1, 0.3)
     before = learned(checker)
     assert before["idempotent"][0] < before["non-idempotent"][0]
     checker.reconfigure(
@@ -75,7 +75,7 @@
 
 def test_settings_without_a_common_class_begin_with_no_baseline() -> None:
     checker = make_checker()
-    answer_requests(checker, 0, 0.1, 40)
+    respond_to_requests(checker, 0, 0.1, 40)
     assert checker.balancer.statistics.sample_count
     assert checker.balancer.statistics.answer_baseline > 0.0
     checker.reconfigure(replace(BASE, classes=(OTHER,)))
--- a/tests/balancer/test_reconfigure_rules.py
+++ b/tests/balancer/test_reconfigure_rules.py
@@ -54,7 +54,7 @@
     unfinished = checker.balancer.requests.values()
     assert all(request.response_started for request in unfinished)  # started streams have no deadline
     pending = sum(pool.pending for pool in checker.balancer.assignment.pools)
-    assert pending == sum(not request.answered for request in unfinished)
+    assert pending == sum(not request.responded for request in unfinished)
 
 
 @pytest.mark.parametrize(
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -121,6 +121,6 @@
         with pytest.raises(AssertionError, match=r"sent twice|another"):
             play(RulesChecker(config, 1, endpoints), steps)
     with monkeypatch.context() as patch:
-        patch.setattr(Balancer, "_answer", lambda _self, *_args: [])
+        patch.setattr(Balancer, "_respond", lambda _self, *_args: [])
         with pytest.raises(AssertionError, match="final answers"):
             play(RulesChecker(config, 1, endpoints), steps)
--- a/tests/proxy/test_dispatcher.py
+++ b/tests/proxy/test_dispatcher.py
@@ -26,7 +26,7 @@
     wait_until,
     with_timeout,
 )
-from tests.support.pool_scenario import answer_first_request, settings_with
+from tests.support.pool_scenario import respond_to_first_request, settings_with
 from tests.support.proxy_inputs import (
     MAYBE_PROCESSED_RESPONSE,
     NOT_PROCESSED_RESPONSE,
@@ -95,7 +95,7 @@
 async def test_non_idempotent_request_is_retried_only_if_it_was_not_processed(
     response: bytes, expected_status: int, attempts: int
 ) -> None:
-    script = answer_first_request(response)
+    script = respond_to_first_request(response)
     async with proxy_with_backends(script, script) as (proxy, [backend_a, backend_b]):
         client = await proxy.connect()
         assert status_of(await client.request(post_request())) == expected_status
--- a/tests/proxy/upstream/test_responses.py
+++ b/tests/proxy/upstream/test_responses.py
@@ -9,7 +9,7 @@
 from proxy.upstream.attempt import MAX_RESPONSE_STALL
 from tests.support.client_scenarios import reset_on_close
 from tests.support.loopback import in_event_loop, proxy_with_backends, stay_silent, wait_until, with_timeout
-from tests.support.pool_scenario import answer_first_request, settings_with
+from tests.support.pool_scenario import respond_to_first_request, settings_with
 from tests.support.proxy_inputs import OK_RESPONSE, RAW_SETTINGS, get_request, post_request, status_of
 from tests.support.proxy_internals import is_receiving_response
 
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("part", [OK_RESPONSE[:12], OK_RESPONSE[:-2]])
 @in_event_loop
 async def test_stalled_response_leaves_time_for_a_retry(part: bytes) -> None:
-    script = answer_first_request(part)
+    script = respond_to_first_request(part)
     async with proxy_with_backends(script, script) as (proxy, [backend_a, backend_b]):
         client = await proxy.connect()
         assert status_of(await client.request(get_request())) == 200
--- a/tests/support/pool_scenario.py
+++ b/tests/support/pool_scenario.py
@@ -23,7 +23,7 @@
     from proxy.upstream.response_parser import UpstreamResponse
 
 
-def answer_first_request(response: bytes | None) -> Callable[[bytes], bytes | None]:
+def respond_to_first_request(response: bytes | None) -> Callable[[bytes], bytes | None]:
     """Return a script that several backends share: this response to the first request, then OK."""
     responses = [response]
     return lambda _: responses.pop() if responses else OK_RESPONSE
--- a/tests/support/reconfiguration.py
+++ b/tests/support/reconfiguration.py
@@ -44,7 +44,7 @@
     }
 
 
-def answer_requests(checker: RulesChecker, class_index: int, after: float, times: int = 8) -> None:
+def respond_to_requests(checker: RulesChecker, class_index: int, after: float, times: int = 8) -> None:
     """Send requests one after another, each answered `after` so many seconds."""
     for _ in range(times):
         request_id = checker.request(class_index, 4.0)
