--- a/tests/proxy/upstream/test_connection_pool.py
+++ b/tests/proxy/upstream/test_connection_pool.py
@@ -108,7 +108,7 @@
 async def test_most_recently_used_connection_is_reused_and_old_ones_are_closed() -> None:
     async with stub_backend(respond_ok) as backend:
         scenario = PoolScenario(backend)
-        await scenario.run_side_by_side(2)
+        await scenario.run_concurrently(2)
         [older, newer] = scenario.idle_connections()
         for connection in (older, newer):
             connection.idle_since -= keepalive_policy.MIN_REUSE_DELAY
@@ -174,7 +174,7 @@
 async def test_full_idle_quota_closes_the_oldest_connection_for_one_that_just_answered() -> None:
     async with stub_backend(respond_ok) as backend:
         scenario = PoolScenario(backend)
-        await scenario.run_side_by_side(2)
+        await scenario.run_concurrently(2)
         for connection in scenario.idle_connections():
             connection.idle_since -= MAX_WAIT
         for _ in range(3):  # the first finds none that is recent enough, the others find its connection
--- a/tests/support/pool_scenario.py
+++ b/tests/support/pool_scenario.py
@@ -83,7 +83,7 @@
         """Wait for an attempt to finish."""
         return await with_timeout(self.outcomes.get())
 
-    async def run_side_by_side(self, count: int) -> None:
+    async def run_concurrently(self, count: int) -> None:
         """Start several attempts at once, and wait until all of them have succeeded."""
         for _ in range(count):
             self.start()
