--- a/balancer/admission_control.py
+++ b/balancer/admission_control.py
@@ -161,7 +161,7 @@
         """
         statistics = self._statistics
         latency = statistics.class_latency[class_index] if statistics.sample_count >= MIN_SAMPLES else 0.0
-        scale = max(1.0, statistics.answer_latency / latency) if latency > 0.0 else 1.0
+        scale = max(1.0, statistics.response_latency / latency) if latency > 0.0 else 1.0
         return (1.0 - (1.0 - FAILING_WAIT) * shrink) * self.wait_budgets[class_index] * scale
 
     def _sheds_by_latency(self, now: float, pool: EndpointPool, class_index: int, served: float) -> bool:
@@ -185,7 +185,7 @@
         decay = exp((pool.smoothed_at - now) / SHEDDING_SPAN)
         pool.smoothed_pending += (pool.pending - 1 - pool.smoothed_pending) * (1.0 - decay)
         pool.smoothed_at = now
-        baseline = self._statistics.answer_baseline
+        baseline = self._statistics.response_baseline
         if self._statistics.sample_count < MIN_SAMPLES or served <= 0.0 or baseline <= 0.0:
             return False
         wait = pool.smoothed_pending / served
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -261,7 +261,7 @@
             if learned:
                 self.statistics.record_attempt(latency)
             if request.class_index >= 0:
-                self.statistics.record_answer(request.class_index, latency, request.cost)
+                self.statistics.record_response(request.class_index, latency, request.cost)
 
     def on_client_disconnected(self, _now: float, request_id: RequestId) -> list[Action]:
         """Finish the request of a client that has disconnected; no answer is pending any more."""
--- a/balancer/latency_statistics.py
+++ b/balancer/latency_statistics.py
@@ -31,8 +31,8 @@
         class_samples: By class index, how many answers that mean covers, MEAN_SPAN at most.
         tier_latency: The mean latency of all successful attempts; 0 before the first.
         tier_deviation: The mean deviation from it.
-        answer_latency: The mean latency of the recent answers of all classes.
-        answer_baseline: The baseline of that mean.
+        response_latency: The mean latency of the recent answers of all classes.
+        response_baseline: The baseline of that mean.
         latency_per_cost: The baseline of the latency for each unit of cost.
         sample_count: How many answers the baselines cover.
     """
@@ -45,7 +45,7 @@
     def _reset(self) -> None:
         """Forget what was learned of all classes together."""
         self.tier_latency = self.tier_deviation = 0.0
-        self.answer_latency = self.answer_baseline = 0.0
+        self.response_latency = self.response_baseline = 0.0
         self.latency_per_cost = 0.0
         self.sample_count = 0
 
@@ -69,7 +69,7 @@
         else:
             self.tier_latency, self.tier_deviation = latency, latency * FIRST_DEVIATION
 
-    def record_answer(self, class_index: int, latency: float, cost: float) -> None:
+    def record_response(self, class_index: int, latency: float, cost: float) -> None:
         """Learn from the answer to a request.
 
         Args:
@@ -84,10 +84,10 @@
         self.sample_count += 1
         self.class_samples[class_index] = seen = min(self.class_samples[class_index] + 1, MEAN_SPAN)
         self.class_latency[class_index] += (latency - self.class_latency[class_index]) / seen
-        self.answer_latency += (latency - self.answer_latency) / min(self.sample_count, MEAN_SPAN)
-        gap = self.answer_latency - self.answer_baseline
+        self.response_latency += (latency - self.response_latency) / min(self.sample_count, MEAN_SPAN)
+        gap = self.response_latency - self.response_baseline
         samples = FALL_SAMPLES if gap < 0.0 else RISE_SAMPLES
-        self.answer_baseline += gap / samples if self.sample_count > MIN_SAMPLES else gap
+        self.response_baseline += gap / samples if self.sample_count > MIN_SAMPLES else gap
 
     def min_latency(self, cost: float) -> float:
         """Return the seconds that work of this cost needs at least; 0 while too little is known."""
--- a/tests/balancer/test_reconfigure_learned.py
+++ b/tests/balancer/test_reconfigure_learned.py
@@ -66,25 +66,25 @@
     checker = make_checker()
     request_id = checker.request(2, 4.0)
     checker.reconfigure(replace(BASE, classes=(IDEMPOTENT, NON_IDEMPOTENT)))
-    before, mean = learned(checker), checker.balancer.statistics.answer_latency
+    before, mean = learned(checker), checker.balancer.statistics.response_latency
     checker.advance(0.5)
     checker.finish_attempt(request_id, 0, Outcome.SUCCESS)
     assert learned(checker) == before
-    assert checker.balancer.statistics.answer_latency == mean
+    assert checker.balancer.statistics.response_latency == mean
 
 
 def test_settings_without_a_common_class_begin_with_no_baseline() -> None:
     checker = make_checker()
     respond_to_requests(checker, 0, 0.1, 40)
     assert checker.balancer.statistics.sample_count
-    assert checker.balancer.statistics.answer_baseline > 0.0
+    assert checker.balancer.statistics.response_baseline > 0.0
     checker.reconfigure(replace(BASE, classes=(OTHER,)))
     balancer = checker.balancer
     assert (
         balancer.statistics.tier_latency,
         balancer.statistics.tier_deviation,
-        balancer.statistics.answer_latency,
-        balancer.statistics.answer_baseline,
+        balancer.statistics.response_latency,
+        balancer.statistics.response_baseline,
         balancer.statistics.latency_per_cost,
         balancer.statistics.sample_count,
     ) == (0.0, 0.0, 0.0, 0.0, 0.0, 0)
