--- a/balancer/endpoint_selection.py
+++ b/balancer/endpoint_selection.py
@@ -80,7 +80,7 @@
         pool, pools, count = request.pool, self.assignment.pools, len(endpoints)
         from_subset = endpoints is pool.subset
         if now >= pool.next_warm_at:
-            self.slow_start.measure(now, pool)
+            self.slow_start.update_warm_fraction(now, pool)
         tried = [attempt.target for attempt in request.attempts]
         for _ in range(MAX_DRAWS if endpoints else 0):
             if from_subset:
@@ -91,7 +91,7 @@
             if state in found or state in tried:
                 continue
             warming = self.slow_start.warm_at(state.endpoint) > now
-            if warming and (not from_subset or self.slow_start.defers(now, state, pool, pools)):
+            if warming and (not from_subset or self.slow_start.should_skip(now, state, pool, pools)):
                 continue
             found.append(state)
             if len(found) == CANDIDATES:
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -41,14 +41,16 @@
         """Return when an endpoint reaches its full capacity, in seconds; 0 where it started long ago."""
         return endpoint.started + self.rules.warmup_duration if endpoint.started > 0.0 else 0.0
 
-    def measure(self, now: float, pool: EndpointPool) -> None:
+    def update_warm_fraction(self, now: float, pool: EndpointPool) -> None:
         """Measure which share of a pool's subset is warm, and when that changes next."""
         warm_times = [self.warm_at(state.endpoint) for state in pool.subset]
         warming = [warm_at for warm_at in warm_times if warm_at > now]
         pool.next_warm_at = min(warming, default=float("inf"))
         pool.warm_fraction = 1.0 - len(warming) / len(warm_times) if warm_times else 1.0
 
-    def defers(self, now: float, state: EndpointState, pool: EndpointPool, pools: list[EndpointPool]) -> bool:
+    def should_skip(
+        self, now: float, state: EndpointState, pool: EndpointPool, pools: list[EndpointPool]
+    ) -> bool:
         """Whether a warming endpoint that was drawn is passed over for this call.
 
         Its share is bounded in two ways: on average by a random draw, and in any short interval by a token
--- a/balancer/subsetting.py
+++ b/balancer/subsetting.py
@@ -68,7 +68,7 @@
         for pool in pools:
             self._choose(now, pool)
             pool.fallback_subset = _fallback_subset(pool)
-            self.slow_start.measure(now, pool)
+            self.slow_start.update_warm_fraction(now, pool)
 
     def _choose(self, now: float, pool: EndpointPool) -> None:
         """Choose the subset's stretch of the ring, and put the endpoints that it touches into the subset."""
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -24,7 +24,7 @@
 def defer(balancer: Balancer, now: float, state: EndpointState) -> bool:
     """Ask whether a warming endpoint is passed over for a call."""
     pools = balancer.assignment.pools
-    return balancer.slow_start.defers(now, state, pools[0], pools)
+    return balancer.slow_start.should_skip(now, state, pools[0], pools)
 
 
 def test_a_restart_resets_the_warm_up_tokens() -> None:
@@ -145,7 +145,7 @@
 
 
 def test_a_balancer_that_ignores_slow_start_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(SlowStart, "defers", lambda _self, _now, _state, _pool, _pools: False)
+    monkeypatch.setattr(SlowStart, "should_skip", lambda _self, _now, _state, _pool, _pools: False)
     with pytest.raises(AssertionError, match="pushed over"):
         assert_restart_gets_its_part(0)
 
--- a/tests/balancer/test_slow_start_fleet.py
+++ b/tests/balancer/test_slow_start_fleet.py
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("delivery", DELIVERIES)
 def test_a_fleet_that_ignores_slow_start_is_caught(monkeypatch: pytest.MonkeyPatch, delivery: str) -> None:
-    monkeypatch.setattr(SlowStart, "defers", lambda _self, _now, _state, _pool, _pools: False)
+    monkeypatch.setattr(SlowStart, "should_skip", lambda _self, _now, _state, _pool, _pools: False)
     with pytest.raises(AssertionError, match="allowed"):
         assert_holds(Case(200, delivery, "six in ten", LATE_OVERLOAD, 1, skew=6.0, neighbours=True))
 
