--- a/balancer/admission_control.py
+++ b/balancer/admission_control.py
@@ -59,11 +59,11 @@
 SHEDDING_MIN_FLEET, SHEDDING_FULL_FLEET = 2, 6
 #: Seconds over which pending requests are averaged, as the number of one moment is mostly chance at a proxy
 #: that has a few. Set together with SHEDDING_START, not derived.
-SHEDDING_SPAN = 0.5
+PENDING_SMOOTHING_SPAN = 0.5
 
 #: Requests that adaptive throttling never counts against a pool. DESIGN's 5 is for a single endpoint, which
 #: sees a few calls in a window; a pool sees all calls of the proxy. Chosen.
-POOL_PROTECTION = 1.0
+POOL_PROTECTED_REQUESTS = 1.0
 #: The K of adaptive throttling (DESIGN) for a class without weight is 1 / POOL_ACCEPTS, for the class with
 #: the highest weight 1 / (POOL_ACCEPTS - POOL_PRIORITY): the least valuable requests go first. Chosen.
 POOL_ACCEPTS = 0.85
@@ -96,7 +96,7 @@
     Attributes:
         wait_budgets: The expected wait in seconds up to which a class is admitted, by class index.
         shedding_strength: The part of the chance of shedding by latency that applies, from 0 to 1.
-        admitted_alone: The requests that are admitted beyond ADMITTED_ALWAYS while none fail.
+        sole_proxy_allowance: The requests that are admitted beyond ADMITTED_ALWAYS while none fail.
     """
 
     def __init__(self, rng: Random, statistics: LatencyStatistics) -> None:
@@ -112,7 +112,7 @@
         self._multipliers = [1.0 / (POOL_ACCEPTS - POOL_PRIORITY * weight) for weight in self._weights]
         others = max(0, settings.fleet_size - SHEDDING_MIN_FLEET)
         self.shedding_strength = min(1.0, others / (SHEDDING_FULL_FLEET - SHEDDING_MIN_FLEET))
-        self.admitted_alone = ADMITTED_ALONE if settings.fleet_size <= settings.zone_count else 0.0
+        self.sole_proxy_allowance = ADMITTED_ALONE if settings.fleet_size <= settings.zone_count else 0.0
 
     def rejection(
         self, now: float, pool: EndpointPool, class_index: int, *, is_within_quota: bool
@@ -136,12 +136,12 @@
         served = pool.offered_rate.read(now) * (1.0 if age < budget else OFFERED_PART)
         served = max(served, pool.served_rate.read(now))
         served /= 1.0 - exp(-max(age, MIN_AGE) / SMOOTHING_SPAN)
-        if pool.pending > budget * served + ADMITTED_ALWAYS + self.admitted_alone * (1.0 - shrink):
+        if pool.pending > budget * served + ADMITTED_ALWAYS + self.sole_proxy_allowance * (1.0 - shrink):
             return RejectReason.PENDING
         if self._sheds_by_latency(now, pool, class_index, served):
             return RejectReason.LATENCY
         multiplier = self._multipliers[class_index]
-        if self._rng.random() < pool.breaker.error_probability(now, multiplier, POOL_PROTECTION):
+        if self._rng.random() < pool.breaker.error_probability(now, multiplier, POOL_PROTECTED_REQUESTS):
             pool.breaker.record_rejection(now)
             return RejectReason.THROTTLED
         return None
@@ -182,7 +182,7 @@
             class_index: The class of the request.
             served: The requests that the pool has served, per second.
         """
-        decay = exp((pool.smoothed_at - now) / SHEDDING_SPAN)
+        decay = exp((pool.smoothed_at - now) / PENDING_SMOOTHING_SPAN)
         pool.smoothed_pending += (pool.pending - 1 - pool.smoothed_pending) * (1.0 - decay)
         pool.smoothed_at = now
         baseline = self._statistics.response_baseline
--- a/balancer/attempt_dispatch.py
+++ b/balancer/attempt_dispatch.py
@@ -47,7 +47,7 @@
         if target.warmup_tokens > 0.0:
             target.warmup_tokens -= 1.0
         if request.attempts:
-            self.retry_budgets.next_attempt(request.open_attempts).record_retry(now)
+            self.retry_budgets.budget_for_next_attempt(request.open_attempts).record_retry(now)
         attempt = AttemptState(target, target.endpoint, now)
         target.in_flight[attempt] = None
         pool = request.pool
@@ -63,7 +63,7 @@
         """Start another attempt within the rules and the retry budget; no actions if none is started."""
         if request.responded or request.response_started or now >= request.useful_until:
             return []
-        within_budget = self.retry_budgets.next_attempt(request.open_attempts).allows(now)
+        within_budget = self.retry_budgets.budget_for_next_attempt(request.open_attempts).allows(now)
         if not within_budget or len(request.attempts) >= request.limits.max_attempts:
             return []
         return self.start(now, request, request.retry_endpoints(now))
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -210,7 +210,7 @@
         """Poll discovery or hedge a request, as the timer fires; stale timers are ignored."""
         if token == POLL_TOKEN:
             return self.polling.on_timer()
-        request = self.hedging.due(token)
+        request = self.hedging.request_to_hedge(token)
         return [] if request is None else self.dispatch.retry(now, request)
 
     def on_attempt_finished(
@@ -253,7 +253,7 @@
         attempt.is_open = False
         attempt.may_have_run = outcome not in NOT_EXECUTED_OUTCOMES
         # An error that took longer than the wait budget indicates a timeout at a lower tier.
-        attempt.overloaded = outcome in OVERLOAD_OUTCOMES or latency > request.wait_budget
+        attempt.indicates_overload = outcome in OVERLOAD_OUTCOMES or latency > request.wait_budget
         request.open_attempts -= 1
         objective, tier_latency = request.request_class.latency_objective, self.statistics.tier_latency
         learned = attempt.target.finish_attempt(now, attempt, outcome, latency, objective, tier_latency)
@@ -275,7 +275,7 @@
         # Only failures caused by load reduce admission, not malformed answers or an endpoint's own faults:
         # rejecting work does not cure those. It can do harm where an overloaded tier fails fast, as the
         # rejections of its own proxies make it do: that shows in the number of pending requests alone.
-        if any(attempt.overloaded for attempt in request.attempts):
+        if any(attempt.indicates_overload for attempt in request.attempts):
             request.pool.breaker.record_failure(now)
         if request.is_safe_to_retry():
             return [Reject(request.id, self.admission.retry_after(), reason), *self._finish(request)]
--- a/balancer/circuit_breaker.py
+++ b/balancer/circuit_breaker.py
@@ -153,7 +153,7 @@
         probability = (self.current_latency - threshold) / span * MAX_LATENCY_PROBABILITY
         return min(max(probability, 0.0), MAX_LATENCY_PROBABILITY)
 
-    def drop_probability(self, now: float, timeout: float) -> float:
+    def rejection_probability(self, now: float, timeout: float) -> float:
         """Return the larger of the two rejection probabilities; `timeout` is in seconds."""
         return max(self.error_probability(now), self.latency_probability(timeout))
 
@@ -165,7 +165,7 @@
             timeout: Seconds that callers wait for an answer.
             rng: Drawn from only where the probability is above 0 and no probe is due.
         """
-        probability = self.drop_probability(now, timeout)
+        probability = self.rejection_probability(now, timeout)
         if probability <= 0.0:
             return False
         if now - self.last_probe_at < PROBE_INTERVAL and rng.random() < probability:
--- a/balancer/client_timeouts.py
+++ b/balancer/client_timeouts.py
@@ -29,13 +29,13 @@
     """The timeouts of each class's requests, and the commonest of them.
 
     Attributes:
-        counts: By class index, the requests counted by the bucket of their timeout.
-        usual: By class index, the bucket that holds most requests.
+        bucket_counts: By class index, the requests counted by the bucket of their timeout.
+        usual_buckets: By class index, the bucket that holds most requests.
     """
 
     def __init__(self) -> None:
-        self.counts: list[dict[int, int]] = []
-        self.usual: list[int] = []
+        self.bucket_counts: list[dict[int, int]] = []
+        self.usual_buckets: list[int] = []
 
     def configure(self, settings: Settings, previous: list[int]) -> None:
         """Apply new settings, and keep what was learned of the classes that stay.
@@ -44,8 +44,8 @@
             settings: The new settings.
             previous: The index of each of their classes in the previous settings, -1 for a new class.
         """
-        self.counts = [self.counts[n] if n >= 0 else {} for n in previous]
-        self.usual = [self.usual[n] if n >= 0 else 0 for n in previous]
+        self.bucket_counts = [self.bucket_counts[n] if n >= 0 else {} for n in previous]
+        self.usual_buckets = [self.usual_buckets[n] if n >= 0 else 0 for n in previous]
         self._settings = settings
 
     def useful_until(self, now: float, class_index: int, deadline: float, *, is_retry: bool) -> float:
@@ -84,11 +84,16 @@
             class_index: The class.
             timeout: How long the client waits from now on, in seconds.
         """
-        counts, bucket = self.counts[class_index], round(BUCKETS_PER_E_FOLD * log(max(timeout, MIN_TIMEOUT)))
+        counts, bucket = (
+            self.bucket_counts[class_index],
+            round(BUCKETS_PER_E_FOLD * log(max(timeout, MIN_TIMEOUT))),
+        )
         counts[bucket] = counts.get(bucket, 0) + 1
         if len(counts) > MAX_BUCKETS:
-            self.counts[class_index] = counts = {b: count // 2 for b, count in counts.items() if count > 1}
-        if counts[bucket] > counts.get(self.usual[class_index], 0):
-            self.usual[class_index] = bucket
-        usual = self.usual[class_index]
+            self.bucket_counts[class_index] = counts = {
+                b: count // 2 for b, count in counts.items() if count > 1
+            }
+        if counts[bucket] > counts.get(self.usual_buckets[class_index], 0):
+            self.usual_buckets[class_index] = bucket
+        usual = self.usual_buckets[class_index]
         return abs(bucket - usual) > SAME_TIMEOUT_BUCKETS and counts[usual] >= MIN_USUAL_COUNT
--- a/balancer/endpoint_pool.py
+++ b/balancer/endpoint_pool.py
@@ -33,7 +33,7 @@
         warm_rate: Attempts a second while all endpoints of the subset were warm.
         first_request_at: When the first request came, in seconds.
         pending: Requests whose final answer is still to be given.
-        smoothed_pending: The mean of `pending` over `admission_control.SHEDDING_SPAN`.
+        smoothed_pending: The mean of `pending` over `admission_control.PENDING_SMOOTHING_SPAN`.
         smoothed_at: When that mean was last updated, in seconds.
         breaker: The circuit breaker over all requests of the pool, at whichever endpoint.
         next_warm_at: When the next of the subset's warming endpoints is warm, in seconds.
--- a/balancer/endpoint_state.py
+++ b/balancer/endpoint_state.py
@@ -22,7 +22,7 @@
         started_at: When it was started, in seconds.
         is_open: Whether it has not ended.
         may_have_run: Whether the endpoint may have done the work; False once its outcome proves otherwise.
-        overloaded: Whether its end indicates that the endpoints have more work than they can do.
+        indicates_overload: Whether its end indicates that the endpoints have more work than they can do.
     """
 
     target: "EndpointState"
@@ -30,7 +30,7 @@
     started_at: float
     is_open: bool = True
     may_have_run: bool = True
-    overloaded: bool = False
+    indicates_overload: bool = False
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/balancer/hedging.py
+++ b/balancer/hedging.py
@@ -39,12 +39,12 @@
     Attributes:
         statistics: The latencies measured.
         settings: The settings in force.
-        hedges: The request and the attempt of each timer that is set, by its token.
+        pending: The request and the attempt of each timer that is set, by its token.
     """
 
     statistics: LatencyStatistics
     settings: Settings
-    hedges: dict[int, tuple[RequestState, AttemptState]] = field(default_factory=dict)
+    pending: dict[int, tuple[RequestState, AttemptState]] = field(default_factory=dict)
     _last_token: int = POLL_TOKEN  # the tokens given here are above it
 
     def schedule(self, now: float, request: RequestState, attempt: AttemptState) -> list[Action]:
@@ -57,15 +57,15 @@
         if request_class.idempotency is not Idempotency.IDEMPOTENT or request_class.streaming or not in_time:
             return []
         self._last_token += 1
-        self.hedges[self._last_token] = request, attempt
+        self.pending[self._last_token] = request, attempt
         return [SetTimer(now + delay, self._last_token)]
 
-    def due(self, token: int) -> RequestState | None:
+    def request_to_hedge(self, token: int) -> RequestState | None:
         """Return the request to hedge as its timer fires; None where it needs none, or may have none.
 
         The rules are asked again here, as a reload may have changed them since the timer was set.
         """
-        request, attempt = self.hedges.pop(token, (None, None))
+        request, attempt = self.pending.pop(token, (None, None))
         if request is None or attempt is None or not attempt.is_open or not request.limits.hedging:
             return None
         return request if request.request_class.idempotency is Idempotency.IDEMPOTENT else None
--- a/balancer/retry_budget.py
+++ b/balancer/retry_budget.py
@@ -102,7 +102,7 @@
         self.hedges = hedges = deepcopy(retries) if hedges is retries else hedges
         hedges.floor, hedges.ratio, hedges.window = HEDGE_FLOOR, HEDGE_RATIO, DEFAULT_WINDOW
 
-    def next_attempt(self, open_attempts: int) -> RetryBudget:
+    def budget_for_next_attempt(self, open_attempts: int) -> RetryBudget:
         """Return the budget of another attempt: while others are open, it is a hedged request."""
         return self.hedges if open_attempts else self.retries
 
--- a/tests/balancer/test_admission_control.py
+++ b/tests/balancer/test_admission_control.py
@@ -186,7 +186,7 @@
 def test_requests_are_throttled_by_pool_where_each_endpoint_is_seldom_called(
     protection: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("balancer.admission_control.POOL_PROTECTION", protection)
+    monkeypatch.setattr("balancer.admission_control.POOL_PROTECTED_REQUESTS", protection)
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,), fleet_size=40), [Endpoint(i) for i in range(40)])
     sent = 0
     for n in range(20):  # four a second, each at another endpoint, none answered
--- a/tests/balancer/test_circuit_breaker.py
+++ b/tests/balancer/test_circuit_breaker.py
@@ -73,10 +73,10 @@
 def test_the_larger_probability_wins_and_one_call_a_second_passes() -> None:
     breaker = CircuitBreaker()
     breaker.latency_baseline, breaker.current_latency = 0.1, 5.0
-    assert breaker.drop_probability(0.0, 1.0) == pytest.approx(0.3)
+    assert breaker.rejection_probability(0.0, 1.0) == pytest.approx(0.3)
     for _ in range(500):
         breaker.record_failure(0.0)
-    assert breaker.drop_probability(0.0, 1.0) == pytest.approx(495 / 501)
+    assert breaker.rejection_probability(0.0, 1.0) == pytest.approx(495 / 501)
     rng = Random(1)
     assert not breaker.rejects(0.0, 1.0, rng)  # the probe
     assert sum(breaker.rejects(0.5, 1.0, rng) for _ in range(20)) >= 18
--- a/tests/balancer/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -35,7 +35,7 @@
     balancer.on_attempt_finished(timer.at + 0.05, "r", 0, Outcome.CANCELLED, timer.at - 199.95)
     assert balancer.endpoints.states[send.endpoint].mean_latency > 0.07  # it took at least that long
     assert not balancer.requests
-    assert timer.token not in balancer.hedging.hedges
+    assert timer.token not in balancer.hedging.pending
 
 
 def test_an_attempt_that_ended_in_time_is_not_hedged() -> None:
--- a/tests/balancer/test_reconfigure_learned.py
+++ b/tests/balancer/test_reconfigure_learned.py
@@ -119,7 +119,10 @@
         return [server.endpoint.id for server in balancer.assignment.pools[0].subset]
 
     assert subset_of(checker.balancer) == subset_of(anew)
-    assert (checker.balancer.admission.shedding_strength, checker.balancer.admission.admitted_alone) == (
+    assert (
+        checker.balancer.admission.shedding_strength,
+        checker.balancer.admission.sole_proxy_allowance,
+    ) == (
         anew.admission.shedding_strength,
-        anew.admission.admitted_alone,
+        anew.admission.sole_proxy_allowance,
     )
--- a/tests/balancer/test_reconfigure_pools.py
+++ b/tests/balancer/test_reconfigure_pools.py
@@ -76,4 +76,4 @@
             checker.finish_attempt(request_id, number, Outcome.SUCCESS)
     assert not checker.balancer.requests
     assert len(checker.balancer.assignment.pools) <= 2
-    assert len(checker.balancer.client_timeouts.counts) == 2
+    assert len(checker.balancer.client_timeouts.bucket_counts) == 2
--- a/tests/proxy/downstream/test_client_disconnect.py
+++ b/tests/proxy/downstream/test_client_disconnect.py
@@ -130,12 +130,12 @@
             assert status_of(await client.response()) == 200
         client.writer.write(get_request(2))
         await clock.wait_until(lambda: requests_received(backend_a, backend_b) == 3)
-        assert proxy.balancer.hedging.hedges
+        assert proxy.balancer.hedging.pending
         disconnect(client, kind)
         await clock.wait_until(lambda: not proxy.dispatcher.active_requests)
         for _ in range(100):
             await clock.advance(0.1)
-        assert not proxy.balancer.hedging.hedges
+        assert not proxy.balancer.hedging.pending
         assert requests_received(backend_a, backend_b) == 3
 
 
--- a/tests/proxy/downstream/test_client_disconnect_races.py
+++ b/tests/proxy/downstream/test_client_disconnect_races.py
@@ -162,7 +162,7 @@
         await fill_idle_connections(clock, proxy, client, [backend_a, backend_b])
         raw_client.sock.sendall(get_request(1))
         await clock.wait_until(lambda: requests_received(backend_a, backend_b) == 1)
-        assert proxy.balancer.hedging.hedges
+        assert proxy.balancer.hedging.pending
         (backend_a if backend_a.received.qsize() else backend_b).received.get_nowait()
         raw_client.disconnect(kind)
         clock.now += 10.0  # the hedged request is due in the turn in which the loop reads the disconnect
--- a/tests/support/reconfiguration.py
+++ b/tests/support/reconfiguration.py
@@ -37,8 +37,8 @@
         row.name: (
             balancer.statistics.class_latency[n],
             balancer.statistics.class_samples[n],
-            balancer.client_timeouts.usual[n],
-            len(balancer.client_timeouts.counts[n]),
+            balancer.client_timeouts.usual_buckets[n],
+            len(balancer.client_timeouts.bucket_counts[n]),
         )
         for n, row in enumerate(balancer.settings.classes)
     }
