--- a/proxy/downstream/closing.py
+++ b/proxy/downstream/closing.py
@@ -54,7 +54,7 @@
         self.reading_stopped = True
         self._transport.pause_reading()
 
-    def is_abandoned(self) -> bool:
+    def has_unread_disconnect(self) -> bool:
         """Return whether the client has disconnected, where reading has stopped and would not show it."""
         return self.reading_stopped and not self._transport.is_closing() and self._socket.has_disconnected()
 
--- a/proxy/downstream/connection.py
+++ b/proxy/downstream/connection.py
@@ -155,9 +155,9 @@
         """Return whether the client has closed its connection, even if that is still unread."""
         return self._socket.has_disconnected()
 
-    def is_abandoned(self) -> bool:
+    def has_unread_disconnect(self) -> bool:
         """Return whether the client has disconnected, where reading has stopped and would not show it."""
-        return self._closer.is_abandoned()
+        return self._closer.has_unread_disconnect()
 
     def is_writing(self) -> bool:
         """Return whether a part of a response has not been written yet."""
--- a/proxy/downstream/listener.py
+++ b/proxy/downstream/listener.py
@@ -126,8 +126,8 @@
         for connection in tuple(self.connections.open):
             connection.begin_closing()
 
-    def close_abandoned(self) -> None:
+    def close_disconnected(self) -> None:
         """Close connections whose client has disconnected, where reading has stopped and did not show it."""
         for connection in tuple(self.connections.open):
-            if connection.is_abandoned():
+            if connection.has_unread_disconnect():
                 connection.abort(CloseReason.CLIENT_DISCONNECTED)
--- a/proxy/shutdown.py
+++ b/proxy/shutdown.py
@@ -57,7 +57,7 @@
         self._listener.stop_keepalive()
         while self._listener.connections.open:
             await asyncio.sleep(CONNECTION_POLL_INTERVAL)
-            self._listener.close_abandoned()
+            self._listener.close_disconnected()
 
     async def _accept_late_connections(self, began_at: float) -> None:
         """Accept connections for a short time more: clients learn of the shutdown with a delay."""
