--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -35,9 +35,9 @@
 
 logger = logging.getLogger(__name__)
 
-ANSWER_MARGIN = 0.005  # seconds before the client's deadline: the answer still has to reach the client
+RESPONSE_MARGIN = 0.005  # seconds before the client's deadline: the answer still has to reach the client
 #: Statuses of responses by which the request itself is at fault: 4xx, except a timeout or a rate limit.
-REQUEST_FAULT_STATUSES = frozenset(range(400, 500)) - {
+CLIENT_ERROR_STATUSES = frozenset(range(400, 500)) - {
     HTTPStatus.REQUEST_TIMEOUT,
     HTTPStatus.TOO_MANY_REQUESTS,
 }
@@ -51,7 +51,7 @@
         active_requests: The requests with a pending answer or with attempts in flight, by the id that the
             balancer knows them by.
         client_request_ids: The clients' ids of the requests with a pending answer.
-        answer_by: The event loop's time by which requests that arrive from now on need their answer.
+        respond_by: The event loop's time by which requests that arrive from now on need their answer.
     """
 
     def __init__(self, context: DispatchContext) -> None:
@@ -65,7 +65,7 @@
         self._executor = ActionExecutor(context, self._registry, self._responder, self)
         self.active_requests = self._registry.active
         self.client_request_ids = self._registry.client_request_ids
-        self.answer_by = inf
+        self.respond_by = inf
 
     # ---- events ------------------------------------------------------------------------------------
 
@@ -86,7 +86,7 @@
             HttpError: The answer to a request with the same id is still pending.
         """
         client_deadline = request.received_at + classified.timeout
-        deadline = min(client_deadline, self.answer_by) - ANSWER_MARGIN
+        deadline = min(client_deadline, self.respond_by) - RESPONSE_MARGIN
         active = self._registry.open(request, classified, response_sink, client_deadline, deadline)
         if self._event_log.enabled:
             class_name = classified.request_class.name
@@ -143,7 +143,7 @@
                 AttemptFinished(id=active.logged_id, attempt=number, outcome=outcome.value)
             )
         if response is not None:
-            outcome = self._answer_with(active, outcome, response, now)
+            outcome = self._handle_response(active, outcome, response, now)
         self._registry.remove_if_finished(active)
         # Without `_notify`, which would have to bind the keyword for each attempt.
         try:
@@ -160,7 +160,7 @@
         self._executor.perform(actions)
         active.end_unsent_attempts()
 
-    def _answer_with(
+    def _handle_response(
         self, active: ActiveRequest, outcome: Outcome, response: UpstreamResponse, now: float
     ) -> Outcome:
         """Answer a request with a backend's response if that is final.
@@ -168,9 +168,9 @@
         Returns:
             The outcome of the attempt, as the balancer is to count it.
         """
-        if response.status in REQUEST_FAULT_STATUSES:
+        if response.status in CLIENT_ERROR_STATUSES:
             # It would fail at any other backend as well: a retry would only add load.
-            self._responder.return_fault(active, response.status)
+            self._responder.return_client_error(active, response.status)
             self._executor.perform(
                 self._notify(self._balancer.on_client_disconnected, active.request_id, about=active)
             )
@@ -178,7 +178,7 @@
         if outcome is Outcome.SUCCESS:
             if now > active.deadline:  # the deadline's timer was late, but the deadline has passed
                 return Outcome.TIMEOUT
-            self._responder.answer(active, OK, response.head, response.body)
+            self._responder.respond(active, OK, response.head, response.body)
         return outcome
 
     def on_timer(self, token: int) -> None:
@@ -236,16 +236,16 @@
         """Fail a request for which the balancer has not decided on an answer, and notify the balancer."""
         is_late = self._loop.time() >= active.deadline
         status = HTTPStatus.GATEWAY_TIMEOUT if is_late else HTTPStatus.INTERNAL_SERVER_ERROR
-        self._responder.answer(active, status, b"", b"")
+        self._responder.respond(active, status, b"", b"")
         self._executor.perform(self._notify(self._balancer.on_client_disconnected, active.request_id))
         for attempt in tuple(active.attempts):
             attempt.finish(Outcome.CANCELLED)
 
     # ---- shutdown and new settings -----------------------------------------------------------------
 
-    def limit_deadlines(self, answer_by: float) -> None:
+    def limit_deadlines(self, respond_by: float) -> None:
         """Answer all requests that arrive from now on by this time of the event loop."""
-        self.answer_by = answer_by
+        self.respond_by = respond_by
 
     def reconfigure(self, settings: Settings, request_classes: Iterable[RequestClass]) -> None:
         """Apply settings to the balancer, and allow active requests only what old and new settings allow.
--- a/proxy/downstream/request_queue.py
+++ b/proxy/downstream/request_queue.py
@@ -65,6 +65,6 @@
         Args:
             error: The answer to the request whose turn it is.
         """
-        answers = [CONNECTION_ENDS] * self._dropped + [error] + [CONNECTION_ENDS] * len(self.requests())
+        responses = [CONNECTION_ENDS] * self._dropped + [error] + [CONNECTION_ENDS] * len(self.requests())
         self._items.clear()
-        return answers
+        return responses
--- a/proxy/downstream/routing.py
+++ b/proxy/downstream/routing.py
@@ -57,7 +57,7 @@
     """
     path = request.target.partition(b"?")[0]
     if path == b"/healthz" and request.method == b"GET":
-        _answer_health_check(connection, handler)
+        _respond_to_health_check(connection, handler)
     elif path == b"/api" or path.startswith(b"/api/"):  # a request without a key has no last path segment
         if not handler.connections.admit(connection, request_complete=True):
             raise HttpError(HTTPStatus.SERVICE_UNAVAILABLE, "too many connections")
@@ -67,7 +67,7 @@
         raise HttpError(HTTPStatus.NOT_FOUND, "no such path")
 
 
-def _answer_health_check(connection: ConnectionT, handler: RequestHandler[ConnectionT]) -> None:
+def _respond_to_health_check(connection: ConnectionT, handler: RequestHandler[ConnectionT]) -> None:
     if handler.is_healthy():
         status, verdict = HTTPStatus.OK, b"ok"
     else:
--- a/proxy/invariants.py
+++ b/proxy/invariants.py
@@ -100,7 +100,7 @@
         if len(active.attempts) > 1 and not _may_repeat(now, active, attempt):
             self.report(Invariant.REPEATED_UNSAFELY, active.client_request_id)
 
-    def on_answered(self, active: CheckedRequest, status: int) -> None:
+    def on_response(self, active: CheckedRequest, status: int) -> None:
         """Check a final answer that is about to be written."""
         if status not in REJECTED_STATUSES:
             return
--- a/proxy/responder.py
+++ b/proxy/responder.py
@@ -20,9 +20,9 @@
 
 
 # Bodies of the answers that are not a backend's response.
-SHED_BODY = b"refused\n"  # the balancer rejected the request
+REJECTED_BODY = b"refused\n"  # the balancer rejected the request
 FAILED_BODY = b"failed\n"  # the request may have run
-REQUEST_FAULT_BODY = b"rejected\n"  # a backend found the request itself at fault
+CLIENT_ERROR_BODY = b"rejected\n"  # a backend found the request itself at fault
 
 # Python 3.11 is slow to look a member up in its class, and an overloaded proxy rejects many requests.
 SERVICE_UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
@@ -38,7 +38,7 @@
         self._monitor = monitor
         self._event_log = event_log
 
-    def answer(
+    def respond(
         self, active: ActiveRequest, status: int, headers: bytes, body: bytes, reason: str = ""
     ) -> None:
         """Send the final answer, if one is still pending.
@@ -52,7 +52,7 @@
         """
         response_sink = active.response_sink
         if response_sink is not None:
-            self._monitor.on_answered(active, status)
+            self._monitor.on_response(active, status)
             if self._event_log.enabled:
                 self._event_log.record(ResponseSent(id=active.logged_id, status=status, reason=reason))
         self._registry.settle(active)
@@ -62,13 +62,13 @@
     def reject(self, active: ActiveRequest, action: Reject) -> None:
         """Answer that the request was rejected, so that the client may repeat it without harm."""
         headers = b"Retry-After: %.3f\r\n" % action.retry_after if action.retry_after > 0.0 else b""
-        self.answer(active, SERVICE_UNAVAILABLE, headers, SHED_BODY, action.reason.value)
+        self.respond(active, SERVICE_UNAVAILABLE, headers, REJECTED_BODY, action.reason.value)
 
-    def return_fault(self, active: ActiveRequest, status: int) -> None:
+    def return_client_error(self, active: ActiveRequest, status: int) -> None:
         """Answer with the status by which a backend found the request itself at fault."""
-        self.answer(active, status, b"", REQUEST_FAULT_BODY)
+        self.respond(active, status, b"", CLIENT_ERROR_BODY)
 
     def fail(self, active: ActiveRequest) -> None:
         """Answer that the request failed, without a promise on whether it ran."""
         status = GATEWAY_TIMEOUT if active.last_outcome is Outcome.TIMEOUT else BAD_GATEWAY
-        self.answer(active, status, b"", FAILED_BODY)
+        self.respond(active, status, b"", FAILED_BODY)
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -112,7 +112,7 @@
 
 def rejection_texts() -> set[str]:
     """Return the bodies of the responses that the proxy writes itself."""
-    bodies = {responder.SHED_BODY, responder.FAILED_BODY, responder.REQUEST_FAULT_BODY}
+    bodies = {responder.REJECTED_BODY, responder.FAILED_BODY, responder.CLIENT_ERROR_BODY}
     texts = {body.decode().strip() for body in bodies}
     for path in PROXY_FILES:
         for node in ast.walk(ast.parse(path.read_text())):
