--- a/proxy/action_executor.py
+++ b/proxy/action_executor.py
@@ -1,7 +1,7 @@
 """Carries out the actions that the balancer returns, in their order.
 
-It owns no state. Events take the opposite way, through the dispatcher: it notifies the balancer of them, and
-has the resulting actions carried out here.
+The executor owns no state. Events of timers and attempts go to the dispatcher, which notifies the balancer
+and passes the resulting actions to the executor.
 """
 
 from __future__ import annotations
@@ -32,29 +32,32 @@
 
 
 class ActionObserver(Protocol):
-    """What is notified of timers and attempts, and asked whether an attempt may be written."""
+    """Receives the events of timers and attempts, and decides whether an attempt may be written.
+
+    The dispatcher implements it.
+    """
 
     def on_timer(self, token: int) -> None:
         """Handle a timer that is due.
 
         Args:
-            token: The one that the balancer gave with the timer.
+            token: The token that the balancer set the timer with.
         """
 
-    def on_client_disconnected(self, active: ActiveRequest) -> None:
-        """Handle a client that was found disconnected."""
+    def on_client_disconnected(self, active_request: ActiveRequest) -> None:
+        """Handle the disconnect of a request's client."""
 
     def on_attempt_finished(
         self,
-        active: ActiveRequest,
-        number: int,
+        active_request: ActiveRequest,
+        attempt_number: int,
         attempt: UpstreamAttempt,
         outcome: Outcome,
         response: UpstreamResponse | None,
     ) -> None:
-        """Handle the end of an attempt; `number` counts the attempts of its request from 0."""
+        """Handle the end of an attempt; `attempt_number` counts the attempts of its request from 0."""
 
-    def send_rejection(self, active: ActiveRequest, number: int) -> SendRejection | None:
+    def send_rejection(self, active_request: ActiveRequest, attempt_number: int) -> SendRejection | None:
         """Return why an attempt must not be written now; None if it may."""
 
 
@@ -75,7 +78,7 @@
         self._poll_endpoints = context.poll_endpoints
         self._monitor = context.monitor
         self._event_log = context.event_log
-        self._active_requests = registry.active
+        self._active_requests = registry.active_requests
         self._responder = responder
         self._observer = observer
 
@@ -89,51 +92,59 @@
                 case PollEndpoints():
                     self._poll_endpoints()
                 case _:
-                    active = self._active_requests.get(action.request)
-                    if active is not None:
-                        self._perform_for_request(active, action)
+                    active_request = self._active_requests.get(action.request)
+                    if active_request is not None:
+                        self._perform_for_request(active_request, action)
 
     def _perform_for_request(
-        self, active: ActiveRequest, action: StartAttempt | Reject | Fail | CancelAttempt
+        self, active_request: ActiveRequest, action: StartAttempt | Reject | Fail | CancelAttempt
     ) -> None:
         match action:
             case StartAttempt():
-                self._start_attempt(active, action)
+                self._start_attempt(active_request, action)
             case CancelAttempt():
-                active.attempts[action.attempt].finish(Outcome.CANCELLED)
+                active_request.attempts[action.attempt].finish(Outcome.CANCELLED)
             case Reject():
-                self._responder.reject(active, action)
+                self._responder.reject(active_request, action)
             case Fail():
-                self._responder.fail(active)
+                self._responder.fail(active_request)
 
-    def _start_attempt(self, active: ActiveRequest, action: StartAttempt) -> None:
+    def _start_attempt(self, active_request: ActiveRequest, action: StartAttempt) -> None:
         now = self._loop.time()
-        until = min(active.deadline, now + action.timeout) if action.timeout > 0.0 else active.deadline
-        number = len(active.attempts)
+        attempt_deadline = (
+            min(active_request.deadline, now + action.timeout)
+            if action.timeout > 0.0
+            else active_request.deadline
+        )
+        attempt_number = len(active_request.attempts)
         attempt = UpstreamAttempt(
             self._endpoint_table.backends[action.endpoint],
             started_at=now,
-            deadline=until,
-            retryable=active.is_retryable,
+            deadline=attempt_deadline,
+            retryable=active_request.is_retryable,
             callbacks=AttemptCallbacks(
-                build_request=active.serialize,
-                on_finished=partial(self._observer.on_attempt_finished, active, number),
-                send_rejection=partial(self._observer.send_rejection, active, number),
-                on_written=partial(self._on_written, active),
+                build_request=active_request.serialize,
+                on_finished=partial(self._observer.on_attempt_finished, active_request, attempt_number),
+                send_rejection=partial(self._observer.send_rejection, active_request, attempt_number),
+                on_written=partial(self._on_written, active_request),
             ),
         )
         if self._event_log.enabled:
             address = str(attempt.backend.address)
-            self._event_log.record(AttemptStarted(id=active.logged_id, attempt=number, endpoint=address))
-        active.attempts.append(attempt)
-        if active.client_is_waiting():
+            self._event_log.record(
+                AttemptStarted(id=active_request.logged_id, attempt=attempt_number, endpoint=address)
+            )
+        active_request.attempts.append(attempt)
+        if active_request.client_is_waiting():
             self._pool.start(attempt)
         else:
-            self._observer.on_client_disconnected(active)
+            self._observer.on_client_disconnected(active_request)
 
-    def _on_written(self, active: ActiveRequest, attempt: UpstreamAttempt, timeout: float) -> None:
+    def _on_written(self, active_request: ActiveRequest, attempt: UpstreamAttempt, timeout: float) -> None:
         """Check and log an attempt that was just written."""
-        self._monitor.on_written(self._loop.time(), active, attempt, timeout)
+        self._monitor.on_written(self._loop.time(), active_request, attempt, timeout)
         if self._event_log.enabled:
-            number = active.attempts.index(attempt)
-            self._event_log.record(AttemptWritten(id=active.logged_id, attempt=number, timeout=timeout))
+            attempt_number = active_request.attempts.index(attempt)
+            self._event_log.record(
+                AttemptWritten(id=active_request.logged_id, attempt=attempt_number, timeout=timeout)
+            )
--- a/proxy/active_request.py
+++ b/proxy/active_request.py
@@ -1,7 +1,7 @@
-"""One request that the proxy has accepted, until its final answer is sent and its attempts have finished.
+"""One request that the proxy has accepted, until its final response is sent and its attempts have finished.
 
-It owns what is known of that request: where its answer goes, its deadlines, and its attempts so far. It does
-not decide what happens to the request, and sends nothing.
+It owns the state of that request: the receiver of its response, its deadlines, and its attempts so far. It
+makes no decision about the request, and sends nothing.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 
 
 class ActiveRequest:
-    """A request with a pending answer or with attempts in flight.
+    """A request with a pending response or with attempts in flight.
 
     Attributes:
-        request_id: The id that the balancer knows it by, unique in this process.
+        request_id: The balancer's id for it, unique in this process.
         client_request_id: The id that the client gave it.
-        request: What the client sent.
-        request_class: Its class when it was admitted, narrowed by later settings.
-        response_sink: Where the final answer goes; None once it is sent or no longer wanted.
+        request: The request as the client sent it.
+        request_class: Its class when it was accepted, restricted by later settings.
+        response_sink: The receiver of the final response; None once that is sent or the client disconnected.
         client_deadline: The event loop's time until which the client waits.
-        deadline: The event loop's time by which the answer has to be written.
+        deadline: The event loop's time by which the response has to be written.
         attempts: All its attempts, in the order in which they were started.
-        last_outcome: How its latest attempt ended.
+        last_outcome: The outcome of the attempt that finished last.
         deadline_timer: Fires at the deadline.
     """
 
@@ -81,25 +81,25 @@
         """Whether the request may run more than once."""
         return self.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
 
-    def narrow_class(self, request_class: RequestClass) -> None:
-        """Restrict the class to what both it and the class of new settings allow."""
+    def restrict_class(self, request_class: RequestClass) -> None:
+        """Allow from now on only what both the current class and that of new settings allow."""
         self.request_class = restrict_class(self.request_class, request_class)
         if not self.is_retryable:
             for attempt in self.attempts:
                 attempt.forbid_retry()
 
     def client_is_waiting(self) -> bool:
-        """Return whether an answer is pending and the client is still connected."""
+        """Return whether a response is pending and the client is still connected."""
         return self.response_sink is not None and not self.response_sink.has_disconnected()
 
     def is_finished(self) -> bool:
-        """Return whether no answer is pending and no attempt is in flight."""
+        """Return whether no response is pending and no attempt is in flight."""
         return self.response_sink is None and all(attempt.finished for attempt in self.attempts)
 
     def end_unsent_attempts(self) -> None:
-        """End the attempts that are not written yet if the request is settled.
+        """If no response is pending any more, end the attempts that are not written yet.
 
-        The balancer decides whether those that are written already are cancelled.
+        The balancer decides whether attempts that are already written are cancelled.
         """
         if self.response_sink is None:
             for attempt in tuple(self.attempts):
@@ -107,10 +107,10 @@
                     attempt.finish(Outcome.NOT_SENT)
 
     def serialize(self, timeout: float) -> bytes:
-        """Return the bytes of the request as it is sent to a backend.
+        """Return the request's bytes for a backend.
 
         Args:
-            timeout: Seconds until the proxy stops waiting for the backend's response.
+            timeout: Seconds until the proxy stops waiting for the backend's response, sent as `X-Timeout`.
         """
         request = self.request
         has_length = request.body or request.method != b"GET"
--- a/proxy/dispatch_context.py
+++ b/proxy/dispatch_context.py
@@ -1,4 +1,4 @@
-"""What the dispatcher and the executor of the balancer's actions work with; it owns none of it."""
+"""The objects that the dispatcher and the action executor work with; their owners are elsewhere."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class DispatchContext:
-    """The collaborators of the dispatcher.
+    """The collaborators of the dispatcher and of the action executor.
 
     Attributes:
-        balancer: Decides what happens to each request.
+        balancer: Makes the decisions on each request.
         clock: Converts between the event loop's time and the balancer's.
         endpoint_table: The backends that attempts go to.
         pool: Sends the attempts.
         poll_endpoints: Asks discovery for the endpoint list.
-        monitor: Checks what is written and answered.
-        event_log: Receives what happens to each request.
+        monitor: Checks the attempts and responses that are written.
+        event_log: Records the events of each request.
     """
 
     balancer: Balancer
--- a/proxy/invariants.py
+++ b/proxy/invariants.py
@@ -81,35 +81,35 @@
         self._log_limit = RateLimit()
 
     def on_written(
-        self, now: float, active: CheckedRequest, attempt: UpstreamAttempt, timeout: float
+        self, now: float, active_request: CheckedRequest, attempt: UpstreamAttempt, timeout: float
     ) -> None:
         """Check an attempt whose first byte was just written.
 
         Args:
             now: The event loop's time.
-            active: Its request.
+            active_request: The request of the attempt.
             attempt: The attempt.
             timeout: Seconds that were sent to its backend as the timeout.
         """
-        if active.response_sink is None:
-            self.report(Invariant.SENT_AFTER_ANSWER, active.client_request_id)
+        if active_request.response_sink is None:
+            self.report(Invariant.SENT_AFTER_ANSWER, active_request.client_request_id)
         if not attempt.backend.in_service:
-            self.report(Invariant.SENT_OUT_OF_SERVICE, active.client_request_id)
-        if timeout > active.client_deadline - now + TIMEOUT_SLACK:
-            self.report(Invariant.TIMEOUT_TOO_LONG, active.client_request_id)
-        if len(active.attempts) > 1 and not _may_repeat(now, active, attempt):
-            self.report(Invariant.REPEATED_UNSAFELY, active.client_request_id)
+            self.report(Invariant.SENT_OUT_OF_SERVICE, active_request.client_request_id)
+        if timeout > active_request.client_deadline - now + TIMEOUT_SLACK:
+            self.report(Invariant.TIMEOUT_TOO_LONG, active_request.client_request_id)
+        if len(active_request.attempts) > 1 and not _may_repeat(now, active_request, attempt):
+            self.report(Invariant.REPEATED_UNSAFELY, active_request.client_request_id)
 
-    def on_response(self, active: CheckedRequest, status: int) -> None:
+    def on_response(self, active_request: CheckedRequest, status: int) -> None:
         """Check a final answer that is about to be written."""
         if status not in REJECTED_STATUSES:
             return
-        request_class = active.request_class
+        request_class = active_request.request_class
         has_key = request_class.idempotency is Idempotency.KEYED
         deduplicated = has_key and request_class.deduplication_scope is DeduplicationScope.ALL
         safe_to_repeat = deduplicated or request_class.idempotency is Idempotency.IDEMPOTENT
-        if not safe_to_repeat and any(_may_have_run(attempt) for attempt in active.attempts):
-            self.report(Invariant.REJECTED_UNSAFELY, active.client_request_id)
+        if not safe_to_repeat and any(_may_have_run(attempt) for attempt in active_request.attempts):
+            self.report(Invariant.REJECTED_UNSAFELY, active_request.client_request_id)
 
     def report(self, invariant: Invariant, client_request_id: bytes) -> None:
         """Count a violation and log it."""
@@ -124,10 +124,10 @@
         return ", ".join(f"{invariant} {count}" for invariant, count in sorted(self.violations.items()))
 
 
-def _may_repeat(now: float, active: CheckedRequest, attempt: UpstreamAttempt) -> bool:
+def _may_repeat(now: float, active_request: CheckedRequest, attempt: UpstreamAttempt) -> bool:
     """Return whether an attempt that was just written may run, given what the others may have done."""
-    request_class = active.request_class
-    others = [other for other in active.attempts if other is not attempt and _may_have_run(other)]
+    request_class = active_request.request_class
+    others = [other for other in active_request.attempts if other is not attempt and _may_have_run(other)]
     if not others or request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
     elapsed = now - min(other.written_at or 0.0 for other in others)
--- a/proxy/request_registry.py
+++ b/proxy/request_registry.py
@@ -1,6 +1,6 @@
 """The active requests of the proxy, and the request ids that clients use for them.
 
-It owns both sets. What happens to a request is up to the dispatcher.
+It owns both sets. The dispatcher adds and removes requests.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 
 class RequestRegistry:
-    """All requests with a pending answer or with attempts in flight.
+    """All requests with a pending response or with attempts in flight.
 
     Attributes:
-        active: These requests, by the id that the balancer knows them by.
-        client_request_ids: The clients' ids of the requests with a pending answer.
+        active_requests: These requests, by the balancer's ids for them.
+        client_request_ids: The clients' ids of the requests with a pending response.
     """
 
     def __init__(self) -> None:
-        self.active: dict[str, ActiveRequest] = {}
+        self.active_requests: dict[str, ActiveRequest] = {}
         self.client_request_ids: set[bytes] = set()
         self._last_number = 0
 
@@ -41,14 +41,14 @@
         """Register a request.
 
         Args:
-            request: What the client sent.
+            request: The request as the client sent it.
             classified: Its class.
-            response_sink: Where its final answer goes.
+            response_sink: The receiver of its final response.
             client_deadline: The event loop's time until which the client waits.
-            deadline: The event loop's time by which the answer has to be written.
+            deadline: The event loop's time by which the response has to be written.
 
         Raises:
-            HttpError: The answer to a request with the same id is still pending.
+            HttpError: The response to a request with the same id is still pending.
         """
         client_request_id = request.headers[b"x-request-id"]
         if client_request_id in self.client_request_ids:
@@ -57,24 +57,24 @@
         self.client_request_ids.add(client_request_id)
         self._last_number += 1
         request_id = str(self._last_number)
-        active = ActiveRequest(
+        active_request = ActiveRequest(
             request_id, request, classified.request_class, response_sink, client_deadline, deadline
         )
-        self.active[request_id] = active
-        return active
+        self.active_requests[request_id] = active_request
+        return active_request
 
-    def settle(self, active: ActiveRequest) -> None:
-        """Record that no answer to a request is pending any more."""
-        if active.response_sink is not None:
-            self.client_request_ids.discard(active.client_request_id)
-        active.response_sink = None
-        if active.deadline_timer is not None:
-            active.deadline_timer.cancel()
-        self.remove_if_finished(active)
+    def clear_response_sink(self, active_request: ActiveRequest) -> None:
+        """Record that no response is pending any more: it is being sent, or the client disconnected."""
+        if active_request.response_sink is not None:
+            self.client_request_ids.discard(active_request.client_request_id)
+        active_request.response_sink = None
+        if active_request.deadline_timer is not None:
+            active_request.deadline_timer.cancel()
+        self.remove_if_finished(active_request)
 
-    def remove_if_finished(self, active: ActiveRequest) -> None:
-        """Remove a request if no answer is pending and no attempt is in flight."""
-        if active.is_finished():
-            self.active.pop(active.request_id, None)
-            # A request and its attempts refer to each other, and would wait for the garbage collector.
-            active.attempts.clear()
+    def remove_if_finished(self, active_request: ActiveRequest) -> None:
+        """Remove a request if no response is pending and no attempt is in flight."""
+        if active_request.is_finished():
+            self.active_requests.pop(active_request.request_id, None)
+            # A request and its attempts refer to each other: only the garbage collector would free them.
+            active_request.attempts.clear()
--- a/proxy/responder.py
+++ b/proxy/responder.py
@@ -1,7 +1,7 @@
-"""Sends the one final answer to each request.
+"""Sends the one final response to each request.
 
-It owns the answers that the proxy itself gives: their status and body. Which answer a request gets is up to
-the balancer and the dispatcher; the bytes on the wire are up to `proxy.downstream`.
+It owns the status and the body of the responses that the proxy generates itself. The balancer and the
+dispatcher decide which response a request gets; `proxy.downstream` writes it to the client.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
     from proxy.request_registry import RequestRegistry
 
 
-# Bodies of the answers that are not a backend's response.
+# Bodies of the responses that the proxy generates itself.
 REJECTED_BODY = b"refused\n"  # the balancer rejected the request
 FAILED_BODY = b"failed\n"  # the request may have run
-CLIENT_ERROR_BODY = b"rejected\n"  # a backend found the request itself at fault
+CLIENT_ERROR_BODY = b"rejected\n"  # a backend reported a fault of the request itself
 
-# Python 3.11 is slow to look a member up in its class, and an overloaded proxy rejects many requests.
+# Constants, as Python 3.11 looks up enum members slowly, and an overloaded proxy rejects many requests.
 SERVICE_UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
 GATEWAY_TIMEOUT = HTTPStatus.GATEWAY_TIMEOUT
 BAD_GATEWAY = HTTPStatus.BAD_GATEWAY
 
 
 class Responder:
-    """Answers active requests, each once."""
+    """Responds to active requests, to each once."""
 
     def __init__(self, registry: RequestRegistry, monitor: InvariantMonitor, event_log: EventLog) -> None:
         self._registry = registry
@@ -39,36 +39,38 @@
         self._event_log = event_log
 
     def respond(
-        self, active: ActiveRequest, status: int, headers: bytes, body: bytes, reason: str = ""
+        self, active_request: ActiveRequest, status: int, headers: bytes, body: bytes, reason: str = ""
     ) -> None:
-        """Send the final answer, if one is still pending.
+        """Send the final response, if it is still pending.
 
         Args:
-            active: The request.
+            active_request: The request.
             status: The status code of the response.
             headers: Its end-to-end headers, each with its line end.
             body: Its complete body.
-            reason: Why the request is rejected, for the event log.
+            reason: The reason of a rejection for the event log, else empty.
         """
-        response_sink = active.response_sink
+        response_sink = active_request.response_sink
         if response_sink is not None:
-            self._monitor.on_response(active, status)
+            self._monitor.on_response(active_request, status)
             if self._event_log.enabled:
-                self._event_log.record(ResponseSent(id=active.logged_id, status=status, reason=reason))
-        self._registry.settle(active)
+                self._event_log.record(
+                    ResponseSent(id=active_request.logged_id, status=status, reason=reason)
+                )
+        self._registry.clear_response_sink(active_request)
         if response_sink is not None:
             response_sink.send_response(status, headers, body)
 
-    def reject(self, active: ActiveRequest, action: Reject) -> None:
-        """Answer that the request was rejected, so that the client may repeat it without harm."""
+    def reject(self, active_request: ActiveRequest, action: Reject) -> None:
+        """Respond that the request was rejected and did not run: the client may safely repeat it."""
         headers = b"Retry-After: %.3f\r\n" % action.retry_after if action.retry_after > 0.0 else b""
-        self.respond(active, SERVICE_UNAVAILABLE, headers, REJECTED_BODY, action.reason.value)
+        self.respond(active_request, SERVICE_UNAVAILABLE, headers, REJECTED_BODY, action.reason.value)
 
-    def return_client_error(self, active: ActiveRequest, status: int) -> None:
-        """Answer with the status by which a backend found the request itself at fault."""
-        self.respond(active, status, b"", CLIENT_ERROR_BODY)
+    def return_client_error(self, active_request: ActiveRequest, status: int) -> None:
+        """Respond with the status by which a backend reported a fault of the request itself."""
+        self.respond(active_request, status, b"", CLIENT_ERROR_BODY)
 
-    def fail(self, active: ActiveRequest) -> None:
-        """Answer that the request failed, without a promise on whether it ran."""
-        status = GATEWAY_TIMEOUT if active.last_outcome is Outcome.TIMEOUT else BAD_GATEWAY
-        self.respond(active, status, b"", FAILED_BODY)
+    def fail(self, active_request: ActiveRequest) -> None:
+        """Respond that the request failed; it may have run or not."""
+        status = GATEWAY_TIMEOUT if active_request.last_outcome is Outcome.TIMEOUT else BAD_GATEWAY
+        self.respond(active_request, status, b"", FAILED_BODY)
--- a/proxy/response_sink.py
+++ b/proxy/response_sink.py
@@ -1,6 +1,6 @@
-"""What the dispatcher needs of the client that sent a request: a receiver of the response.
+"""The interface through which the dispatcher sends a response to the client of a request.
 
-It owns no state: `proxy.downstream.connection` implements the interface.
+`proxy.downstream.connection` implements it.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
     """The receiver of the final response to one request.
 
     Attributes:
-        on_disconnect: Called once if the client disconnects before its response is sent. The receiver of the
-            request sets it; sending the response clears it.
+        on_disconnect: Called once if the client disconnects before its response is sent. The dispatcher sets
+            it; sending the response clears it.
     """
 
     on_disconnect: Callable[[], None] | None
@@ -31,4 +31,4 @@
         """
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has closed its connection, even if that is still unread."""
+        """Return whether the client has closed its connection, even if the close has not been read yet."""
