--- a/proxy/downstream/acceptor.py
+++ b/proxy/downstream/acceptor.py
@@ -1,7 +1,7 @@
 """Accepts connections on one listening socket, and continues after errors.
 
-It owns the delay before accepting is retried, and the log lines about errors. It does not own the listening
-socket (the listener does), nor the connections once they have their protocol.
+It owns the delay before accepting is retried, and the log lines about errors. The listener owns the listening
+socket, and each accepted connection belongs to its protocol.
 """
 
 from __future__ import annotations
@@ -19,13 +19,15 @@
 
 logger = logging.getLogger(__name__)
 
-MAX_ACCEPTS_PER_TURN = 8  # connections accepted in one turn of the event loop: other callbacks are waiting
-#: Errors of the system or the process, which the next connection would cause as well. All others concern a
-#: single connection, whose pending network error accept(2) returns.
+MAX_ACCEPTS_PER_TURN = (
+    8  # connections accepted in one turn of the event loop, so that other callbacks run in time
+)
+#: Errors of the system or the process: accepting the next connection would fail as well. All other errors
+#: concern a single connection: accept(2) returns its pending network error.
 RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-MIN_RETRY_DELAY = 0.002  # seconds after the first such error; doubled after each further one
-MAX_RETRY_DELAY = 0.05  # seconds: while no descriptor is free, retrying must cost little
-MAX_IMMEDIATE_RETRIES = 20  # consecutive failures in a shutdown that are retried immediately
+MIN_RETRY_DELAY = 0.002  # seconds after the first resource error; doubled after each further one
+MAX_RETRY_DELAY = 0.05  # seconds; retries must cost little processor time while no descriptor is free
+MAX_IMMEDIATE_RETRIES = 20  # consecutive failures during a shutdown that are retried immediately
 MAX_DELAYED_RETRIES = 50  # further consecutive failures, `MIN_RETRY_DELAY` apart
 
 
@@ -43,9 +45,9 @@
         self._log_limit = RateLimit()
 
     def start(self) -> None:
-        """Accept connections from now on."""
+        """Start to accept connections."""
         self._retry_timer = None
-        self._loop.add_reader(self._socket.fileno(), self._accept_some)
+        self._loop.add_reader(self._socket.fileno(), self._accept_batch)
 
     def stop(self) -> None:
         """Stop accepting; new connections stay in the accept queue."""
@@ -54,12 +56,12 @@
         self._loop.remove_reader(self._socket.fileno())
 
     async def accept_queued(self) -> None:
-        """Accept all connections in the accept queue, as the last ones."""
+        """Stop accepting, after all connections that are in the accept queue have been accepted."""
         self.stop()
         failures = 0
         while failures < MAX_IMMEDIATE_RETRIES + MAX_DELAYED_RETRIES:
             try:
-                accepted, _ = self._socket.accept()
+                client_socket, _ = self._socket.accept()
             except BlockingIOError:
                 return
             except OSError as error:
@@ -69,13 +71,13 @@
                     await asyncio.sleep(MIN_RETRY_DELAY)
                 continue
             failures = 0
-            await self._connect(accepted)
+            await self._start_protocol(client_socket)
 
-    def _accept_some(self) -> None:
+    def _accept_batch(self) -> None:
         """Accept queued connections up to a limit; the event loop calls again if there are more."""
         for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
-                accepted, _ = self._socket.accept()
+                client_socket, _ = self._socket.accept()
             except BlockingIOError:
                 return
             except OSError as error:
@@ -85,24 +87,24 @@
                     return
                 continue
             self._retry_delay = MIN_RETRY_DELAY
-            task = self._loop.create_task(self._connect(accepted))
+            task = self._loop.create_task(self._start_protocol(client_socket))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def _pause(self) -> None:
-        """Stop accepting for a moment: the event loop would retry immediately, and keep a core busy."""
+        """Stop accepting until the retry delay ends: immediate retries would keep a core busy."""
         self._loop.remove_reader(self._socket.fileno())
         self._retry_timer = self._loop.call_later(self._retry_delay, self.start)
         self._retry_delay = min(2.0 * self._retry_delay, MAX_RETRY_DELAY)
 
-    async def _connect(self, accepted: socket.socket) -> None:
+    async def _start_protocol(self, client_socket: socket.socket) -> None:
         """Give a connection its protocol."""
         try:
-            accepted.setblocking(False)
-            await self._loop.connect_accepted_socket(self._make_protocol, accepted)
-        except OSError as error:  # the connection has ended already
+            client_socket.setblocking(False)
+            await self._loop.connect_accepted_socket(self._make_protocol, client_socket)
+        except OSError as error:  # the connection has already ended
             self._log(error)
-            accepted.close()
+            client_socket.close()
 
     def _log(self, error: OSError) -> None:
         self._failures += 1
--- a/proxy/downstream/classification.py
+++ b/proxy/downstream/classification.py
@@ -32,15 +32,15 @@
 
 @dataclass(slots=True)
 class ClassifiedRequest:
-    """What the balancer needs to know of a request.
+    """The properties of a request that the balancer needs.
 
     Attributes:
         class_index: The index of its class in the settings that it was classified by.
-        tenant_index: The index of its tenant there; 0 if the settings list no tenants.
-        timeout: Seconds from its first byte within which the client wants the response.
+        tenant_index: The index of its tenant in those settings; 0 if they list no tenants.
+        timeout: Seconds from its first byte within which the client needs the response.
         cost: The client's estimate of the work in seconds; 0 if it gives none.
-        is_retry: Whether the client has sent it before.
-        request_class: The class itself.
+        is_retry: Whether the client has sent the same request before.
+        request_class: The class at `class_index`.
     """
 
     class_index: int
@@ -52,37 +52,37 @@
 
 
 def classify(request: ClientRequest, config: Config) -> ClassifiedRequest:
-    """Read what the balancer needs to know of a request.
+    """Read the properties of a request that the balancer needs from its headers.
 
     Raises:
         HttpError: A required header is missing, malformed, or names a class or tenant that is not configured.
     """
-    get = request.headers.get
-    if not REQUEST_ID.fullmatch(get(b"x-request-id", b"")):
+    header = request.headers.get
+    if not REQUEST_ID.fullmatch(header(b"x-request-id", b"")):
         raise HttpError(HTTPStatus.BAD_REQUEST, "no request id, or a malformed one")
-    class_index = config.class_indices.get(get(b"x-priority-class", b"").decode("latin-1"))
+    class_index = config.class_indices.get(header(b"x-priority-class", b"").decode("latin-1"))
     if class_index is None:
         raise HttpError(HTTPStatus.BAD_REQUEST, "unknown class")
     request_class = config.settings.classes[class_index]
     method, needs_key = METHOD_RULES[request_class.idempotency]
-    if request.method != method or (needs_key and not get(b"idempotency-key")):
+    if request.method != method or (needs_key and not header(b"idempotency-key")):
         raise HttpError(HTTPStatus.BAD_REQUEST, "the method does not fit the class")
     tenant_index: int | None = 0
     if config.tenant_indices:
-        tenant_index = config.tenant_indices.get(get(b"x-tenant-id", b"").decode("latin-1"))
+        tenant_index = config.tenant_indices.get(header(b"x-tenant-id", b"").decode("latin-1"))
     if tenant_index is None:
         raise HttpError(HTTPStatus.BAD_REQUEST, "unknown tenant")
-    timeout = get(b"x-timeout", b"")
+    timeout = header(b"x-timeout", b"")
     if not DECIMAL.fullmatch(timeout):
         raise HttpError(HTTPStatus.BAD_REQUEST, "the time is malformed")
-    cost = get(b"x-cost", b"")
+    cost = header(b"x-cost", b"")
     return ClassifiedRequest(
         class_index,
         tenant_index,
-        # No client waits longer than the deadline of its class: an absurd timeout would only keep a timer and
-        # the request's memory in use.
+        # No client waits longer than the deadline of its class. With a longer timeout, a timer and the memory
+        # of the request would stay in use for nothing.
         min(float(timeout), request_class.deadline),
         float(cost) / MICROSECONDS_PER_SECOND if DECIMAL.fullmatch(cost) else 0.0,
-        get(b"x-retried") == b"1",
+        header(b"x-retried") == b"1",
         request_class,
     )
--- a/proxy/downstream/client_socket.py
+++ b/proxy/downstream/client_socket.py
@@ -1,6 +1,6 @@
-"""What the operating system knows of a client's socket that the event loop has not read yet.
+"""Polls a client's socket for input and a disconnect that the event loop has not read yet.
 
-It owns the socket's poller. It neither reads nor writes: the connection does, through its transport.
+It owns the poller, and neither reads nor writes: the connection does so through its transport.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     import asyncio
 
-#: What the system reports of a socket whose peer has closed it, or has closed its sending side.
+#: The events of a socket whose peer has closed it, has closed its sending side, or has reset the connection.
 DISCONNECT_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
@@ -28,9 +28,9 @@
     def has_disconnected(self) -> bool:
         """Return whether the client has closed its connection, even if that has not been read yet.
 
-        While the event loop was busy, or behind bytes that are still unread, a close waits in the socket.
-        Asking the system for it avoids attempts at backends that no client waits for. A client that closes
-        only its sending side looks the same, and counts as disconnected too.
+        The event loop does not report a close while it is busy, or while bytes before the close are unread.
+        Polling the socket avoids sending attempts for which no client waits. A client that closes only its
+        sending side can't be distinguished, and counts as disconnected too.
         """
         return self._transport.is_closing() or bool(self._events() & DISCONNECT_EVENTS)
 
--- a/proxy/downstream/closing.py
+++ b/proxy/downstream/closing.py
@@ -1,7 +1,6 @@
-"""How the proxy ends one client's connection: on the wire, in the event log, and in the run-time checks.
+"""Ends one client's connection: closes its socket, logs the reason, and reports requests without a response.
 
-It owns whether reading has stopped. When and why a connection is closed, and its state, are up to
-`connection`.
+It owns whether reading has stopped. `connection` owns the state, and decides when to close and why.
 """
 
 from __future__ import annotations
@@ -23,11 +22,11 @@
 
 
 class CloseObserver(Protocol):
-    """What is notified of closed connections.
+    """The receivers of reports on closed connections.
 
     Attributes:
-        event_log: Receives the reason of each close.
-        monitor: Receives the requests that get no answer.
+        event_log: Records the reason of each close.
+        monitor: Counts the requests that get no response.
     """
 
     event_log: EventLog
@@ -38,7 +37,8 @@
     """Ends one client's connection without cutting off a response that is still in transit.
 
     Attributes:
-        reading_stopped: Whether nothing more is read: the proxy is shutting down, and a response is pending.
+        reading_stopped: Whether reading has stopped, because the proxy is shutting down and a response is
+            pending.
     """
 
     __slots__ = ("_observer", "_socket", "_transport", "reading_stopped")
@@ -50,19 +50,19 @@
         self.reading_stopped = False
 
     def stop_reading(self) -> None:
-        """Leave unread what the client sends from now on."""
+        """Stop reading; later input stays in the socket."""
         self.reading_stopped = True
         self._transport.pause_reading()
 
     def has_unread_disconnect(self) -> bool:
-        """Return whether the client has disconnected, where reading has stopped and would not show it."""
+        """Return whether the client has disconnected unnoticed, because reading has stopped."""
         return self.reading_stopped and not self._transport.is_closing() and self._socket.has_disconnected()
 
     def close(self) -> None:
         """Close the transport once everything is written.
 
-        Closing it with unread input would reset the connection, and cut off a response in transit. So if
-        there is unread input, only the sending side is closed now; the client's close ends the connection.
+        Closing a socket with unread input resets the connection, which would cut off a response in transit.
+        If there may be unread input, only the sending side is closed; the client's close ends the connection.
         """
         is_writing = self._transport.get_write_buffer_size() > 0
         if self.reading_stopped and (is_writing or self._socket.has_unread_input()):
@@ -72,14 +72,14 @@
 
     def end_sending(self) -> None:
         """Close the sending side once everything is written."""
-        with suppress(OSError):  # the client has just reset the connection, which the loop reports by itself
+        with suppress(OSError):  # the client has just reset the connection; the loop reports that
             self._transport.write_eof()
 
     def record(self, reason: CloseReason, state: ConnectionState, queue: RequestQueue) -> None:
-        """Log why the proxy closes the connection, and report received requests that get no answer."""
-        log = self._observer.event_log
-        if log.enabled:
-            log.record(
+        """Log why the proxy closes the connection, and report received requests that get no response."""
+        event_log = self._observer.event_log
+        if event_log.enabled:
+            event_log.record(
                 ConnectionClosed(
                     reason=reason,
                     state=state.name,
--- a/proxy/downstream/connection.py
+++ b/proxy/downstream/connection.py
@@ -1,8 +1,8 @@
-"""One client's connection: its requests are read, served one after another, and answered in order.
+"""One client's connection: reads its requests, serves them one after another, and responds in order.
 
-It owns the connection's state, and changes it in one place. Its parts have one job each: `connection_input`
-parses and queues requests, `routing` selects who answers one, `response_writer` writes responses, `closing`
-ends the connection, and `client_socket` polls the socket. `eviction` enforces the limits on time and number.
+It owns the connection's state, and changes it in one place. `connection_input` parses and queues requests,
+`routing` selects what handles a request, `response_writer` writes responses, `closing` ends the connection,
+and `client_socket` polls the socket. `eviction` enforces time limits and the limit on connections.
 """
 
 from __future__ import annotations
@@ -35,10 +35,11 @@
 
 
 class ConnectionOwner(SharedMemory, CloseObserver, RequestHandler["DownstreamConnection"], Protocol):
-    """What a connection needs of its listener.
+    """The fields and methods of the listener that its connections use.
 
     Attributes:
-        closing_since: The event loop's time from which responses close their connection; infinite before.
+        closing_since: The event loop's time from which responses close their connection; infinite until the
+            listener's `stop_keepalive` is called.
         last_accepted_at: The event loop's time at which the latest connection was accepted.
     """
 
@@ -49,13 +50,13 @@
 class DownstreamConnection(asyncio.BufferedProtocol):
     """One client's connection.
 
-    Reading continues while a request is served: nothing else shows that the client disconnects.
+    Reading continues while a request is served: the event loop reports a disconnect only while it reads.
 
     Attributes:
-        on_disconnect: Called once if the client disconnects before the response that it waits for. The
-            receiver of the request sets it; the response clears it.
-        idle_timeout: Seconds without a request after which the connection is closed; extended once a request
-            is forwarded.
+        on_disconnect: Called once if the client disconnects before its response is sent. The dispatcher sets
+            it; sending the response clears it.
+        idle_timeout: Seconds without a request after which the connection is closed; longer once a request
+            has been forwarded.
     """
 
     def __init__(self, owner: ConnectionOwner) -> None:
@@ -66,7 +67,7 @@
         self._loop = asyncio.get_running_loop()
         self._state: ConnectionState = NEW
         self._input = ConnectionInput(owner)
-        self._keep_alive = False  # whether the client may send more after the request that is being served
+        self._keep_alive = False  # whether the connection stays open after the request that is being served
 
     # ---- callbacks of the transport ------------------------------------------------------
 
@@ -80,14 +81,14 @@
         now = self._owner.last_accepted_at = self._loop.time()
         self._registry.open.add(self)
         self._enter(NEW, now + timeouts.FIRST_REQUEST_TIMEOUT)
-        # The limit on connections applies from here on; if none can be evicted, a request is rejected later.
+        # Too many connections: one is evicted here, or else a request of this one is rejected later.
         self._registry.admit(self)
 
     def eof_received(self) -> None:
         """Treat the end of the client's input as a disconnect.
 
-        Requests that still wait are dropped, as no client waits for them any more. Otherwise, where an
-        earlier response is still unread, the connection would end only after that response is written.
+        Waiting requests are dropped, as no client waits for their responses. Otherwise, if an earlier
+        response is still unread, the connection would stay open until that response is written.
         """
         self._input.queue.clear()
         self._report_disconnect()
@@ -99,11 +100,11 @@
         self._report_disconnect()
 
     def pause_writing(self) -> None:
-        """Serve no further request: the client reads more slowly than responses are written."""
+        """Stop serving requests: the client reads more slowly than responses are written."""
         self._writer.paused = True
 
     def resume_writing(self) -> None:
-        """Serve the requests that wait: the client has caught up."""
+        """Serve the waiting requests: the client has read enough of the earlier responses."""
         self._writer.paused = False
         self._serve_next()
 
@@ -114,30 +115,31 @@
     def buffer_updated(self, nbytes: int) -> None:
         """Parse received bytes, and serve the first request that is complete.
 
-        If a part of a request has been received and none is being served, its time limit begins.
+        If only the beginning of a request has been received and no request is being served, its time limit
+        starts.
         """
-        received = self._input
-        if received.ended:
-            if received.discard(nbytes):
+        connection_input = self._input
+        if connection_input.ended:
+            if connection_input.discard(nbytes):
                 self.abort(CloseReason.FLOOD)
             return
         must_wait = self._state is SERVING or self._state is WAITING or self._writer.paused
-        received.feed(nbytes, self._loop.time(), must_wait=must_wait)
-        if received.queue:
+        connection_input.feed(nbytes, self._loop.time(), must_wait=must_wait)
+        if connection_input.queue:
             self._serve_next()
-        elif received.parser.reading:
-            if self._state is NEW:  # counted from connecting: sending single bytes gains no more time
+        elif connection_input.parser.reading:
+            if self._state is NEW:  # counted from connecting: a client gains no time by single bytes
                 self._enter(READING, self._registry.new[self])
             elif self._state is IDLE:
-                self._enter(READING, received.parser.started_at + timeouts.REQUEST_TIMEOUT)
+                self._enter(READING, connection_input.parser.started_at + timeouts.REQUEST_TIMEOUT)
 
     # ---- state ---------------------------------------------------------------------------
 
     def _enter(self, state: ConnectionState, deadline: float = 0.0) -> None:
-        """Change the state: every change is made here.
+        """Change the state; no other method does.
 
         Args:
-            state: The new state; entering the same one again renews its deadline.
+            state: The new state; entering the current one again sets a new deadline.
             deadline: The event loop's time at which the connection is closed, if the state has a time limit.
         """
         deadlines_by_state = self._registry.deadlines_by_state
@@ -152,15 +154,15 @@
             self._registry.open.discard(self)
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has closed its connection, even if that is still unread."""
+        """Return whether the client has closed its connection, even if the close has not been read yet."""
         return self._socket.has_disconnected()
 
     def has_unread_disconnect(self) -> bool:
-        """Return whether the client has disconnected, where reading has stopped and would not show it."""
+        """Return whether the client has disconnected unnoticed, because reading has stopped."""
         return self._closer.has_unread_disconnect()
 
     def is_writing(self) -> bool:
-        """Return whether a part of a response has not been written yet."""
+        """Return whether a response has not been written completely."""
         return self._writer.is_writing()
 
     def has_read_progress(self) -> bool:
@@ -170,7 +172,7 @@
     # ---- requests and responses ----------------------------------------------------------
 
     def _serve_next(self) -> None:
-        """Serve the next request, unless an earlier one is still unanswered or its response unread."""
+        """Serve the next request, unless an earlier response is still pending or unread."""
         if self._state is SERVING or self._state is CLOSED or self._writer.paused or not self._input.queue:
             return
         request = self._input.pop()
@@ -196,7 +198,7 @@
         """
         self.on_disconnect = None
         queue = self._input.queue
-        # In a graceful shutdown, only the requests that have been received already are still served.
+        # During a graceful shutdown, only requests that have already been received are served.
         keep_alive = self._keep_alive and (self._owner.closing_since == inf or bool(queue))
         self._writer.write(status, headers, body, keep_alive=keep_alive)
         now = self._loop.time()
@@ -214,11 +216,12 @@
             self._enter(IDLE, now + self.idle_timeout)
 
     def reject(self, error: HttpError) -> None:
-        """Answer a request that is not served, as the last one of the connection.
+        """Reject the current request and all that wait behind it, and close the connection.
 
-        Requests that wait behind it have been received, and are answered too: they did not run. If the
-        connection stayed open, a rejected client would repeat its request at full speed. Only the sending
-        side is closed: the proxy reads until the client closes, as a reset would lose the response.
+        The responses to the waiting requests say that they did not run. If the connection stayed open, a
+        rejected client could repeat its request without any delay. Only the sending side is closed, and the
+        proxy reads until the client closes: unread input would reset the connection, and the client would
+        lose the response.
         """
         self.on_disconnect = None
         rejections = self._input.end(error)
@@ -235,7 +238,7 @@
     # ---- closing -------------------------------------------------------------------------
 
     def begin_closing(self) -> None:
-        """Prepare for the end of the process: close if no response is pending, else stop reading."""
+        """Begin to close for a shutdown: close if new or idle, and stop reading if a response is pending."""
         if self._state is NEW or self._state is IDLE:
             self.close(CloseReason.SHUTDOWN)
         elif self._state is SERVING or self._state is WAITING:
--- a/proxy/downstream/connection_input.py
+++ b/proxy/downstream/connection_input.py
@@ -1,7 +1,7 @@
-"""The input of one client's connection: received bytes become requests that wait for their turn.
+"""The input of one client's connection: parses received bytes into requests, and queues them.
 
-It owns the parser, the queue of requests, the limits on both, and the connection's part of the memory that
-all connections share. When a request's turn comes, and what happens to it, is up to `connection`.
+It owns the parser, the queue, their limits, and the connection's usage of the memory that all connections
+share. `connection` takes requests from the queue and serves them.
 """
 
 from __future__ import annotations
@@ -16,7 +16,9 @@
 if TYPE_CHECKING:
     from proxy.downstream.request_parser import ClientRequest
 
-MAX_PIPELINED_REQUESTS = 8  # requests that may wait behind another one: clients send one at a time
+MAX_PIPELINED_REQUESTS = (
+    8  # requests that may wait behind another one; well-behaved clients send none before the response
+)
 MAX_DISCARDED_BYTES = 64 << 20  # bytes discarded after a rejection before the connection is aborted
 
 
@@ -26,7 +28,7 @@
     Attributes:
         read_buffer: The buffer that every connection reads into; its content is valid during one callback.
         buffered_bytes: Bytes of incomplete bodies, and of requests that wait behind another one.
-        max_buffered_bytes: The limit on that.
+        max_buffered_bytes: The limit on `buffered_bytes`.
     """
 
     read_buffer: memoryview
@@ -38,9 +40,9 @@
     """Parses and queues the requests of one connection, within its limits.
 
     Attributes:
-        parser: Parses received bytes; it knows whether a request is incomplete.
+        parser: Parses received bytes; its `reading` shows whether a request is incomplete.
         queue: The requests that wait for their turn, and behind them the error that ends the input, if any.
-        ended: Whether a rejection is queued or written: what the client still sends is discarded.
+        ended: Whether a rejection is queued or written, so that further input is discarded.
     """
 
     __slots__ = ("_buffered_bytes", "_discarded_bytes", "_memory", "ended", "parser", "queue")
@@ -51,13 +53,13 @@
         self.ended = False
         self._memory = memory
         self._discarded_bytes = 0
-        self._buffered_bytes = 0  # this connection's part of the memory's `buffered_bytes`
+        self._buffered_bytes = 0  # included for this connection in `SharedMemory.buffered_bytes`
 
     def feed(self, nbytes: int, now: float, *, must_wait: bool) -> None:
         """Parse received bytes, and queue the requests that are complete.
 
         Args:
-            nbytes: How many bytes the shared buffer contains.
+            nbytes: The number of received bytes in the shared buffer.
             now: The event loop's time.
             must_wait: Whether a complete request has to wait for an earlier one or its response.
         """
@@ -72,8 +74,8 @@
     def discard(self, nbytes: int) -> bool:
         """Discard bytes received after a rejection; return whether their limit is exceeded.
 
-        Closing a connection with unread bytes would reset it, and the client would lose the response. A
-        client that never stops sending must not keep a core busy, so the total is limited.
+        Closing a connection with unread bytes would reset it, and the client would lose the response. The
+        total is limited, so that a client that never stops sending does not keep a core busy.
         """
         self._discarded_bytes += nbytes
         return self._discarded_bytes > MAX_DISCARDED_BYTES
@@ -89,10 +91,10 @@
         """End the input because of an error, and release its memory.
 
         Args:
-            error: The answer to the request whose turn it is.
+            error: The response to the current request.
 
         Returns:
-            The answers to all requests that have been received, in order.
+            The responses to all requests that have been received, in order.
         """
         self.ended = True
         rejections = self.queue.reject_all(error)
@@ -106,10 +108,11 @@
         self.parser.close()
 
     def _enforce_limits(self, *, must_wait: bool) -> None:
-        """End the input if it takes too much memory or contains too many requests.
+        """End the input if it uses too much memory or contains too many requests.
 
-        Many incomplete bodies, and many requests that wait behind another one, would together exceed the
-        memory limit; a flood of requests on one connection would do so alone, and overload backends.
+        Without a limit, many incomplete bodies and waiting requests of all connections together would exceed
+        the memory limit. So would many pipelined requests on a single connection, which would also overload
+        backends.
         """
         parser, memory, queue = self.parser, self._memory, self.queue
         buffered = self._waiting_bytes() if must_wait else parser.buffered_bytes()
@@ -123,10 +126,10 @@
             parser.error = HttpError(HTTPStatus.BAD_REQUEST, "too many requests at once")
 
     def _waiting_bytes(self) -> int:
-        """Return the bytes of an incomplete body and of all requests that wait."""
+        """Return the bytes of an incomplete body and of all waiting requests."""
         return self.parser.buffered_bytes() + self.queue.buffered_bytes()
 
     def _account_for(self, buffered_bytes: int) -> None:
-        """Update the total of all connections by what this one uses now."""
+        """Set this connection's bytes in the total of all connections."""
         self._memory.buffered_bytes += buffered_bytes - self._buffered_bytes
         self._buffered_bytes = buffered_bytes
--- a/proxy/downstream/errors.py
+++ b/proxy/downstream/errors.py
@@ -1,4 +1,4 @@
-"""The error by which the proxy rejects a client's request; it owns no decision about when."""
+"""The error that rejects a client's request with a status and a reason."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class HttpError(RowandealError):
-    """A request that the proxy answers itself, because it is malformed or can't be served.
+    """A client's request that the proxy rejects, because it is malformed or can't be served.
 
     Attributes:
         status: The status code of the response.
--- a/proxy/downstream/eviction.py
+++ b/proxy/downstream/eviction.py
@@ -1,8 +1,8 @@
-"""Closes connections of clients that exceed their time limit, and evicts some when there are too many.
+"""Closes clients' connections that exceed their time limit, and evicts some when there are too many.
 
-It owns the set of open connections, the deadline of each that has no pending response, and the limit on their
-number. It does not change a connection's state: it asks the connection to abort or to reject, and the
-connection changes its own state.
+It owns the set of open connections, the limit on their number, and the deadlines of the connections, except
+where the request being served has a deadline itself. It does not change a connection's state: it calls the
+connection's `abort` or `reject`, which do.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 )
 from proxy.downstream.errors import HttpError
 
-SHORTAGE_THRESHOLD = 0.5  # fraction of the limit on connections above which they are running short
-EXTRA_READING_CONNECTIONS = 8  # above the limit, with a part of a request received: most soon complete
+SHORTAGE_THRESHOLD = 0.5  # fraction of `max_connections` above which idle connections are closed earlier
+EXTRA_READING_CONNECTIONS = 8  # allowed above the limit while their requests are read: most soon complete
 
 
 class EvictableConnection(Protocol):
-    """What the registry needs of a connection."""
+    """The methods of a connection that the registry calls."""
 
     def is_writing(self) -> bool:
-        """Return whether a part of a response has not been written yet."""
+        """Return whether a response has not been written completely."""
 
     def has_read_progress(self) -> bool:
         """Return whether the client has read more of a response since the last call."""
@@ -41,25 +41,26 @@
         """Close the connection immediately."""
 
     def reject(self, error: HttpError) -> None:
-        """Answer the current request with an error, and close the connection."""
+        """Respond to the current request with an error, and close the connection."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=EvictableConnection)
 
 
 class ConnectionRegistry(Generic[ConnectionT]):
-    """The open connections of one listener, and the deadlines of those without a pending response.
+    """The open connections of one listener, and their deadlines in the states that have a time limit.
 
-    In each mapping of deadlines, connections are in the order in which they entered the state, each with the
-    event loop's time at which it is closed.
+    Each mapping of deadlines has the connections in the order in which they entered the state, with the event
+    loop's time at which the connection is closed.
 
     Attributes:
-        max_connections: The limit on open connections; exceeded for a moment while requests are received.
+        max_connections: The limit on open connections; it can be exceeded for a short time while requests are
+            read.
         open: All connections that use a descriptor, in any state.
-        new, reading, idle, waiting, closing: The connections in that state, in the order of eviction. Those
-            in `waiting` have a pending response, and are not evicted.
+        new, reading, idle, waiting, closing: The deadlines of the connections in the state of that name, in
+            the order of eviction. Connections in `waiting` have a pending response, and are not evicted.
         deadlines_by_state: The same five mappings, indexed by `ConnectionState`. None for SERVING, where the
-            request has a deadline of its own, and for CLOSED.
+            request has a deadline itself, and for CLOSED.
     """
 
     def __init__(self, max_connections: int) -> None:
@@ -84,10 +85,10 @@
     def admit(self, connection: ConnectionT, *, request_complete: bool = False) -> bool:
         """Evict another connection if there are too many; return whether the connection may be served.
 
-        Well-behaved clients keep their connections for as long as possible. The order of eviction is
-        therefore: closing; the oldest new one, if it has been silent since it connected; idle; new; and last,
-        one whose request is being read. A connection whose response is still being written is never evicted:
-        the response would be truncated.
+        The order of eviction spares well-behaved clients for as long as possible: closing connections; the
+        oldest new connection, if it has sent nothing since it connected; idle ones; new ones; and last, those
+        whose request is being read. A connection whose response is still being written is never evicted: the
+        response would be truncated.
 
         Args:
             connection: The connection to admit; it is not evicted itself.
@@ -98,9 +99,9 @@
         excess = len(self.open) - self.max_connections
         if excess <= 0:
             return True
-        settled = self._loop.time() + timeouts.FIRST_REQUEST_TIMEOUT - timeouts.SETTLING_TIME
-        oldest = itertools.islice(self.new.items(), 1)
-        silent = [candidate for candidate, deadline in oldest if deadline < settled]
+        silent_before = self._loop.time() + timeouts.FIRST_REQUEST_TIMEOUT - timeouts.NEW_CONNECTION_GRACE
+        oldest_new = itertools.islice(self.new.items(), 1)
+        silent = [candidate for candidate, deadline in oldest_new if deadline < silent_before]
         reading = self.reading if request_complete or excess > EXTRA_READING_CONNECTIONS else ()
         for candidates in (self.closing, silent, self.idle, self.new, reading):
             for candidate in candidates:
@@ -112,20 +113,20 @@
     def _sweep(self) -> None:
         """Close the connections whose deadline has passed.
 
-        Otherwise clients that never complete a request, or never close, would use descriptors and memory
-        without limit.
+        Otherwise clients that never complete a request, or never close their connection, would use up
+        descriptors and memory.
         """
         self._loop.call_later(timeouts.SWEEP_INTERVAL, self._sweep)
         now = self._loop.time()
         running_short = len(self.open) > SHORTAGE_THRESHOLD * self.max_connections
         idle_advance = timeouts.IDLE_TIMEOUT - timeouts.MIN_IDLE_TIMEOUT if running_short else 0.0
-        limited = (
+        advance_by_state = (
             (self.closing, 0.0),
             (self.new, 0.0),
             (self.idle, idle_advance),
             (self.waiting, idle_advance),
         )
-        for deadlines, advance in limited:
+        for deadlines, advance in advance_by_state:
             for connection in _overdue(deadlines, now, advance):
                 if connection.has_read_progress():
                     deadlines[connection] = now + advance + timeouts.WRITING_TIMEOUT
@@ -136,5 +137,5 @@
 
 
 def _overdue(deadlines: dict[ConnectionT, float], now: float, advance: float = 0.0) -> list[ConnectionT]:
-    """Return the connections whose deadline, brought forward by `advance` seconds, has passed."""
+    """Return the connections whose deadline has passed, or passes within the next `advance` seconds."""
     return [connection for connection, deadline in deadlines.items() if deadline - advance <= now]
--- a/proxy/downstream/listener.py
+++ b/proxy/downstream/listener.py
@@ -1,7 +1,7 @@
 """Accepts the connections of clients, and reports whether this proxy is healthy.
 
-It owns the listening socket, the health state, what a graceful shutdown changes for clients, and the memory
-that all connections share. `connection` handles one connection; `eviction` selects which to close when there
+It owns the listening socket, the health state, the clients' side of a graceful shutdown, and the memory that
+all connections share. `connection` handles one connection; `eviction` selects which ones to close when there
 are too many.
 """
 
@@ -28,7 +28,7 @@
     from proxy.invariants import InvariantMonitor
     from proxy.response_sink import ResponseSink
 
-BUFFERED_MEMORY_SHARE = 0.25  # fraction of the memory limit for incomplete bodies and waiting requests
+BUFFERED_MEMORY_FRACTION = 0.25  # of the memory limit, for incomplete bodies and waiting requests
 LISTEN_BACKLOG = 1024  # connections in the accept queue
 
 
@@ -38,18 +38,19 @@
     Attributes:
         config: The configuration in force.
         version: The version of the configuration, as `/healthz` shows it.
-        on_request: Called with each request that is to be forwarded, what the balancer needs to know of it,
-            and the sink for its response.
-        monitor: Receives requests that get no answer because their connection is closed.
-        event_log: Receives why connections are closed.
+        on_request: Called with each request that has to be forwarded, its properties for the balancer, and
+            the sink for its response.
+        monitor: Counts requests that get no response because their connection is closed.
+        event_log: Records why connections are closed.
         connections: All open connections and their deadlines.
         ready: Whether the endpoint list is loaded.
         serving: Whether the listener accepts connections and is not draining.
-        closing_since: The event loop's time from which responses close their connection; infinite before.
+        closing_since: The event loop's time from which responses close their connection; infinite until
+            `stop_keepalive` is called.
         last_accepted_at: The event loop's time at which the latest connection was accepted.
         read_buffer: The buffer that every connection reads into; its content is valid during one callback.
         buffered_bytes: Bytes of incomplete bodies, and of requests that wait behind another one.
-        max_buffered_bytes: The limit on that.
+        max_buffered_bytes: The limit on `buffered_bytes`.
     """
 
     def __init__(
@@ -72,25 +73,25 @@
         self.last_accepted_at = 0.0
         self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self.buffered_bytes = 0
-        self.max_buffered_bytes = int(BUFFERED_MEMORY_SHARE * config.memory_limit)
+        self.max_buffered_bytes = int(BUFFERED_MEMORY_FRACTION * config.memory_limit)
         self._socket: socket.socket | None = None
         self._loop = asyncio.get_running_loop()
 
     def apply_config(self, config: Config, version: str) -> None:
-        """Apply a configuration: requests that are received from now on are classified by it."""
+        """Classify requests that are received from now on by another configuration."""
         self.config = config
         self.version = version
 
     def mark_ready(self) -> None:
-        """Record that the endpoint list is loaded: from now on the health check may succeed."""
+        """Record that the endpoint list is loaded: the health check may succeed from now on."""
         self.ready = True
 
     def begin_draining(self) -> None:
-        """Fail the health check from now on; requests that still arrive are served."""
+        """Fail the health check from now on; requests that arrive are still served."""
         self.serving = False
 
     def is_healthy(self) -> bool:
-        """Return whether clients should send requests here."""
+        """Return whether clients should send requests to this proxy."""
         return self.ready and self.serving
 
     def bind(self) -> socket.socket:
@@ -111,23 +112,23 @@
         return sock
 
     async def stop_listening(self, sock: socket.socket) -> None:
-        """Accept the queued connections, then close the socket: closing resets what is still queued."""
+        """Accept the queued connections, then close the socket, which resets those still in the queue."""
         await self._acceptor.accept_queued()
         sock.close()
 
     def stop_keepalive(self) -> None:
         """Close each connection with its next response, and immediately if no response is pending.
 
-        Requests that have been received are answered first. Connections with a pending response stop reading:
-        a further request would have to be answered too, whereas a client that finds its connection closed
-        sends the request elsewhere.
+        Received requests get their responses first. Connections with a pending response stop reading: a
+        further request would need a response too, whereas a client whose connection is closed sends the
+        request to another proxy.
         """
         self.closing_since = self._loop.time()
         for connection in tuple(self.connections.open):
             connection.begin_closing()
 
     def close_disconnected(self) -> None:
-        """Close connections whose client has disconnected, where reading has stopped and did not show it."""
+        """Close connections whose client has disconnected unnoticed, because reading has stopped."""
         for connection in tuple(self.connections.open):
             if connection.has_unread_disconnect():
                 connection.abort(CloseReason.CLIENT_DISCONNECTED)
--- a/proxy/downstream/request_parser.py
+++ b/proxy/downstream/request_parser.py
@@ -1,8 +1,7 @@
 """Parses the bytes of one client's connection into requests, or into an error if one must not be forwarded.
 
-It owns the limits on a request's size and the rules of HTTP that protect backends and other clients.
-`classification` reads the headers that the balancer needs, and `connection` determines when a request is
-served.
+It owns the limits on a request's size, and the rules of HTTP that protect backends and other clients.
+`classification` reads the headers that the balancer needs, and `connection` decides when to serve a request.
 """
 
 from __future__ import annotations
@@ -25,11 +24,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MAX_HEAD_BYTES = 16 << 10  # bytes of a request's head: what backends commonly accept
-MAX_WIRE_BYTES = 8 * MAX_BODY_BYTES  # bytes of a request as sent: the smallest chunks take six times the body
+MAX_HEAD_BYTES = 16 << 10  # bytes of a request's head; backends commonly accept this size
+MAX_WIRE_BYTES = 8 * MAX_BODY_BYTES  # bytes of a request as sent; one-byte chunks need six times the body
 SUPPORTED_VERSIONS = ("1.1", "1.0")
 
-#: Headers (in lower case) whose values the proxy reads itself.
+#: Headers, in lower case, whose values the proxy reads itself.
 INTERPRETED_HEADERS = frozenset(
     {
         b"x-priority-class",
@@ -51,12 +50,12 @@
     Attributes:
         method: Its method, as sent.
         target: Its target, query included.
-        headers: Those of `INTERPRETED_HEADERS` that it has, by their names in lower case.
+        headers: The values of its `INTERPRETED_HEADERS`, by their names in lower case.
         forwarded_headers: All its end-to-end headers, each with its line end, except `X-Timeout`, which each
-            attempt sets to the time that is left.
+            attempt sets to the remaining time.
         body: Its body, without framing.
         received_at: The event loop's time of its first byte.
-        keep_alive: Whether the client may send more on the connection.
+        keep_alive: Whether the connection stays open after the response.
     """
 
     method: bytes
@@ -68,18 +67,18 @@
     keep_alive: bool
 
     def buffered_bytes(self) -> int:
-        """Return the bytes of memory that it uses while it waits."""
+        """Return the bytes of memory that the request uses while it waits."""
         return len(self.target) + len(self.forwarded_headers) + len(self.body)
 
 
 class RequestParser:
     """The parser of one connection.
 
-    Complete requests are delivered in order. After the first error, nothing more is delivered.
+    It calls `on_request` with each complete request, in order, until the first error.
 
     Attributes:
         error: The error that ends the connection's input; None if there is none yet.
-        reading: Whether a part of a request has been received that is not complete.
+        reading: Whether the beginning of a request has been received, but not its end.
         started_at: The event loop's time of the first byte of the latest request.
     """
 
@@ -92,7 +91,7 @@
         self._reset()
 
     def close(self) -> None:
-        """Release the parser: it refers to this object, so only the garbage collector would free both."""
+        """Release the parser: only the garbage collector would free the cycle of it and this object."""
         del self._parser, self._on_request
 
     def feed(self, data: memoryview, now: float) -> None:
@@ -103,8 +102,8 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._fail(HTTPStatus.BAD_REQUEST, "the request is malformed")
         if was_reading and self.reading:
-            # A single endless header never reaches the callbacks below, and endless chunk framing reaches
-            # them only in small pieces: both would fill the memory.
+            # An endless header is never passed to the callbacks below, and endless chunk framing is passed to
+            # them only in small pieces: without this limit, both would fill the memory.
             self._wire_bytes += len(data)
             if not self._head_complete and self._wire_bytes > MAX_HEAD_BYTES:
                 self._fail(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
@@ -141,7 +140,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Parser callback: one header or trailer."""
-        # A trailer must not count as a header, and a request that is rejected anyway needs no more work.
+        # A trailer must not be used as a header, and the headers of a rejected request are not needed.
         if self._head_complete or self.error is not None:
             return
         self._head_bytes += len(name) + len(value) + HEADER_OVERHEAD_BYTES
@@ -152,22 +151,22 @@
         else:
             self._process_header(name, name.lower(), value)
 
-    def _process_header(self, name: bytes, lower: bytes, value: bytes) -> None:
-        if lower in INTERPRETED_HEADERS:
-            if lower in self._headers:  # a backend might use the other one of the two
+    def _process_header(self, name: bytes, lower_name: bytes, value: bytes) -> None:
+        if lower_name in INTERPRETED_HEADERS:
+            if lower_name in self._headers:  # a backend might use the value of the other one
                 self._fail(HTTPStatus.BAD_REQUEST, "a header comes twice")
-            self._headers[lower] = value
-        elif lower == b"connection":
+            self._headers[lower_name] = value
+        elif lower_name == b"connection":
             self._connection_options += b"," + value.lower()
-        elif lower == b"content-length" and int(value) > MAX_BODY_BYTES:
+        elif lower_name == b"content-length" and int(value) > MAX_BODY_BYTES:
             self._fail(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
-        elif lower == b"transfer-encoding" and value.lower() != b"chunked":
-            # A backend might see the end of the body elsewhere, and parse the remainder as a request of its
-            # own (request smuggling).
+        elif lower_name == b"transfer-encoding" and value.lower() != b"chunked":
+            # A backend might find the end of the body at another place, and parse the remaining bytes as a
+            # separate request (request smuggling).
             self._fail(HTTPStatus.BAD_REQUEST, "the transfer coding is unknown")
-        # A name with `_` is not forwarded: a backend that treats `_` as `-` would read a header that was not
-        # checked here.
-        if lower != b"x-timeout" and lower not in HOP_BY_HOP_HEADERS and b"_" not in lower:
+        # A name with `_` is not forwarded: a backend that treats `_` as `-` would read a header that has not
+        # been checked here.
+        if lower_name != b"x-timeout" and lower_name not in HOP_BY_HOP_HEADERS and b"_" not in lower_name:
             self._forwarded_headers.append(b"%b: %b\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
@@ -184,9 +183,10 @@
             self._drop_headers(connection_options(self._connection_options))
 
     def _drop_headers(self, names: set[bytes]) -> None:
-        """Drop the headers that `Connection` names: like hop-by-hop headers, they are not forwarded.
+        """Drop the headers that `Connection` names: they are hop-by-hop headers, which are not forwarded.
 
-        Headers that the proxy interprets must not be among them: the forwarded request would lose its id.
+        Headers that the proxy interprets must not be among them: the forwarded request would lose its id, for
+        example.
         """
         if not names.isdisjoint(INTERPRETED_HEADERS):
             self._fail(HTTPStatus.BAD_REQUEST, "a header can't be dropped")
--- a/proxy/downstream/request_queue.py
+++ b/proxy/downstream/request_queue.py
@@ -1,7 +1,7 @@
-"""The requests of one client's connection that have been received and wait for their turn, in order.
+"""The queue of a client's connection: received requests that wait for their turn, in order.
 
-It owns them, and the number of those whose memory was released before they were answered. Which limits there
-are is up to `connection_input`, when a request's turn comes to `connection`.
+It owns these requests, and the number of requests whose memory was released before their response.
+`connection_input` enforces the limits on the queue, and `connection` takes requests from it.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from proxy.downstream.errors import HttpError
 from proxy.downstream.request_parser import ClientRequest
 
-#: The answer to a request that waits behind one which ends its connection: it has not run.
+#: The response to a request that waits behind one which ends its connection: it has not run.
 CONNECTION_ENDS = HttpError(HTTPStatus.SERVICE_UNAVAILABLE, "the connection ends")
 
 
@@ -23,10 +23,10 @@
 
     def __init__(self) -> None:
         self._items: deque[ClientRequest | HttpError] = deque()
-        self._dropped = 0  # requests whose answer is pending, and whose memory is released already
+        self._dropped = 0  # requests whose memory is released, and whose response is pending
 
     def __len__(self) -> int:
-        """Return how many requests and errors wait."""
+        """Return the number of requests and errors that wait."""
         return len(self._items)
 
     def append(self, item: ClientRequest | HttpError) -> None:
@@ -38,32 +38,32 @@
         return self._items.popleft()
 
     def clear(self) -> None:
-        """Drop all items: the client has disconnected, or a single answer covers all of them."""
+        """Drop all items: the client has disconnected, or one response is enough for all of them."""
         self._items.clear()
 
     def drop_requests(self, *, has_incomplete: bool) -> None:
-        """Drop the requests to release their memory, but count them: the answer to each is still pending.
+        """Drop the requests to release their memory, but count them: each still needs a response.
 
         Args:
-            has_incomplete: Whether a part of a further request has been received. The error that ends the
-                input is the answer to that one; otherwise to the last request dropped here.
+            has_incomplete: Whether the beginning of a further request has been received. The error that ends
+                the input is the response to that one; otherwise, to the last request dropped here.
         """
         self._dropped += len(self._items) - (not has_incomplete)
         self._items.clear()
 
     def requests(self) -> list[ClientRequest]:
-        """Return the requests that wait."""
+        """Return the waiting requests."""
         return [item for item in self._items if isinstance(item, ClientRequest)]
 
     def buffered_bytes(self) -> int:
-        """Return the bytes of memory that all of them use."""
+        """Return the bytes of memory that the waiting requests use."""
         return sum(request.buffered_bytes() for request in self.requests())
 
     def reject_all(self, error: HttpError) -> list[HttpError]:
-        """Drop all items, as an error ends the connection, and return the pending answers in order.
+        """Drop all items, as an error ends the connection, and return the pending responses in order.
 
         Args:
-            error: The answer to the request whose turn it is.
+            error: The response to the current request.
         """
         responses = [CONNECTION_ENDS] * self._dropped + [error] + [CONNECTION_ENDS] * len(self.requests())
         self._items.clear()
--- a/proxy/downstream/response_writer.py
+++ b/proxy/downstream/response_writer.py
@@ -1,7 +1,7 @@
 """Writes responses to one client, and observes how fast the client reads them.
 
-It owns how much of a response was unwritten at the last check. The order of responses, and whether the
-connection stays open after one, are up to `connection`.
+It owns the number of unwritten bytes at the last check. `connection` determines the order of responses, and
+whether the connection stays open after one.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
     from proxy.downstream.errors import HttpError
 
 REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
-UNKNOWN_REASON_PHRASE = b"Other"  # backends may send status codes that no standard lists
+UNKNOWN_REASON_PHRASE = b"Other"  # for status codes that `HTTPStatus` does not define
 
 
 def encode_response(status: int, headers: bytes, body: bytes, *, keep_alive: bool) -> bytes:
@@ -42,7 +42,7 @@
     """Writes the responses of one connection.
 
     Attributes:
-        paused: Whether the client reads so slowly that no further request is served until it catches up.
+        paused: Whether no further request is served, because the client reads the responses too slowly.
     """
 
     __slots__ = ("_transport", "_unwritten_bytes", "_written_at", "paused")
@@ -63,7 +63,7 @@
             self.write(error.status, b"", error.reason.encode() + b"\n", keep_alive=position < len(errors))
 
     def start_progress(self, now: float) -> None:
-        """Measure from now on how the client reads the response that was just written, maybe in part.
+        """Start to measure how the client reads the latest response, which the socket may not accept at once.
 
         Args:
             now: The event loop's time.
@@ -72,15 +72,19 @@
         self._unwritten_bytes = self._transport.get_write_buffer_size()
 
     def is_writing(self) -> bool:
-        """Return whether a part of a response has not been written yet: the client reads it slowly."""
+        """Return whether a response has not been written completely, because the client reads it slowly."""
         return self._transport.get_write_buffer_size() > 0
 
     def has_read_progress(self, now: float, longest_deadline: float) -> bool:
-        """Return whether the client has read more of a response since the last call, and still needs more.
+        """Return whether the client has read some of a response since the last call and still needs the rest.
 
         Args:
             now: The event loop's time.
-            longest_deadline: Seconds that any client waits at most: later bytes are of no use to it.
+            longest_deadline: The longest time in seconds that a client waits for a response; after that, it
+                does not need the rest.
         """
-        before, self._unwritten_bytes = self._unwritten_bytes, self._transport.get_write_buffer_size()
-        return 0 < self._unwritten_bytes < before and now < self._written_at + longest_deadline
+        unwritten_before, self._unwritten_bytes = (
+            self._unwritten_bytes,
+            self._transport.get_write_buffer_size(),
+        )
+        return 0 < self._unwritten_bytes < unwritten_before and now < self._written_at + longest_deadline
--- a/proxy/downstream/routing.py
+++ b/proxy/downstream/routing.py
@@ -1,7 +1,7 @@
-"""Decides by a request's path who answers it: the health check, the dispatcher, or an error.
+"""Selects by a request's path how it is served: by the health check, by the dispatcher, or with an error.
 
-It owns the paths and what `/healthz` shows. Everything else about a request to be forwarded is up to the
-dispatcher, through the listener's `on_request`.
+It owns the paths and the responses of `/healthz`. Requests to be forwarded go to the dispatcher, through the
+listener's `on_request`.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     """A connection whose request is routed.
 
     Attributes:
-        idle_timeout: Seconds without a request after which it is closed.
+        idle_timeout: Seconds without a request after which the connection is closed.
     """
 
     idle_timeout: float
@@ -36,7 +36,7 @@
 
 
 class RequestHandler(Protocol[ConnectionT]):
-    """What answers requests: the listener, which documents each of these."""
+    """The fields of the listener that routing uses; `Listener` documents them."""
 
     config: Config
     version: str
@@ -50,7 +50,7 @@
 def serve_request(
     request: ClientRequest, connection: ConnectionT, handler: RequestHandler[ConnectionT]
 ) -> None:
-    """Answer a request, or forward it and have it answered later.
+    """Respond to a request, or pass it on to be forwarded; its response is sent later.
 
     Raises:
         HttpError: The request is rejected.
@@ -69,7 +69,7 @@
 
 def _respond_to_health_check(connection: ConnectionT, handler: RequestHandler[ConnectionT]) -> None:
     if handler.is_healthy():
-        status, verdict = HTTPStatus.OK, b"ok"
+        status, health = HTTPStatus.OK, b"ok"
     else:
-        status, verdict = HTTPStatus.SERVICE_UNAVAILABLE, b"not ready"
-    connection.send_response(status, b"", b"%b\nversion %b\n" % (verdict, handler.version.encode()))
+        status, health = HTTPStatus.SERVICE_UNAVAILABLE, b"not ready"
+    connection.send_response(status, b"", b"%b\nversion %b\n" % (health, handler.version.encode()))
--- a/tests/proxy/downstream/test_limits.py
+++ b/tests/proxy/downstream/test_limits.py
@@ -72,7 +72,7 @@
         "CLOSING_TIMEOUT",
     ):
         monkeypatch.setattr(f"proxy.downstream.timeouts.{name}", 3 * MAX_WAIT)
-    monkeypatch.setattr("proxy.downstream.timeouts.SETTLING_TIME", 0.0)
+    monkeypatch.setattr("proxy.downstream.timeouts.NEW_CONNECTION_GRACE", 0.0)
     async with proxy_with_backends(respond_ok, max_sockets=FOUR_CLIENTS) as (proxy, _):
         listener = proxy.listener
         active, incomplete = await proxy.connect(), await proxy.connect()
