--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -11,6 +11,6 @@
 
 @pytest.fixture(autouse=True)
 def logging_of_a_process(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Log in this process as a proxy's process does, until the test ends."""
-    monkeypatch.setattr(logging.root, "handlers", [])  # the test runner's own stay open, and come back
+    """Configure logging as a proxy's process does, until the test ends."""
+    monkeypatch.setattr(logging.root, "handlers", [])  # pytest's handlers are restored afterwards
     configure_logging()
--- a/tests/proxy/downstream/test_accept_failures.py
+++ b/tests/proxy/downstream/test_accept_failures.py
@@ -1,4 +1,4 @@
-"""Accepting that fails for a moment, with each error that Linux documents: later connections are served."""
+"""Connections are served after accept(2) failed for a short time with an error that Linux documents."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
     from collections.abc import Callable
 
 RESOURCE_ERRORS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM]  # of the system or the process
-ACCEPT_ERRORS = [errno.ECONNABORTED, errno.EPROTO, *RESOURCE_ERRORS]  # and of one connection
-MAX_DELAY = 0.02  # seconds by which such failures may delay a connection
-FAILURES = 3  # in a row
+ACCEPT_ERRORS = [errno.ECONNABORTED, errno.EPROTO, *RESOURCE_ERRORS]  # the first two concern one connection
+MAX_DELAY = 0.02  # seconds by which the failures may delay a connection
+FAILURES = 3  # consecutive calls that fail
 
 
 class FailingAccept:
-    """Makes accepting on one proxy's socket fail.
+    """Makes accept(2) fail on the listening socket of one proxy.
 
     Attributes:
-        failures: How many of the next calls fail.
-        calls: How many calls there were.
+        failures: The number of next calls that fail.
+        calls: The number of calls so far.
     """
 
     def __init__(self, proxy: RunningProxy, error: int, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/proxy/downstream/test_client_disconnect.py
+++ b/tests/proxy/downstream/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect while their request is pending: no further attempt is sent for it."""
+"""No attempt is sent for a request whose client has disconnected."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
         client = await proxy.connect()
         gate = ConnectGate(
             monkeypatch, passing=1
-        )  # the first attempt fails, the second one waits for its connection
+        )  # blocks the dial of the retry after the first attempt failed
         client.writer.write(get_request())
         await wait_until(lambda: gate.blocked == 1)
         disconnect(client, kind)
@@ -122,7 +122,7 @@
         [backend_a, backend_b],
     ):
         client = await proxy.connect()
-        for number in (0, 1):  # records latencies, from which the time of a hedged request follows
+        for number in (0, 1):  # records latencies, which determine when a hedged request is sent
             client.writer.write(get_request(number))
             sent = number + 1
             await clock.wait_until(lambda sent=sent: requests_received(backend_a, backend_b) == sent)  # type: ignore[misc]
@@ -173,13 +173,13 @@
 @in_event_loop
 async def test_half_close_with_unread_responses_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
     response = b"HTTP/1.1 200 OK\r\nContent-Length: 16384\r\n\r\n" + b"x" * 16384
-    # The dial's own timeout must not end the attempt.
+    # The timeout of the dial must not end the attempt.
     async with proxy_with_backends(lambda _: response, dial_timeout=3 * MAX_WAIT) as (proxy, [backend]):
         client = await connect_slow_reader(proxy)
         sock, connection = client.sock, client.connection
         number = 0
         active = proxy.dispatcher.active_requests
-        while unwritten_bytes(connection) < 24 << 10:  # more than the socket's buffers accept
+        while unwritten_bytes(connection) < 24 << 10:  # more than the buffers of the socket accept
             sock.send(get_request(number := number + 1))
             await wait_until(lambda sent=number: backend.received.qsize() == sent and not active)  # type: ignore[misc]
         assert not has_paused_writing(connection)
--- a/tests/proxy/downstream/test_client_disconnect_races.py
+++ b/tests/proxy/downstream/test_client_disconnect_races.py
@@ -1,4 +1,7 @@
-"""Clients that disconnect in the same turn of the event loop in which another event happens."""
+"""A disconnect in the same turn of the event loop as another event: no attempt is sent afterwards.
+
+The client's close then waits unread in the socket, so the proxy has to poll the socket before it sends.
+"""
 
 from __future__ import annotations
 
@@ -47,9 +50,9 @@
 
 
 def long_endpoint_list(*addresses: str) -> RawEntries:
-    """Return an endpoint list that keeps the event loop busy; only these addresses are in service."""
-    fillers = range(LONG_LIST_LENGTH - len(addresses))
-    draining = [endpoint_entry(f"r{number}", f"{HOST}:9", "terminating") for number in fillers]
+    """Return a list long enough to keep the event loop busy; only the given addresses are in service."""
+    filler_numbers = range(LONG_LIST_LENGTH - len(addresses))
+    draining = [endpoint_entry(f"r{number}", f"{HOST}:9", "terminating") for number in filler_numbers]
     return draining + [endpoint_entry(f"n{number}", address) for number, address in enumerate(addresses)]
 
 
@@ -96,15 +99,15 @@
 ) -> None:
     async with stub_backend(respond_ok) as backend:
         clock = ManualClock()
-        listed = long_endpoint_list(backend.address)
-        async with running_proxy(listed, settings=disconnect_settings(tier, cancellation)) as proxy:
+        entries = long_endpoint_list(backend.address)
+        async with running_proxy(entries, settings=disconnect_settings(tier, cancellation)) as proxy:
             client = await proxy.connect()
             raw_client = RawClient(proxy)
             await wait_for_connections(clock, proxy, 2)
             await fill_idle_connections(clock, proxy, client, [backend])
             raw_client.sock.sendall(post_request(1) + sent_after)
             raw_client.disconnect(kind)
-            proxy.notify(listed)  # keeps the loop busy before it reads from the client
+            proxy.notify(entries)  # keeps the loop busy before it reads from the client
             await clock.settle()
             await assert_nothing_is_sent(clock, proxy, [backend])
 
@@ -114,7 +117,7 @@
 @pytest.mark.parametrize("kind", DISCONNECTIONS)
 @pytest.mark.parametrize("failure", [NOT_PROCESSED_RESPONSE, MAYBE_PROCESSED_RESPONSE])
 @in_event_loop
-async def test_disconnect_as_an_attempt_fails_starts_no_retry(
+async def test_disconnect_in_the_turn_of_a_failed_attempt_starts_no_retry(
     tier: str, cancellation: str, kind: str, failure: bytes
 ) -> None:
     def script(request: bytes) -> bytes | None:
@@ -122,20 +125,20 @@
 
     async with stub_backend(script) as backend_a, stub_backend(script) as backend_b:
         clock = ManualClock()
-        listed = long_endpoint_list(backend_a.address, backend_b.address)
-        async with running_proxy(listed, settings=disconnect_settings(tier, cancellation)) as proxy:
+        entries = long_endpoint_list(backend_a.address, backend_b.address)
+        async with running_proxy(entries, settings=disconnect_settings(tier, cancellation)) as proxy:
             client = await proxy.connect()
             raw_client = RawClient(proxy)
             await wait_for_connections(clock, proxy, 2)
             await fill_idle_connections(clock, proxy, client, [backend_a, backend_b])
             raw_client.sock.sendall(get_request(1))
             await clock.wait_until(lambda: requests_received(backend_a, backend_b) == 1)
-            attempted_backend = backend_a if backend_a.received.qsize() else backend_b
-            attempted_backend.received.get_nowait()
-            for writer in attempted_backend.writers:
+            receiving_backend = backend_a if backend_a.received.qsize() else backend_b
+            receiving_backend.received.get_nowait()
+            for writer in receiving_backend.writers:
                 writer.write(failure)
             raw_client.disconnect(kind)  # after the response
-            proxy.notify(listed)
+            proxy.notify(entries)
             await clock.settle()
             await assert_nothing_is_sent(clock, proxy, [backend_a, backend_b])
 
@@ -143,7 +146,7 @@
 @pytest.mark.parametrize("cancellation", CANCELLATION)
 @pytest.mark.parametrize("kind", DISCONNECTIONS)
 @in_event_loop
-async def test_disconnect_as_a_hedged_request_falls_due_sends_none(cancellation: str, kind: str) -> None:
+async def test_disconnect_when_a_hedged_request_is_due_sends_none(cancellation: str, kind: str) -> None:
     def script(request: bytes) -> bytes | None:
         return None if b"id1\r" in request else OK_RESPONSE
 
@@ -154,7 +157,7 @@
         client = await proxy.connect()
         raw_client = RawClient(proxy)
         await wait_for_connections(clock, proxy, 2)
-        for sent in (1, 2):  # records latencies, from which the time of a hedged request follows
+        for sent in (1, 2):  # records latencies, which determine when a hedged request is sent
             client.writer.write(get_request(700 + sent))
             await clock.wait_until(lambda sent=sent: requests_received(backend_a, backend_b) == sent)  # type: ignore[misc]
             await clock.advance(0.05)
@@ -174,26 +177,26 @@
 
 @pytest.mark.parametrize("kind", DISCONNECTIONS)
 @in_event_loop
-async def test_disconnect_as_a_response_arrives_starts_no_attempt_for_the_next_request(kind: str) -> None:
+async def test_disconnect_in_the_turn_of_a_response_starts_no_attempt_for_the_next_request(kind: str) -> None:
     def script(request: bytes) -> bytes | None:
         return None if b"id1\r" in request else OK_RESPONSE
 
     async with stub_backend(script) as backend_a, stub_backend(script) as backend_b:
         clock = ManualClock()
-        listed = long_endpoint_list(backend_a.address, backend_b.address)
-        async with running_proxy(listed) as proxy:
+        entries = long_endpoint_list(backend_a.address, backend_b.address)
+        async with running_proxy(entries) as proxy:
             client = await proxy.connect()
             raw_client = RawClient(proxy)
             await wait_for_connections(clock, proxy, 2)
             await fill_idle_connections(clock, proxy, client, [backend_a, backend_b])
             raw_client.sock.sendall(get_request(1) + get_request(2))
             await clock.wait_until(lambda: requests_received(backend_a, backend_b) == 1)
-            attempted_backend = backend_a if backend_a.received.qsize() else backend_b
-            attempted_backend.received.get_nowait()
-            for writer in attempted_backend.writers:
+            receiving_backend = backend_a if backend_a.received.qsize() else backend_b
+            receiving_backend.received.get_nowait()
+            for writer in receiving_backend.writers:
                 writer.write(OK_RESPONSE)
             raw_client.disconnect(kind)
-            proxy.notify(listed)
+            proxy.notify(entries)
             await clock.settle()
             await assert_nothing_is_sent(clock, proxy, [backend_a, backend_b])
 
@@ -202,7 +205,7 @@
 @pytest.mark.parametrize("cancellation", CANCELLATION)
 @pytest.mark.parametrize("kind", DISCONNECTIONS)
 @in_event_loop
-async def test_disconnect_as_a_dial_completes_sends_nothing(
+async def test_disconnect_in_the_turn_of_a_completed_dial_sends_nothing(
     tier: str, cancellation: str, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = ManualClock()
@@ -218,11 +221,11 @@
 
         async def dial(*args: Any, **options: Any) -> Any:
             nonlocal dials
-            dialled = await create_connection(*args, **options)
+            transport_and_protocol = await create_connection(*args, **options)
             dials += 1
             if dials == 1:
                 raw_client.disconnect(kind)  # in the turn in which the request would be written
-            return dialled
+            return transport_and_protocol
 
         monkeypatch.setattr(loop, "create_connection", dial)
         raw_client.sock.sendall(post_request(1))
--- a/tests/proxy/downstream/test_descriptor_limits.py
+++ b/tests/proxy/downstream/test_descriptor_limits.py
@@ -1,4 +1,7 @@
-"""Clients that use up the descriptors while discovery is down, in this process and in one at its limit."""
+"""Clients must not use up the descriptors that the proxy needs for discovery, backends and its own process.
+
+Discovery is down at first, so that its watch needs a new descriptor after the clients have connected.
+"""
 
 from __future__ import annotations
 
@@ -45,26 +48,26 @@
     write_config,
 )
 
-MAX_SOCKETS = 100  # descriptors that the configuration gives
+MAX_SOCKETS = 100  # the descriptors that the configuration allows the proxy to use
 
 OWN_DESCRIPTORS = 12  # of the process itself: standard streams, the event loop, the listener, two watches
 
-#: What clients that use up the descriptors send: nothing, a part of a request, or one that is answered.
+#: The bytes that each of too many clients sends, by test id: none, a part of a request, or a complete one.
 CLIENT_BYTES = {
     "silent": b"",
     "half": post_request(2)[:-1],
     "head": b"POST /api/k HTTP/1.1\r\nX-",
-    "answered": HEALTH_REQUEST,
+    "responded": HEALTH_REQUEST,
 }
 
 
 @dataclass
 class ExcessClients:
-    """Far more clients than a proxy admits.
+    """More clients than a proxy admits.
 
     Attributes:
-        sockets: Their sockets.
-        peak: The most connections that the proxy had open at once.
+        sockets: The clients' sockets.
+        peak: The largest number of connections that the proxy had open at once.
     """
 
     sockets: list[socket.socket]
@@ -72,7 +75,7 @@
 
 
 async def connect_excess_clients(clock: ManualClock, proxy: RunningProxy, sent: bytes) -> ExcessClients:
-    """Open far more connections than the limit, and send the same on each."""
+    """Open far more connections than the limit, and send the same bytes on each."""
     listener = proxy.listener
     client_sockets = []
     peak = 0
@@ -94,9 +97,9 @@
 
 
 def bound_socket() -> socket.socket:
-    """Return a socket that is bound to a port and does not listen yet: connecting to it fails.
+    """Return a socket that is bound to a port but does not listen yet: connecting to it fails.
 
-    It reserves its port: another socket could bind to a port that is merely free.
+    The port is reserved, whereas another socket could bind to a port that is only free.
     """
     sock = socket.socket()
     sock.bind((HOST, 0))
@@ -104,7 +107,7 @@
 
 
 def processor_seconds(pid: int) -> float:
-    """Seconds of processor time that a process has used."""
+    """Return the seconds of processor time that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
--- a/tests/proxy/downstream/test_limits.py
+++ b/tests/proxy/downstream/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits on clients: time, number of connections, and memory."""
+"""Limits on clients' connections: time, number, and memory."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from tests.support.proxy_inputs import MAX_WAIT, OK_RESPONSE, post_request, status_of
 from tests.support.proxy_internals import discards_input
 
-MEMORY_LIMIT = 400 << 10  # bytes, of which incomplete and pipelined requests may take 100 KiB
-FOUR_CLIENTS = 48 + 8  # descriptors: 48 are reserved, clients may use half of the others
+MEMORY_LIMIT = 400 << 10  # bytes, of which incomplete and pipelined requests may use 100 KiB
+SOCKETS_FOR_FOUR_CLIENTS = 48 + 8  # descriptors: 48 are reserved, and clients may use half of the others
 
 
 @pytest.mark.parametrize(
@@ -73,7 +73,7 @@
     ):
         monkeypatch.setattr(f"proxy.downstream.timeouts.{name}", 3 * MAX_WAIT)
     monkeypatch.setattr("proxy.downstream.timeouts.NEW_CONNECTION_GRACE", 0.0)
-    async with proxy_with_backends(respond_ok, max_sockets=FOUR_CLIENTS) as (proxy, _):
+    async with proxy_with_backends(respond_ok, max_sockets=SOCKETS_FOR_FOUR_CLIENTS) as (proxy, _):
         listener = proxy.listener
         active, incomplete = await proxy.connect(), await proxy.connect()
         assert status_of(await active.request(post_request(1))) == 200
@@ -94,7 +94,7 @@
     def script(request: bytes) -> bytes | None:
         return OK_RESPONSE if b"id1" in request else None
 
-    async with proxy_with_backends(script, max_sockets=FOUR_CLIENTS) as (proxy, [backend]):
+    async with proxy_with_backends(script, max_sockets=SOCKETS_FOR_FOUR_CLIENTS) as (proxy, [backend]):
         idle = await proxy.connect()
         assert status_of(await idle.request(post_request(1))) == 200
         busy = []
@@ -124,7 +124,7 @@
         await wait_until(lambda: discards_input(connection))
         assert proxy.listener.buffered_bytes <= 100 << 10
         backend.writers[0].write(OK_RESPONSE)
-        # Each of the requests that were received gets an answer.
+        # Each of the requests that were received gets a response.
         assert [status_of(await client.response()) for _ in range(3)] == [200, 503, 503]
         assert await with_timeout(client.reader.read()) == b""
         assert backend.received.empty()
@@ -142,7 +142,7 @@
         backend.script = respond_ok
         backend.writers[0].write(OK_RESPONSE)
         assert [status_of(await client.response()) for _ in range(3)] == [200, 200, 200]
-        assert proxy.listener.buffered_bytes == 0  # although the connection is idle and receives nothing more
+        assert proxy.listener.buffered_bytes == 0  # although no further input arrives on the idle connection
 
 
 @in_event_loop
--- a/tests/proxy/downstream/test_requests.py
+++ b/tests/proxy/downstream/test_requests.py
@@ -1,4 +1,4 @@
-"""Clients' requests: malformed, split and pipelined ones, and the headers that are not forwarded."""
+"""Parsing of clients' requests: malformed, split and pipelined ones, and headers that are not forwarded."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
 
 @in_event_loop
-async def test_split_and_pipelined_requests_are_answered_in_order() -> None:
+async def test_split_and_pipelined_requests_get_their_responses_in_order() -> None:
     def script(request: bytes) -> bytes:
         return b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + request[request.index(b"id") + 2 :][:1]
 
@@ -149,8 +149,8 @@
 async def test_requests_after_one_that_ends_the_connection_are_rejected_one_by_one(waiting: int) -> None:
     async with proxy_with_backends(respond_ok) as (proxy, [backend]):
         client = await proxy.connect()
-        bad = get_request(0, X_Priority_Class="unknown")
-        client.writer.write(bad + b"".join(post_request(1 + number) for number in range(waiting)))
+        invalid_request = get_request(0, X_Priority_Class="unknown")
+        client.writer.write(invalid_request + b"".join(post_request(1 + number) for number in range(waiting)))
         statuses = [status_of(await client.response()) for _ in range(1 + waiting)]
         assert statuses == [400] + [503] * waiting
         assert await with_timeout(client.reader.read()) == b""
--- a/tests/proxy/downstream/test_unread_responses.py
+++ b/tests/proxy/downstream/test_unread_responses.py
@@ -1,4 +1,4 @@
-"""Responses that clients read slowly: eviction, time limits and shutdown must not truncate them."""
+"""Eviction, time limits and shutdown must not truncate responses that clients read slowly."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 if TYPE_CHECKING:
     import socket
 
-FOUR_CLIENTS = 48 + 8  # descriptors: 48 are reserved, clients may use half of the others
-NEW_CLIENTS = 12  # clients that connect while a response is read
+SOCKETS_FOR_FOUR_CLIENTS = 48 + 8  # descriptors: 48 are reserved, and clients may use half of the others
+NEW_CLIENTS = 12  # clients that connect while another client reads a response
 SMALL_SEND_BUFFER = 4096  # bytes, so that most of a response stays in the proxy, as on a slow network
 BODY = b"x" * 300_000
 LARGE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(BODY), BODY)
 
 
 async def start_response(proxy: RunningProxy, request: bytes) -> SlowReader:
-    """Send a request whose response the client does not read yet."""
+    """Send a request, and return the client before it has read anything of the response."""
     client = await connect_slow_reader(proxy)
     limit_send_buffer(client.connection, SMALL_SEND_BUFFER)
     await asyncio.get_running_loop().sock_sendall(client.sock, request)
@@ -59,10 +59,13 @@
 @pytest.mark.parametrize("connection_header", ["keep-alive", "close"])
 @in_event_loop
 async def test_response_that_is_being_read_is_not_truncated_for_new_clients(connection_header: str) -> None:
-    async with proxy_with_backends(lambda _: LARGE_RESPONSE, max_sockets=FOUR_CLIENTS) as (proxy, _):
+    async with proxy_with_backends(lambda _: LARGE_RESPONSE, max_sockets=SOCKETS_FOR_FOUR_CLIENTS) as (
+        proxy,
+        _,
+    ):
         sock = (await start_response(proxy, get_request(Connection=connection_header))).sock
         new_clients = [await proxy.connect() for _ in range(NEW_CLIENTS)]
-        new_clients[0].writer.write(b"GET")  # some of them are evicted, but they have been accepted
+        new_clients[0].writer.write(b"GET")  # wait until they are accepted, and some are evicted
         await wait_until(lambda: len(proxy.listener.connections.open) <= 4)
         response = await read_body(sock)
         assert response.endswith(BODY)
@@ -84,27 +87,27 @@
         client = await start_response(proxy, get_request(Connection=connection_header))
         sock, connection = client.sock, client.connection
         clock = ManualClock()
-        read = b""
+        data = b""
         for _ in range(3):
             if reads:
                 before = unwritten_bytes(connection)
                 while unwritten_bytes(connection) == before:
                     piece = await clock.wait_for(loop.sock_recv(sock, 1 << 14))
                     assert piece, "the response was truncated"
-                    read += piece
+                    data += piece
             await clock.advance(0.6 * limit)
         assert (connection in proxy.listener.connections.open) == reads
         if reads:
-            while len(read) < len(LARGE_RESPONSE) and (
+            while len(data) < len(LARGE_RESPONSE) and (
                 piece := await clock.wait_for(loop.sock_recv(sock, 1 << 16))
             ):
-                read += piece
-            assert read.endswith(BODY)
+                data += piece
+            assert data.endswith(BODY)
         sock.close()
 
 
 @in_event_loop
-async def test_request_that_waits_for_an_unread_response_is_answered_in_a_shutdown() -> None:
+async def test_shutdown_serves_a_request_that_waits_for_an_unread_response() -> None:
     responses = [OK_RESPONSE, LARGE_RESPONSE]
     async with proxy_with_backends(lambda _: responses.pop()) as (proxy, [backend]):
         client = await start_response(proxy, get_request(1) + post_request(2))
--- a/tests/proxy/test_dispatcher.py
+++ b/tests/proxy/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The path of a request through the proxy: forwarding, retries, deadlines, rejections, a failing balancer."""
+"""Dispatch of requests: forwarding, retries, deadlines, rejections, and exceptions in the balancer."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 @in_event_loop
 async def test_request_is_forwarded_unchanged_and_its_response_returned() -> None:
     body = bytes(range(256)) * 256  # 64 KiB
-    scripted = b"HTTP/1.1 200 OK\r\nX-Note: n\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-    async with proxy_with_backends(lambda _: scripted) as (proxy, [backend]):
+    backend_response = b"HTTP/1.1 200 OK\r\nX-Note: n\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
+    async with proxy_with_backends(lambda _: backend_response) as (proxy, [backend]):
         client = await proxy.connect()
         response = await client.request(post_request(body=body, timeout="25", X_Odd="kept"))
         assert status_of(response) == 200
@@ -72,7 +72,7 @@
         (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", 502, 1),
         (CLOSE_CONNECTION, 502, 1),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", 502, 1),
-        (b"HTTP/1.1 200 OK\r\n\r\ncut", 200, 1),  # no length: the end of the connection ends the body
+        (b"HTTP/1.1 200 OK\r\n\r\ncut", 200, 1),  # without a length, the body ends with the connection
         (b"nonsense cut", 502, 1),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ndone", 502, 1),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx", 502, 1),
@@ -134,7 +134,7 @@
     async with proxy_with_backends(stay_silent) as (proxy, [backend]):
         client = await proxy.connect()
         assert status_of(await client.request(post_request(timeout="0.2"))) == 504
-        await with_timeout(backend.disconnects.get())  # the attempt was cancelled by closing its connection
+        await with_timeout(backend.disconnects.get())  # cancelling the attempt closed its connection
 
 
 @in_event_loop
@@ -170,7 +170,7 @@
             assert not proxy.dispatcher.active_requests
 
     asyncio.run(run_requests())
-    assert capfd.readouterr().err.count("RuntimeError: odd") == 1  # the log is limited
+    assert capfd.readouterr().err.count("RuntimeError: odd") == 1  # the log has a rate limit
 
 
 @in_event_loop
@@ -226,7 +226,7 @@
 async def test_closed_connections_leak_no_objects() -> None:
     async with proxy_with_backends(respond_ok) as (proxy, _):
         gc.collect()
-        gc.disable()  # objects that only a collection would free count as leaked
+        gc.disable()  # objects that only the garbage collector would free count as leaked
         try:
             connection_types = (
                 DownstreamConnection,
@@ -266,9 +266,8 @@
 
 @in_event_loop
 async def test_non_idempotent_requests_avoid_a_backend_that_mostly_fails() -> None:
-    services = [
-        row | {"Aim": 0.001} for row in RAW_SETTINGS["Services"]
-    ]  # an error looks as late as a response
+    # With so short a latency objective, an error counts as late as a response.
+    services = [service | {"Aim": 0.001} for service in RAW_SETTINGS["Services"]]
     error = b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
     async with proxy_with_backends(
         lambda _: error, respond_ok, settings=settings_with(Services=services)
--- a/tests/proxy/test_event_log.py
+++ b/tests/proxy/test_event_log.py
@@ -1,4 +1,4 @@
-"""The event log: the events of one request, and dropped lines where writing would block."""
+"""The event log: the events of a request, and lines that are dropped because writing would block."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_invariants.py
+++ b/tests/proxy/test_invariants.py
@@ -1,4 +1,4 @@
-"""The run-time checks: each reports its violation when the code that prevents it is broken on purpose."""
+"""Run-time checks: each reports a violation if the code that prevents the violation is disabled."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def allow_everything(*_args: object, **_flags: object) -> None:
-    """Reject no attempt: a broken `Balancer.send_rejection`."""
+    """Reject no attempt: replaces `Balancer.send_rejection`."""
 
 
 @in_event_loop
@@ -58,7 +58,7 @@
 
 
 @in_event_loop
-async def test_rejection_of_what_may_have_run_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_rejection_of_a_request_that_may_have_run_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(RequestState, "is_safe_to_retry", lambda _self: True)
     async with proxy_with_backends(lambda _: MAYBE_PROCESSED_RESPONSE) as (proxy, _):
         client = await proxy.connect()
@@ -67,12 +67,12 @@
 
 
 @in_event_loop
-async def test_timeout_beyond_the_clients_time_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_timeout_after_the_clients_deadline_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     serialize = ActiveRequest.serialize
 
-    def serialize_late(active: ActiveRequest, timeout: float) -> bytes:
-        active.client_deadline -= 1.0  # as if the clock had been read too early
-        return serialize(active, timeout)
+    def serialize_late(active_request: ActiveRequest, timeout: float) -> bytes:
+        active_request.client_deadline -= 1.0  # as if the clock had been read too early
+        return serialize(active_request, timeout)
 
     monkeypatch.setattr(ActiveRequest, "serialize", serialize_late)
     async with proxy_with_backends(respond_ok) as (proxy, _):
@@ -89,16 +89,16 @@
         gate = ConnectGate(monkeypatch)
         client.writer.write(get_request())
         await clock.wait_until(lambda: gate.blocked == 1)
-        [active] = proxy.dispatcher.active_requests.values()
+        [active_request] = proxy.dispatcher.active_requests.values()
         proxy.notify([endpoint_entry("a", backend.address, "terminating")])
-        proxy.proxy.monitor.on_written(clock.now, active, active.attempts[0], 0.0)
+        proxy.proxy.monitor.on_written(clock.now, active_request, active_request.attempts[0], 0.0)
         assert proxy.proxy.monitor.violations == {Invariant.SENT_OUT_OF_SERVICE: 1}
         gate.release()
         await clock.wait_for(client.response())
 
 
 @in_event_loop
-async def test_close_over_a_request_that_was_read_is_reported() -> None:
+async def test_close_without_a_response_to_a_received_request_is_reported() -> None:
     async with proxy_with_backends(stay_silent) as (proxy, [backend]):
         client = await proxy.connect()
         client.writer.write(get_request(1) + get_request(2))
--- a/tests/proxy/test_log.py
+++ b/tests/proxy/test_log.py
@@ -1,4 +1,4 @@
-"""The log on standard error: its lines, its limits, and that a log call neither blocks nor raises."""
+"""The log on standard error: its lines and limits; log calls must neither block nor raise exceptions."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Iterator
 
-LONG_TEXT = "x" * 100_000  # more than a pipe holds
+LONG_TEXT = "x" * 100_000  # more than the buffer of a pipe
 
 
 class StandardError:
-    """Standard error that is a pipe; it records what would be written, and never blocks."""
+    """Stands for a standard error that is a pipe; records written text, and never blocks."""
 
     def __init__(self, descriptor: int) -> None:
         self.written: list[str] = []
@@ -36,7 +36,7 @@
         return self._descriptor
 
     def write(self, text: str) -> int:
-        """Record what would be written."""
+        """Record a text instead of writing it."""
         self.written.append(text)
         return len(text)
 
@@ -55,34 +55,34 @@
 
 
 def fail(text: str) -> None:
-    """Raise an exception, as a defect does."""
+    """Raise an exception, as a programming error would."""
     raise RuntimeError(text)
 
 
 async def log_traceback() -> None:
-    """Log the traceback of a defect."""
+    """Log a traceback."""
     try:
         fail(LONG_TEXT)
     except RuntimeError:
         logging.getLogger("proxy.dispatcher").exception("a defect")
 
 
-async def receive_nonsense() -> None:
-    """Receive a response of discovery that is not HTTP."""
+async def receive_malformed_response() -> None:
+    """Make a watch on discovery log that it received a response which is not HTTP."""
     connection = WatchConnection(lambda _connection, _message: None, b"")
     connection.data_received(b"nonsense\r\n\r\n")
 
 
 async def report_from_the_event_loop() -> None:
-    """Report an exception of a callback through the event loop."""
+    """Make the event loop report an exception of a callback."""
     context = {"message": "a defect", "exception": RuntimeError(LONG_TEXT)}
     asyncio.get_running_loop().call_exception_handler(context)
 
 
-@pytest.mark.parametrize("log", [log_traceback, receive_nonsense, report_from_the_event_loop])
+@pytest.mark.parametrize("log", [log_traceback, receive_malformed_response, report_from_the_event_loop])
 @pytest.mark.parametrize("is_read", [True, False])
 @in_event_loop
-async def test_nothing_that_is_logged_waits_for_a_reader(
+async def test_log_call_does_not_block_if_standard_error_is_not_read(
     log: Callable[[], Awaitable[None]],
     *,
     is_read: bool,
@@ -98,14 +98,14 @@
     await log()
     text = "".join(stderr.written)
     assert bool(text) == is_read
-    assert len(text) <= 4096  # what a pipe that can be written to takes at once
+    assert len(text) <= 4096  # a pipe that polls as writable accepts this much without blocking
 
 
-@pytest.mark.parametrize(("number", "is_reported"), [(errno.ENOTCONN, False), (errno.EIO, True)])
-def test_reset_of_a_connection_whose_sending_ends_is_no_defect(
-    number: int, *, is_reported: bool, caplog: pytest.LogCaptureFixture
+@pytest.mark.parametrize(("error_number", "is_reported"), [(errno.ENOTCONN, False), (errno.EIO, True)])
+def test_event_loop_errors_are_reported_except_resets_of_closing_connections(
+    error_number: int, *, is_reported: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
-    context = {"message": "a callback failed", "exception": OSError(number, os.strerror(number))}
+    context = {"message": "a callback failed", "exception": OSError(error_number, os.strerror(error_number))}
     loop = asyncio.new_event_loop()
     report_exception(loop, context)
     loop.close()
@@ -128,14 +128,14 @@
     assert log_lines() == [line]
 
 
-def test_libraries_log_from_warnings_on(log_lines: Callable[[], list[str]]) -> None:
+def test_libraries_log_from_level_warning(log_lines: Callable[[], list[str]]) -> None:
     logging.getLogger("asyncio").info("a detail")
     logging.getLogger("proxy.reload").info("reload: version 2 is in force")
     logging.getLogger("proxy.reload").debug("a detail")
     assert log_lines() == ["proxy: reload: version 2 is in force"]
 
 
-def test_exception_of_the_proxy_is_its_traceback_alone(log_lines: Callable[[], list[str]]) -> None:
+def test_exception_of_the_proxy_is_logged_as_its_traceback_only(log_lines: Callable[[], list[str]]) -> None:
     try:
         fail("a defect\n\n")
     except RuntimeError:
@@ -146,16 +146,16 @@
 
 
 class Unprintable:
-    """An argument that has no text."""
+    """A log argument that can't be formatted."""
 
     def __str__(self) -> str:
-        """Fail."""
+        """Raise an exception."""
         fail("no text")
         return ""
 
 
 def process_handler() -> NonBlockingHandler:
-    """Return the handler that a proxy's process installs, apart from those of the test runner."""
+    """Return the handler that `configure_logging` installed, without those of pytest."""
     [handler] = [each for each in logging.root.handlers if isinstance(each, NonBlockingHandler)]
     return handler
 
--- a/tests/proxy/test_retry_races.py
+++ b/tests/proxy/test_retry_races.py
@@ -1,7 +1,7 @@
-"""Retries that were allowed when decided, and are not any more once their connection is established.
+"""Retries that become forbidden while their connection is established must not be sent.
 
-A retry may have to dial. Until its first byte is written, the deduplication window may pass, a reload may
-restrict the request's class, or the backend may move out of the scope in which repeats are discarded.
+Meanwhile the deduplication window may pass, a reload may restrict the request's class, or the backend may
+leave the scope in which backends discard a repeated request.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
     from balancer.settings import Settings
 
 ERROR_RESPONSE = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
-WINDOW = 1.0  # seconds in which backends discard the repeat of a keyed request
+DEDUPLICATION_WINDOW = 1.0  # seconds in which backends discard a repeated request with the same key
 
 
 def settings_with_once_class(scope: str = "all", repeat: str = "dedup", **bounds: Any) -> Settings:
-    """Return the usual settings with another class `once`, and other bounds."""
+    """Return `RAW_SETTINGS` with a changed class `once` and changed bounds."""
     read, book, once = RAW_SETTINGS["Services"]
-    once = once | {"Group": scope, "Repeat": repeat, "Window": WINDOW}
+    once = once | {"Group": scope, "Repeat": repeat, "Window": DEDUPLICATION_WINDOW}
     limits = RAW_SETTINGS["Bounds"] | bounds
     return read_settings(RAW_SETTINGS | {"Services": [read, book, once], "Bounds": limits})
 
@@ -48,7 +48,7 @@
 def pass_window(proxy: RunningProxy, clock: ManualClock, _backends: list[StubBackend]) -> None:
     """Advance the clock past the deduplication window."""
     assert proxy.dispatcher.active_requests
-    clock.now += WINDOW
+    clock.now += DEDUPLICATION_WINDOW
 
 
 def forbid_repeats(proxy: RunningProxy, _clock: ManualClock, _backends: list[StubBackend]) -> None:
@@ -58,7 +58,7 @@
 
 
 def leave_cell(proxy: RunningProxy, _clock: ManualClock, backends: list[StubBackend]) -> None:
-    """Move all backends to another cell, where no repeat of the request is recognised."""
+    """Move all backends to another cell, where they would process the request a second time."""
     entries = [endpoint_entry(name, each.address) for name, each in zip("ab", backends, strict=True)]
     proxy.notify([entry | {"group": 1} for entry in entries])
 
--- a/tests/support/client_scenarios.py
+++ b/tests/support/client_scenarios.py
@@ -1,4 +1,4 @@
-"""Clients of a proxy under test: requests, ways to disconnect, and clients on plain sockets."""
+"""Clients of a proxy under test: requests, kinds of disconnect, and clients on plain sockets."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     Content_Length="", Transfer_Encoding="chunked", body=b"2\r\nro\r\n2\r\nom\r\n0\r\n\r\n"
 )
 
-#: The ways in which a client disconnects.
+#: The kinds of disconnect of a client.
 DISCONNECTIONS = ["close", "half close", "reset"]
 
-#: The size of a receive buffer that is soon full, so that the proxy can't write any more.
+#: The size of a receive buffer that is small enough to block the proxy's writes soon.
 SLOW_READER_BUFFER_BYTES = 4096
 
 #: The settings of the first and of a later tier, by test id.
@@ -35,13 +35,13 @@
 
 
 def disconnect_settings(tier: str, cancellation: str = "cancels", **bounds: Any) -> Settings:
-    """Return the usual settings, for a tier, with or without cancellation of attempts."""
+    """Return `RAW_SETTINGS` for a tier, with or without cancellation of attempts, and with other bounds."""
     limits = RAW_SETTINGS["Bounds"] | {"Cancel": CANCELLATION[cancellation]} | bounds
     return read_settings(RAW_SETTINGS | TIERS[tier] | {"Bounds": limits})
 
 
 def reset_on_close(sock: socket.socket) -> None:
-    """Make closing the socket reset its connection."""
+    """Make a later close of the socket reset its connection."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
@@ -55,13 +55,13 @@
 
 
 class RawClient:
-    """A client whose bytes and disconnect reach the proxy's socket before the event loop runs again."""
+    """A client with a blocking socket: the proxy's socket has its bytes or close when a call returns."""
 
     def __init__(self, proxy: RunningProxy) -> None:
         self.sock = socket.create_connection((HOST, proxy.port))
 
     def disconnect(self, kind: str) -> None:
-        """Close the connection, or only its sending side, or reset it."""
+        """Close the connection, close only its sending side, or reset it."""
         if kind == "half close":
             self.sock.shutdown(socket.SHUT_WR)
             return
@@ -72,7 +72,7 @@
 
 @dataclass
 class SlowReader:
-    """A client that reads only what a test reads from its socket.
+    """A client that reads nothing unless the test reads from its socket.
 
     Attributes:
         sock: The client's socket, with a small receive buffer.
@@ -84,7 +84,7 @@
 
 
 async def connect_slow_reader(proxy: RunningProxy) -> SlowReader:
-    """Connect a proxy's only client, which reads nothing by itself."""
+    """Connect a client that reads nothing by itself; it must be the proxy's only client."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_READER_BUFFER_BYTES)
     sock.setblocking(False)
@@ -100,5 +100,5 @@
 
 
 def requests_received(*backends: StubBackend) -> int:
-    """Return how many requests the backends have received that the test has not read yet."""
-    return sum(each.received.qsize() for each in backends)
+    """Return the number of requests at the backends that the test has not removed yet."""
+    return sum(backend.received.qsize() for backend in backends)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,10 +1,10 @@
-"""Stand-ins for a proxy's neighbours on loopback sockets: clients, backends, discovery, and the clock.
+"""Test doubles on loopback sockets: clients, backends and discovery of a proxy, and a manual clock.
 
-`running_proxy` runs a real proxy between them, in the test's own event loop. `ManualClock` and `ConnectGate`
-force the order of events, so that no test depends on how long something takes.
+`running_proxy` runs a real proxy with them, in the event loop of the test. `ManualClock` and `ConnectGate`
+control the order of events, so that no test depends on the duration of an operation.
 
-These stand-ins are separate from those of `testbed` because a test controls them step by step: a backend
-responds by a script, and discovery sends exactly the bytes that a test gives it.
+They are separate from the stubs of `testbed` because a test controls them step by step: a backend responds by
+a script, and discovery sends exactly the bytes that the test passes to it.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 CLOSE_CONNECTION = b""  # a script's result that closes the connection without a response
 UNLIMITED = 1 << 30  # connection attempts that pass a `ConnectGate`
-SETTLE_TURNS = 100  # turns of the event loop in which everything sent on loopback arrives
+SETTLE_TURNS = 100  # turns of the event loop that are enough for all bytes on loopback to arrive
 
 Script = Callable[[bytes], bytes | None]
 T = TypeVar("T")
@@ -51,7 +51,7 @@
 
 
 def in_event_loop(test: Callable[Parameters, Coroutine[Any, Any, None]]) -> Callable[Parameters, None]:
-    """Turn a coroutine function into a test, which runs in an event loop of its own."""
+    """Turn a coroutine function into a test that runs in a new event loop."""
 
     @functools.wraps(test)
     def run_test(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
@@ -61,22 +61,22 @@
 
 
 async def with_timeout(awaitable: Awaitable[T]) -> T:
-    """Return an awaitable's result; TimeoutError after `MAX_WAIT` seconds."""
+    """Return the result of an awaitable; raise TimeoutError after `MAX_WAIT` seconds."""
     return await asyncio.wait_for(awaitable, MAX_WAIT)
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Poll a condition until it is true; TimeoutError after `MAX_WAIT` seconds."""
+    """Poll a condition until it is true; raise TimeoutError after `MAX_WAIT` seconds."""
     async with asyncio.timeout(MAX_WAIT):
         while not condition():
             await asyncio.sleep(0.001)
 
 
 class ManualClock:
-    """Controls the running loop's time: timers expire only when a test advances it.
+    """Controls the time of the running event loop: timers expire only when a test advances the time.
 
     Attributes:
-        now: The loop's time in seconds.
+        now: The event loop's time in seconds.
     """
 
     def __init__(self) -> None:
@@ -85,7 +85,7 @@
         loop.time = lambda: self.now  # type: ignore[method-assign]
 
     async def wait_until(self, condition: Callable[[], bool]) -> None:
-        """Poll a condition that becomes true by events on sockets; no timer expires meanwhile."""
+        """Poll a condition that becomes true by events on sockets; no timer expires during this time."""
         give_up_at = time.monotonic() + MAX_WAIT
         while not condition():
             assert time.monotonic() < give_up_at, "the condition did not become true"
@@ -98,12 +98,12 @@
         return future.result()
 
     async def settle(self) -> None:
-        """Run everything that is due, and read everything that was sent on loopback."""
+        """Run all callbacks that are due, and read all bytes that were sent on loopback."""
         for _ in range(SETTLE_TURNS):
             await asyncio.sleep(0)
 
     async def advance(self, seconds: float) -> None:
-        """Advance the time by so many seconds at once, and run what is due then."""
+        """Advance the time by a number of seconds in one step, and run all callbacks that are then due."""
         self.now += seconds
         await self.settle()
 
@@ -120,15 +120,15 @@
 class StubBackend:
     """A backend that responds by a script.
 
-    The script receives each request and returns the bytes to respond with, `CLOSE_CONNECTION`, or None for no
-    response. After bytes that contain `cut` the connection is closed.
+    The script is called with each request, and returns the bytes of the response, `CLOSE_CONNECTION`, or None
+    for no response. After a response that contains `cut`, the connection is closed.
 
     Attributes:
         script: The script; a test may replace it.
-        received: The requests that have arrived and that the test has not removed yet.
+        received: The received requests that the test has not removed yet.
         disconnects: One item for each connection that has ended.
-        writers: The connections so far, in the order in which they were accepted.
-        address: Where it listens, as `host:port`.
+        writers: All connections so far, in the order in which they were accepted.
+        address: The address on which it listens, as `host:port`.
     """
 
     def __init__(self, script: Script) -> None:
@@ -171,13 +171,13 @@
 
 
 class StubDiscovery:
-    """A discovery whose watches send what a test gives them.
+    """A discovery whose watches send the updates that a test passes to it.
 
     Attributes:
-        watch_requests: The targets of the watches that were opened and that the test has not removed yet.
+        watch_requests: The targets of the opened watches that the test has not removed yet.
         disconnects: One item for each watch that the proxy has closed.
         writer: The watch that was opened last.
-        port: Where it listens.
+        port: The port on which it listens.
     """
 
     def __init__(self) -> None:
@@ -187,7 +187,7 @@
         self.port = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one watch: send the response's head at once, and then what `send_update` is given."""
+        """Serve one watch: send the head of the response; `send_update` and `send_bytes` send its body."""
         request = await reader.readuntil(b"\r\n\r\n")
         writer.write(CHUNKED_HEAD)
         self.writer = writer
@@ -200,7 +200,7 @@
     def send_update(
         self, index: int, entries: RawEntries, *, snapshot: bool = False, indent: int | None = None
     ) -> None:
-        """Send one update on the open watch, on one line, or over several lines with an indentation."""
+        """Send one update on the open watch, on one line, or on several lines if there is an indentation."""
         message = {"index": index, "snapshot": snapshot, "endpoints": entries}
         self.send_bytes(json.dumps(message, indent=indent).encode() + b"\n")
 
@@ -237,7 +237,7 @@
         self.reader, self.writer = reader, writer
 
     async def request(self, request: bytes) -> bytes:
-        """Send a request, or the remaining part of one, and return the next complete response."""
+        """Send a request, or the rest of one, and return the next complete response."""
         self.writer.write(request)
         return await self.response()
 
@@ -252,14 +252,13 @@
 
 
 class ConnectGate:
-    """Blocks the proxy's connection attempts, except for the first few, until a test releases them.
+    """Blocks the proxy's connection attempts, after a given number, until a test releases them.
 
-    A watch retries its connection while no process listens at discovery's port: these attempts are neither
-    blocked nor counted.
+    Connections to `NO_DISCOVERY_PORT`, which a watch retries all the time, are neither blocked nor counted.
 
     Attributes:
-        blocked: How many attempts have been blocked, including those that were released.
-        passing: How many attempts still pass before the first one is blocked.
+        blocked: The number of attempts that have been blocked, including those that were released.
+        passing: The number of further attempts that are not blocked.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, passing: int = 0) -> None:
@@ -286,7 +285,7 @@
 
 
 class RunningProxy:
-    """A proxy that serves in this process."""
+    """A proxy that runs in the process of the test."""
 
     def __init__(self, proxy: Proxy, port: int) -> None:
         self.proxy, self.port = proxy, port
@@ -317,7 +316,7 @@
         return self.proxy.pool
 
     def notify(self, entries: RawEntries) -> None:
-        """Deliver a delta of the endpoint list to the proxy, as if discovery had sent it."""
+        """Deliver an incremental update of the endpoint list, as if discovery had sent it."""
         self.proxy.on_update(UpdateKind.DELTA, self.proxy.reader.endpoints({"endpoints": entries}))
 
     async def connect(self) -> Client:
--- a/tests/support/proxy_inputs.py
+++ b/tests/support/proxy_inputs.py
@@ -1,4 +1,4 @@
-"""What the tests give a proxy: requests, backends' responses, endpoint lists and configurations."""
+"""Inputs of a proxy under test: requests, backends' responses, endpoint lists and configurations."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 if TYPE_CHECKING:
     from balancer.settings import Settings
 
-RawEntries = Sequence[Mapping[str, object]]  # endpoint entries in discovery's form, valid or not
+RawEntries = Sequence[Mapping[str, object]]  # endpoint entries in discovery's format, valid or invalid
 
 HOST = "127.0.0.1"
-MAX_WAIT = 20.0  # seconds that any wait may take on a loaded machine
+MAX_WAIT = 20.0  # seconds; long enough for any wait on a loaded machine
 NO_DISCOVERY_PORT = 9  # a port on which no process listens
 
 HEALTH_REQUEST = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-#: An overloaded backend's response that promises that the request did not run: any request may be retried.
+#: An overloaded backend's response that guarantees that the request did not run: any request may be retried.
 NOT_PROCESSED_RESPONSE = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-#: The same response without the promise: the request may have run.
+#: The same response without that guarantee: the request may have run.
 MAYBE_PROCESSED_RESPONSE = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
 
 #: The `settings` of a configuration file. Class `read` is idempotent, `book` must not run twice, and `once`
-#: has idempotency keys. The times are so long that none passes in a test that does not change them.
+#: has idempotency keys. The times are long enough that none passes in a test that does not change them.
 RAW_SETTINGS: dict[str, Any] = {
     "Instances": 1,
     "Services": [
@@ -44,7 +44,7 @@
 
 
 def endpoint_entry(name: str, address: str, status: str = "in_service", since_ms: int = 0) -> dict[str, Any]:
-    """Return one entry of the endpoint list, in discovery's form."""
+    """Return one entry of the endpoint list, in discovery's format."""
     return {
         "name": name,
         "address": address,
@@ -61,9 +61,9 @@
     """Return a proxy's configuration.
 
     Args:
-        entries: The endpoint list known when the configuration was written.
-        discovery: The port of discovery; by default no process listens there.
-        changed: Other fields of `Config` that differ from the usual ones.
+        entries: The endpoint list in the configuration, which is used until discovery sends one.
+        discovery: The port of discovery; by default no process listens on it.
+        changed: Values that replace the default values of other fields of `Config`.
     """
     settings: Settings = read_settings(RAW_SETTINGS)
     values: dict[str, Any] = {
@@ -92,7 +92,7 @@
         number: The request's id is `id` and this number.
         timeout: The value of `X-Timeout`, in seconds.
         target: The path and query.
-        headers: Other or more headers, with `_` for `-`; an empty value leaves a header out.
+        headers: Headers to add or replace, with `_` for `-`; an empty value removes a header.
     """
     return _request(
         "GET", target, class_name="read", number=number, timeout=timeout, body=b"", headers=headers
@@ -100,7 +100,7 @@
 
 
 def post_request(number: int = 1, timeout: str = "30", body: bytes = b"room", **headers: str) -> bytes:
-    """Return a request of class `book`, which must not run twice; the arguments are as in `get_request`."""
+    """Return a request of class `book`, which must not run twice; arguments as for `get_request`."""
     return _request(
         "POST", "/api/k", class_name="book", number=number, timeout=timeout, body=body, headers=headers
     )
@@ -129,5 +129,5 @@
 
 
 def status_of(response: bytes) -> int:
-    """Return the status of a response."""
+    """Return the status code of a response."""
     return int(response.split(None, 2)[1])
--- a/tests/support/proxy_internals.py
+++ b/tests/support/proxy_internals.py
@@ -1,4 +1,4 @@
-"""What tests read of a proxy's private state, where no public item shows it: the one place that knows it."""
+"""Access of tests to private state of a proxy that no public item shows; no other test module may use it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def is_receiving_response(request: ActiveRequest) -> bool:
-    """Return whether a part of a response has come for any attempt of a request."""
+    """Return whether the beginning of a response has been received for any attempt of a request."""
     return any(
         isinstance(attempt.connection, UpstreamConnection) and attempt.connection._parser.receiving
         for attempt in request.attempts
@@ -24,32 +24,32 @@
 
 
 def idle_quota(pool: ConnectionPool) -> float:
-    """Return how many idle connections to all backends together the pool may keep as this proxy's part."""
+    """Return the pool's limit on idle connections: this proxy's part of a limit for all proxies."""
     return pool._idle._quota
 
 
 def sweep_timer(pool: ConnectionPool) -> asyncio.TimerHandle | None:
-    """Return the timer by which the pool closes idle connections."""
+    """Return the timer after which the pool closes connections that are idle for too long."""
     return pool._idle._sweep_timer
 
 
 def max_connections(pool: ConnectionPool) -> int:
-    """Return how many connections the pool may have at once."""
+    """Return the limit on the connections of the pool."""
     return pool._max_connections
 
 
 def dials_in_progress(pool: ConnectionPool) -> int:
-    """Return how many connections are being established."""
+    """Return the number of connections that are being established."""
     return pool._dialling
 
 
 def established_connections(pool: ConnectionPool) -> int:
-    """Return how many connections to backends there are, idle ones included."""
+    """Return the number of established connections to backends, including idle ones."""
     return pool._established
 
 
 def all_idle_connections(pool: ConnectionPool) -> list[UpstreamConnection]:
-    """Return the idle connections to all backends, the longest idle one first."""
+    """Return the idle connections to all backends, in the order in which they became idle."""
     return list(pool._idle._all)
 
 
@@ -59,12 +59,12 @@
 
 
 def backends_with_idle_connections(pool: ConnectionPool) -> int:
-    """Return the number of backends that the pool stores idle connections, or an empty list of them, for."""
+    """Return the number of backends with an entry, possibly an empty one, for their idle connections."""
     return len(pool._idle._by_backend)
 
 
 def remove_idle_connection(pool: ConnectionPool, connection: UpstreamConnection) -> None:
-    """Remove a connection from the idle ones without closing it, as if an attempt reused it."""
+    """Remove a connection from the idle ones without closing it, as its reuse by an attempt would."""
     pool._idle.remove(connection)
 
 
@@ -75,7 +75,7 @@
 
 
 def close_long_idle_connections(pool: ConnectionPool) -> None:
-    """Close the connections that have been idle for long, as the pool's timer does."""
+    """Close the connections that are idle for too long, as the pool's timer does."""
     pool._idle._sweep()
 
 
@@ -85,31 +85,31 @@
 
 
 def pause_reading(connection: UpstreamConnection) -> None:
-    """Leave unread what is received from now on, as while the event loop is busy."""
+    """Stop reading, so that later input stays in the socket as if the event loop were busy."""
     connection._transport.pause_reading()
 
 
 def has_pipelined_input(connection: DownstreamConnection) -> bool:
-    """Return whether a client has sent a further request, or a part of one, after the one in progress."""
+    """Return whether a further request, or its beginning, has been received behind the current one."""
     return bool(connection._input.queue or connection._input.parser.reading)
 
 
 def discards_input(connection: DownstreamConnection) -> bool:
-    """Return whether a request was rejected so that what the client still sends is discarded."""
+    """Return whether the connection discards further input, because a request was rejected."""
     return connection._input.ended
 
 
 def has_paused_writing(connection: DownstreamConnection) -> bool:
-    """Return whether responses wait until the client reads."""
+    """Return whether no further request is served until the client reads its responses."""
     return connection._writer.paused
 
 
 def limit_send_buffer(connection: DownstreamConnection, nbytes: int) -> None:
-    """Make the system accept only a small part of a response at once."""
+    """Limit the socket's send buffer, so that most of a large response stays in the proxy."""
     sock = connection._transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, nbytes)
 
 
 def unwritten_bytes(connection: DownstreamConnection) -> int:
-    """Return how many bytes of responses the client's socket has not accepted yet."""
+    """Return the bytes of responses that the client's socket has not accepted yet."""
     return connection._transport.get_write_buffer_size()
