--- a/proxy/action_executor.py
+++ b/proxy/action_executor.py
@@ -31,7 +31,7 @@
     from proxy.responder import Responder
 
 
-class ActionObserver(Protocol):
+class DispatchEventHandler(Protocol):
     """Receives the events of timers and attempts, and decides whether an attempt may be written.
 
     The dispatcher implements it.
@@ -58,7 +58,7 @@
         """Handle the end of an attempt; `attempt_number` counts the attempts of its request from 0."""
 
     def send_rejection(self, active_request: ActiveRequest, attempt_number: int) -> SendRejection | None:
-        """Return why an attempt must not be written now; None if it may."""
+        """Return why an attempt must not be written now, or None if it may be written."""
 
 
 class ActionExecutor:
@@ -69,7 +69,7 @@
         context: DispatchContext,
         registry: RequestRegistry,
         responder: Responder,
-        observer: ActionObserver,
+        event_handler: DispatchEventHandler,
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._clock = context.clock
@@ -80,7 +80,7 @@
         self._event_log = context.event_log
         self._active_requests = registry.active_requests
         self._responder = responder
-        self._observer = observer
+        self._event_handler = event_handler
 
     def perform(self, actions: list[Action]) -> None:
         """Carry out actions, in their order."""
@@ -88,7 +88,7 @@
             match action:
                 case SetTimer():
                     due_at = self._clock.to_loop_time(action.at)
-                    self._loop.call_at(due_at, self._observer.on_timer, action.token)
+                    self._loop.call_at(due_at, self._event_handler.on_timer, action.token)
                 case PollEndpoints():
                     self._poll_endpoints()
                 case _:
@@ -124,8 +124,8 @@
             retryable=active_request.is_retryable,
             callbacks=AttemptCallbacks(
                 build_request=active_request.serialize,
-                on_finished=partial(self._observer.on_attempt_finished, active_request, attempt_number),
-                send_rejection=partial(self._observer.send_rejection, active_request, attempt_number),
+                on_finished=partial(self._event_handler.on_attempt_finished, active_request, attempt_number),
+                send_rejection=partial(self._event_handler.send_rejection, active_request, attempt_number),
                 on_written=partial(self._on_written, active_request),
             ),
         )
@@ -138,7 +138,7 @@
         if active_request.client_is_waiting():
             self._pool.start(attempt)
         else:
-            self._observer.on_client_disconnected(active_request)
+            self._event_handler.on_client_disconnected(active_request)
 
     def _on_written(self, active_request: ActiveRequest, attempt: UpstreamAttempt, timeout: float) -> None:
         """Check and log an attempt that was just written."""
--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -185,7 +185,7 @@
             )
             return Outcome.NOT_SENT
         if outcome is Outcome.SUCCESS:
-            if now > active_request.deadline:  # the deadline's timer was late, but the deadline has passed
+            if now > active_request.deadline:  # the timer of the deadline is late
                 return Outcome.TIMEOUT
             self._responder.respond(active_request, OK, response.head, response.body)
         return outcome
@@ -195,7 +195,7 @@
         self._executor.perform(self._notify(self._balancer.on_timer, token))
 
     def send_rejection(self, active_request: ActiveRequest, attempt_number: int) -> SendRejection | None:
-        """Return why an attempt must not be written now; None if it may.
+        """Return why an attempt must not be written now, or None if it may be written.
 
         If the balancer raises an exception, the attempt is not written.
         """
@@ -266,7 +266,7 @@
         """Apply settings to the balancer, and allow active requests only what old and new settings allow.
 
         Args:
-            settings: The settings, with the balancer's numbers of zones and machine types.
+            settings: The settings, with the balancer's indices of zones and machine types.
             request_classes: The classes as the configuration defines them.
 
         Raises:
@@ -281,8 +281,8 @@
 
     def end_misplaced_attempts(self) -> None:
         """End unsent attempts whose backend is not allowed for their request by the new settings."""
-        for misplaced in self._balancer.misplaced_attempts():
-            active_request = self.active_requests.get(misplaced.request)
+        for misplaced_attempt in self._balancer.misplaced_attempts():
+            active_request = self.active_requests.get(misplaced_attempt.request)
             attempts = active_request.attempts if active_request is not None else []
-            if attempts and attempts[misplaced.attempt].connection is None:
-                attempts[misplaced.attempt].finish(Outcome.NOT_SENT)
+            if attempts and attempts[misplaced_attempt.attempt].connection is None:
+                attempts[misplaced_attempt.attempt].finish(Outcome.NOT_SENT)
--- a/proxy/downstream/connection.py
+++ b/proxy/downstream/connection.py
@@ -143,13 +143,13 @@
             deadline: The event loop's time at which the connection is closed, if the state has a time limit.
         """
         deadlines_by_state = self._registry.deadlines_by_state
-        previous = deadlines_by_state[self._state]
-        if previous is not None:
-            previous.pop(self, None)
+        deadlines_before = deadlines_by_state[self._state]
+        if deadlines_before is not None:
+            deadlines_before.pop(self, None)
         self._state = state
-        current = deadlines_by_state[state]
-        if current is not None:
-            current[self] = deadline
+        deadlines_after = deadlines_by_state[state]
+        if deadlines_after is not None:
+            deadlines_after[self] = deadline
         elif state is CLOSED:
             self._registry.open.discard(self)
 
--- a/proxy/downstream/eviction.py
+++ b/proxy/downstream/eviction.py
@@ -24,7 +24,7 @@
 )
 from proxy.downstream.errors import HttpError
 
-SHORTAGE_THRESHOLD = 0.5  # fraction of `max_connections` above which idle connections are closed earlier
+SHORTAGE_FRACTION = 0.5  # of `max_connections`; above it, idle connections are closed earlier
 EXTRA_READING_CONNECTIONS = 8  # allowed above the limit while their requests are read: most soon complete
 
 
@@ -118,8 +118,8 @@
         """
         self._loop.call_later(timeouts.SWEEP_INTERVAL, self._sweep)
         now = self._loop.time()
-        running_short = len(self.open) > SHORTAGE_THRESHOLD * self.max_connections
-        idle_advance = timeouts.IDLE_TIMEOUT - timeouts.MIN_IDLE_TIMEOUT if running_short else 0.0
+        descriptors_are_short = len(self.open) > SHORTAGE_FRACTION * self.max_connections
+        idle_advance = timeouts.IDLE_TIMEOUT - timeouts.MIN_IDLE_TIMEOUT if descriptors_are_short else 0.0
         advance_by_state = (
             (self.closing, 0.0),
             (self.new, 0.0),
--- a/proxy/responder.py
+++ b/proxy/responder.py
@@ -31,7 +31,7 @@
 
 
 class Responder:
-    """Responds to active requests, to each once."""
+    """Sends one final response to each active request."""
 
     def __init__(self, registry: RequestRegistry, monitor: InvariantMonitor, event_log: EventLog) -> None:
         self._registry = registry
@@ -71,6 +71,6 @@
         self.respond(active_request, status, b"", CLIENT_ERROR_BODY)
 
     def fail(self, active_request: ActiveRequest) -> None:
-        """Respond that the request failed; it may have run or not."""
+        """Respond that the request failed; whether it has run is unknown."""
         status = GATEWAY_TIMEOUT if active_request.last_outcome is Outcome.TIMEOUT else BAD_GATEWAY
         self.respond(active_request, status, b"", FAILED_BODY)
