--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -10,7 +10,7 @@
 
 
 @pytest.fixture(autouse=True)
-def logging_of_a_process(monkeypatch: pytest.MonkeyPatch) -> None:
+def process_logging(monkeypatch: pytest.MonkeyPatch) -> None:
     """Configure logging as a proxy's process does, until the test ends."""
     monkeypatch.setattr(logging.root, "handlers", [])  # pytest's handlers are restored afterwards
     configure_logging()
--- a/tests/proxy/downstream/test_unread_responses.py
+++ b/tests/proxy/downstream/test_unread_responses.py
@@ -65,7 +65,7 @@
     ):
         sock = (await start_response(proxy, get_request(Connection=connection_header))).sock
         new_clients = [await proxy.connect() for _ in range(NEW_CLIENTS)]
-        new_clients[0].writer.write(b"GET")  # wait until they are accepted, and some are evicted
+        new_clients[0].writer.write(b"GET")  # some of the new clients have been evicted by now
         await wait_until(lambda: len(proxy.listener.connections.open) <= 4)
         response = await read_body(sock)
         assert response.endswith(BODY)
