--- a/proxy/downstream/acceptor.py
+++ b/proxy/downstream/acceptor.py
@@ -66,7 +66,7 @@
                 return
             except OSError as error:
                 failures += 1
-                self._log(error)
+                self._log_failure(error)
                 if failures > MAX_IMMEDIATE_RETRIES:
                     await asyncio.sleep(MIN_RETRY_DELAY)
                 continue
@@ -81,7 +81,7 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                self._log(error)
+                self._log_failure(error)
                 if error.errno in RESOURCE_ERRORS:
                     self._pause()
                     return
@@ -103,10 +103,10 @@
             client_socket.setblocking(False)
             await self._loop.connect_accepted_socket(self._make_protocol, client_socket)
         except OSError as error:  # the connection has already ended
-            self._log(error)
+            self._log_failure(error)
             client_socket.close()
 
-    def _log(self, error: OSError) -> None:
+    def _log_failure(self, error: OSError) -> None:
         self._failures += 1
         if self._log_limit.allows(self._loop.time()):
             logger.warning("accept: %s (%d failures)", error.strerror or error, self._failures)
--- a/tests/proxy/downstream/test_client_disconnect.py
+++ b/tests/proxy/downstream/test_client_disconnect.py
@@ -96,9 +96,7 @@
         [backend_a, backend_b],
     ):
         client = await proxy.connect()
-        gate = ConnectGate(
-            monkeypatch, passing=1
-        )  # blocks the dial of the retry after the first attempt failed
+        gate = ConnectGate(monkeypatch, passing=1)  # the first attempt fails, and the retry has to dial
         client.writer.write(get_request())
         await wait_until(lambda: gate.blocked == 1)
         disconnect(client, kind)
