--- a/emulator/runs/slopes_balancer.py
+++ b/emulator/runs/slopes_balancer.py
@@ -44,7 +44,7 @@
     def __init__(self, fleet: topology.Topology, fleet_size: int) -> None:
         gc.unfreeze()
         self._reader = endpoint_reader()
-        self._endpoints = endpoint_reader().endpoints({"endpoints": fleet.entries})
+        self._endpoints = endpoint_reader().read_entries({"endpoints": fleet.entries})
         self._balancer = Balancer(read_settings(proxy_settings(fleet, 0, fleet_size)), fleet.seed)
         self._now = 0.0
         self._send_snapshot()
@@ -62,7 +62,7 @@
     def apply_change(self) -> None:
         """Apply a delta with one entry."""
         self._now += UPDATE_INTERVAL
-        row = self._reader.endpoint(cast("EndpointEntry", self._changes.change_any())).endpoint
+        row = self._reader.read_entry(cast("EndpointEntry", self._changes.change_any())).endpoint
         self._balancer.on_endpoints_updated(self._now, UpdateKind.DELTA, [row])
 
     def apply_snapshot(self) -> None:
@@ -89,7 +89,7 @@
 def _reading(line: bytes) -> Callable[[], object]:
     """Return a function that reads a complete list from its message."""
     reader = endpoint_reader()
-    return lambda: reader.endpoints(orjson.loads(line))
+    return lambda: reader.read_entries(orjson.loads(line))
 
 
 def by_backends(options: RunOptions) -> Slope:
--- a/proxy/discovery/endpoint_reader.py
+++ b/proxy/discovery/endpoint_reader.py
@@ -73,7 +73,7 @@
         self._zones = NameIndex(zones)
         self._machine_types = NameIndex(machine_types)
 
-    def endpoint(self, entry: EndpointEntry) -> DiscoveredEndpoint:
+    def read_entry(self, entry: EndpointEntry) -> DiscoveredEndpoint:
         """Read one entry; no class is bound to a zone or machine type that the settings do not name.
 
         Raises:
@@ -95,7 +95,7 @@
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise entry_error(entry) from error
 
-    def endpoints(self, message: Mapping[str, object]) -> list[DiscoveredEndpoint]:
+    def read_entries(self, message: Mapping[str, object]) -> list[DiscoveredEndpoint]:
         """Read all entries of a message.
 
         Raises:
@@ -107,7 +107,7 @@
         endpoints: list[DiscoveredEndpoint] = []
         try:
             for entry in entries:
-                endpoints.append(self.endpoint(entry))
+                endpoints.append(self.read_entry(entry))
         except EntryError as error:
             path = f"endpoints[{len(endpoints)}]"
             raise error.within(path) from error
@@ -119,7 +119,7 @@
         Raises:
             EntryError: An entry is missing or invalid.
         """
-        endpoints = self.endpoints(require_object("the list", message))
+        endpoints = self.read_entries(require_object("the list", message))
         index = require_entry(message, "index")
         try:
             number = int(cast("int", index))
@@ -127,7 +127,7 @@
             raise InvalidEntryError(key="index", value=index, expected="a whole number") from error
         return EndpointList(number, endpoints, is_complete=bool(message.get("snapshot")))
 
-    def settings_of(self, config: Config) -> Settings:
+    def translate_settings(self, config: Config) -> Settings:
         """Return a configuration's settings with the numbers that zones and machine types have here."""
         classes = tuple(self._translate_class(each, config) for each in config.settings.classes)
         return replace(config.settings, classes=classes)
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -23,7 +23,7 @@
 from proxy.event_log import EventLog
 from proxy.invariants import InvariantMonitor
 from proxy.logged_events import EndpointsUpdated
-from proxy.reload import ConfigReloader, ReconfigurableParts
+from proxy.reload import ConfigReloader, ReloadTargets
 from proxy.shutdown import GracefulShutdown
 from proxy.upstream import ConnectionPool
 
@@ -82,7 +82,7 @@
         self.monitor = InvariantMonitor(self.event_log)
         self.clock = EpochClock(asyncio.get_running_loop())
         self.reader = EndpointReader(config.zone_indices, config.machine_type_indices)
-        self.balancer = Balancer(self.reader.settings_of(config), config.seed)
+        self.balancer = Balancer(self.reader.translate_settings(config), config.seed)
         limits = connection_limits(config.max_sockets)
         self.pool = ConnectionPool(
             limits.backends, config.backend_idle_timeout, config.dial_timeout, config.memory_limit
@@ -107,11 +107,11 @@
             config, limits.clients, self.dispatcher.on_request, self.monitor, self.event_log
         )
         self.shutdown = GracefulShutdown(self.listener, self.dispatcher)
-        self.reloader = ConfigReloader(self._reconfigurable_parts(), self.shutdown.has_started)
+        self.reloader = ConfigReloader(self._reload_targets(), self.shutdown.has_started)
         self._start(config, cached_list.endpoints)
 
-    def _reconfigurable_parts(self) -> ReconfigurableParts:
-        return ReconfigurableParts(
+    def _reload_targets(self) -> ReloadTargets:
+        return ReloadTargets(
             reader=self.reader,
             listener=self.listener,
             dispatcher=self.dispatcher,
--- a/proxy/reload.py
+++ b/proxy/reload.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ReconfigurableParts:
+class ReloadTargets:
     """The parts of a proxy that a new configuration affects.
 
     Attributes:
@@ -61,14 +61,14 @@
 class ConfigReloader:
     """Applies new configurations, each completely and within one turn of the event loop, or not at all."""
 
-    def __init__(self, parts: ReconfigurableParts, is_shutting_down: Callable[[], bool]) -> None:
+    def __init__(self, targets: ReloadTargets, is_shutting_down: Callable[[], bool]) -> None:
         """Prepare for reloads.
 
         Args:
-            parts: The parts to reconfigure.
+            targets: The parts to reconfigure.
             is_shutting_down: Returns whether the process is shutting down.
         """
-        self._parts = parts
+        self._targets = targets
         self._is_shutting_down = is_shutting_down
         self._config_count = 1  # configurations applied so far, with the one at the start
 
@@ -85,7 +85,7 @@
         try:
             lines = self.apply(load(environ))
         except ConfigError as error:
-            logger.warning("reload: refused, version %s stays: %s", self._parts.listener.version, error)
+            logger.warning("reload: refused, version %s stays: %s", self._targets.listener.version, error)
             return
         for line in lines:
             logger.info("reload: %s", line)
@@ -99,7 +99,7 @@
         Raises:
             ConfigError: The settings need a restart; nothing has changed.
         """
-        listener = self._parts.listener
+        listener = self._targets.listener
         in_force = listener.config
         identity = {field: getattr(in_force, field) for field in IDENTITY_FIELDS}
         lines = [
@@ -122,7 +122,7 @@
         if config.discovery != in_force.discovery:
             lines.append(f"discovery is at {config.discovery}")
         listener.apply_config(config, version)
-        self._parts.discovery.move(config.discovery)
+        self._targets.discovery.move(config.discovery)
         return lines
 
     def _apply_settings(self, config: Config) -> None:
@@ -131,11 +131,11 @@
         Raises:
             ConfigError: They need a restart; nothing has changed.
         """
-        parts = self._parts
+        targets = self._targets
         try:
-            parts.dispatcher.reconfigure(parts.reader.settings_of(config), config.settings.classes)
+            targets.dispatcher.reconfigure(targets.reader.translate_settings(config), config.settings.classes)
         except ValueError as error:
             raise ConfigError(str(error)) from error
-        parts.pool.reconfigure(config.backend_idle_timeout, config.dial_timeout)
-        parts.endpoint_table.update_idle_quota(config.settings.fleet_size)
-        parts.dispatcher.end_misplaced_attempts()
+        targets.pool.reconfigure(config.backend_idle_timeout, config.dial_timeout)
+        targets.endpoint_table.update_idle_quota(config.settings.fleet_size)
+        targets.dispatcher.end_misplaced_attempts()
--- a/proxy/upstream/connection_pool.py
+++ b/proxy/upstream/connection_pool.py
@@ -52,7 +52,7 @@
         self.keepalive_policy = KeepalivePolicy(self._loop.time())
         self._max_connections = max_connections
         self._dial_timeout = dial_timeout
-        self._dialling = 0  # connections that are being established
+        self._dials_in_progress = 0  # connections that are being established
         self._established = 0
         self._idle = IdleConnections(backend_idle_timeout)
 
@@ -126,7 +126,7 @@
 
     def _start_dial(self, attempt: UpstreamAttempt) -> None:
         """Dial for an attempt, if the limit on connections allows it."""
-        if self._dialling + self._established >= self._max_connections:
+        if self._dials_in_progress + self._established >= self._max_connections:
             if not self._idle:  # the attempt was never sent, so it may be retried elsewhere
                 self._loop.call_soon(attempt.finish, Outcome.UNREACHABLE)
                 return
@@ -136,7 +136,7 @@
     async def _dial(self, attempt: UpstreamAttempt) -> None:
         """Establish a connection for an attempt and send it there."""
         backend, incarnation = attempt.backend, attempt.backend.incarnation
-        self._dialling += 1
+        self._dials_in_progress += 1
         try:
             async with asyncio.timeout(self._dial_timeout):
                 _, connection = await self._loop.create_connection(
@@ -147,7 +147,7 @@
             attempt.finish(Outcome.UNREACHABLE)
             return
         finally:
-            self._dialling -= 1
+            self._dials_in_progress -= 1
         attempt.connect_task = None
         self._send(attempt, connection)
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -317,7 +317,7 @@
 
     def notify(self, entries: RawEntries) -> None:
         """Deliver an incremental update of the endpoint list, as if discovery had sent it."""
-        self.proxy.on_update(UpdateKind.DELTA, self.proxy.reader.endpoints({"endpoints": entries}))
+        self.proxy.on_update(UpdateKind.DELTA, self.proxy.reader.read_entries({"endpoints": entries}))
 
     async def connect(self) -> Client:
         """Open a client's connection to the proxy."""
--- a/tests/support/proxy_internals.py
+++ b/tests/support/proxy_internals.py
@@ -40,7 +40,7 @@
 
 def dials_in_progress(pool: ConnectionPool) -> int:
     """Return the number of connections that are being established."""
-    return pool._dialling
+    return pool._dials_in_progress
 
 
 def established_connections(pool: ConnectionPool) -> int:
