--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -122,5 +122,5 @@
             play(RulesChecker(config, 1, endpoints), steps)
     with monkeypatch.context() as patch:
         patch.setattr(Balancer, "_respond", lambda _self, *_args: [])
-        with pytest.raises(AssertionError, match="final answers"):
+        with pytest.raises(AssertionError, match="final responses"):
             play(RulesChecker(config, 1, endpoints), steps)
--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -146,7 +146,7 @@
     request_id = list(checker.requests)[first % len(checker.requests)]
     request = checker.requests[request_id]
     numbers = [number for owner, number in checker.open_attempts() if owner == request_id]
-    if second % 3 == 0 and numbers and not request.answered and not request.response_started:
+    if second % 3 == 0 and numbers and not request.responded and not request.response_started:
         checker.start_response(request_id, numbers[-1])
     else:
         checker.disconnect(request_id)
--- a/tests/support/rules_checker.py
+++ b/tests/support/rules_checker.py
@@ -1,6 +1,6 @@
 """Checks the balancer's rules: feeds legal events to a balancer, and asserts on each of its actions.
 
-The rules, in the order of the checks: a request gets one final answer, by its deadline; attempts go to
+The rules, in the order of the checks: a request gets one final response, by its deadline; attempts go to
 endpoints that are up and allowed for the request's class; there are no more attempts, hedged requests and
 cancellations than the limits permit; retries stay within a stated retry budget; what may have run is
 repeated only as far as its class allows; and a request is rejected only where its client may repeat it
@@ -67,8 +67,8 @@
         classes: Its class in all settings since it was admitted, the first one first.
         limits: The limits of all these settings.
         attempts: Its attempts, in their order.
-        final_answers: How many final answers it got; a disconnect of its client counts as one.
-        answered: Whether no answer is pending any more.
+        final_responses: How many final responses it got; a disconnect of its client counts as one.
+        responded: Whether no answer is pending any more.
         response_started: Whether its response is being streamed.
     """
 
@@ -77,8 +77,8 @@
     classes: list[RequestClass]
     limits: list[Limits]
     attempts: list[CheckedAttempt] = field(default_factory=list)
-    final_answers: int = 0
-    answered: bool = False
+    final_responses: int = 0
+    responded: bool = False
     response_started: bool = False
 
 
@@ -164,12 +164,12 @@
         request = self.requests[request_id]
         attempt = request.attempts[number]
         attempt.outcome = outcome
-        if (outcome is Outcome.SUCCESS or request.response_started) and not request.answered:
-            request.final_answers += 1
-            request.answered = True
+        if (outcome is Outcome.SUCCESS or request.response_started) and not request.responded:
+            request.final_responses += 1
+            request.responded = True
         latency = self.now - attempt.started_at
         actions = self.balancer.on_attempt_finished(
-            self.now, request_id, number, outcome, latency, last=request.answered
+            self.now, request_id, number, outcome, latency, last=request.responded
         )
         self.check(actions)
         return actions
@@ -177,9 +177,9 @@
     def disconnect(self, request_id: str) -> None:
         """Disconnect the client of a request; from then on its answer is not pending."""
         request = self.requests[request_id]
-        if not request.answered:
-            request.answered = True
-            request.final_answers += 1
+        if not request.responded:
+            request.responded = True
+            request.final_responses += 1
         self.check(self.balancer.on_client_disconnected(self.now, request_id))
 
     def start_response(self, request_id: str, number: int) -> None:
@@ -203,8 +203,8 @@
         self.now = target
         for request_id, request in self.requests.items():
             if self.now > request.deadline + self.settings.rules.response_grace:
-                assert request.final_answers == 1, (
-                    f"{request_id} has {request.final_answers} final answers after its deadline"
+                assert request.final_responses == 1, (
+                    f"{request_id} has {request.final_responses} final responses after its deadline"
                 )
 
     def _due_events(self) -> list[tuple[float, int, str, int]]:
@@ -230,12 +230,12 @@
             elif isinstance(action, CancelAttempt):
                 self._check_cancel(action)
             else:
-                self._check_final_answer(action)
+                self._check_final_response(action)
 
     def _check_start(self, action: StartAttempt) -> None:
         """Check that an attempt may be started, and record it."""
         request = self.requests[action.request]
-        assert not request.answered, "sent after the final answer"
+        assert not request.responded, "sent after the final response"
         assert not request.response_started, "sent after its response started"
         endpoint = self.endpoints[action.endpoint]
         assert endpoint.status is EndpointStatus.UP, "sent to an endpoint that drains or is removed"
@@ -291,15 +291,15 @@
         assert attempt.outcome is None, "cancelled an attempt that had ended"
         attempt.ends_by = self.now  # ends at once, as cancelled or by an outcome that is already on its way
 
-    def _check_final_answer(self, action: Reject | Fail) -> None:
+    def _check_final_response(self, action: Reject | Fail) -> None:
         """Check that a request may be answered so, and record that it is."""
         request = self.requests[action.request]
-        assert not request.answered, "a second final answer"
+        assert not request.responded, "a second final response"
         if isinstance(action, Reject):
             for request_class in request.classes:
                 assert _is_harmless(request, request_class), "rejected although it may have run"
-        request.answered = True
-        request.final_answers += 1
+        request.responded = True
+        request.final_responses += 1
 
 
 def _is_harmless(request: CheckedRequest, request_class: RequestClass) -> bool:
--- a/tests/support/warming_fleet.py
+++ b/tests/support/warming_fleet.py
@@ -148,7 +148,7 @@
         self.case = case
         self.rng = Random(seed)
         self.now = BEGIN
-        self.answered = self.offered = 0
+        self.responded = self.offered = 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0  # of events and requests
         sizes = (1.0, 1.0, 2.0)
@@ -328,7 +328,7 @@
                 self._leave(endpoint)
             if instance.incarnation != incarnation:
                 return
-            self.answered += outcome is Outcome.SUCCESS
+            self.responded += outcome is Outcome.SUCCESS
             latency = self.now - started_at
             for action in instance.balancer.on_attempt_finished(
                 self.now, request_id, number, outcome, latency
@@ -382,5 +382,5 @@
         fleet = play(case, seed)
         fleet.assert_budgets()
         informed += sum(len(fleet.endpoints[endpoint_id].informed_calls) for endpoint_id in fleet.warming)
-        assert fleet.answered >= 0.4 * fleet.offered, "a fleet that serves little keeps any budget"
+        assert fleet.responded >= 0.4 * fleet.offered, "a fleet that serves little keeps any budget"
     assert informed, "no call for any warming endpoint"
