--- a/balancer/admission_control.py
+++ b/balancer/admission_control.py
@@ -31,7 +31,7 @@
 #: Further pending requests that are allowed while none fail, at a proxy that is the only one in its zone. Its
 #: rejected clients retry at the same proxy, so a short burst would be rejected again and again.
 SOLE_PROXY_ALLOWANCE = 2.0
-#: Seconds; a younger pool counts as this old, as the correction of its rates for age would divide by almost 0.
+#: Seconds; a younger pool counts as this old: the correction of its rates for age would divide by almost 0.
 MIN_POOL_AGE = 0.2
 
 #: Ratio of the expected wait to the latency baseline at which shedding by latency begins. Higher values let
@@ -50,9 +50,9 @@
 #: one moment is mostly noise.
 PENDING_SMOOTHING_SPAN = 0.5
 
-#: Requests in the breaker's window that adaptive throttling never counts against a pool. A single endpoint has
-#: more of them (`circuit_breaker.PROTECTED_REQUESTS`), as it gets only a few calls in a window, while a pool
-#: gets all calls of the proxy.
+#: Requests in the breaker's window that adaptive throttling never counts against a pool. A single endpoint
+#: has more of them (`circuit_breaker.PROTECTED_REQUESTS`), as it gets only a few calls in a window, while a
+#: pool gets all calls of the proxy.
 POOL_PROTECTED_REQUESTS = 1.0
 #: Ratio of accepted to all requests below which adaptive throttling rejects requests of a class of weight 0,
 #: and by how much this ratio is lower for the highest priority weight. The K of the formula is 1 / ratio, so
