--- a/balancer/rate_estimators.py
+++ b/balancer/rate_estimators.py
@@ -7,6 +7,8 @@
 SMOOTHING_SPAN = 2.0
 EVENT_WEIGHT = 1.0 / SMOOTHING_SPAN  # by which one event raises the rate: steady events read as their rate
 #: Seconds with warm endpoints that a warm rate covers, so that a burst of a few seconds hardly changes it.
+#: `EndpointPool.rate_per_endpoint` caps a rate at the warm rate; a cap at 1.5 times the warm rate overloaded
+#: warming endpoints.
 WARM_RATE_SPAN = 30.0
 MIN_WARM_EVENTS = 8.0  # events that a warm rate has to cover before it is used
 
