--- a/proxy/upstream/__init__.py
+++ b/proxy/upstream/__init__.py
@@ -1,11 +1,11 @@
-"""The backends' side of the proxy: connections to backends, and the attempts that they carry.
+"""Connections to backends, and the attempts that are sent on them.
 
-Read `connection_pool` first: it finds a connection for each `attempt`, a new one or one of
-`idle_connections`, whose reuse `keepalive_policy` limits. `connection` is one connection, `response_parser`
-parses its input, `memory_budget` limits incomplete responses, and `backend` is one backend of the endpoint
-list.
+Start reading at `connection_pool`. It finds a connection for each `attempt`: either one of
+`idle_connections`, if `keepalive_policy` allows its reuse, or a new one. `connection` is a single connection,
+`response_parser` parses the bytes received on it, `memory_budget` limits the memory of incomplete responses,
+and `backend` is one backend of the endpoint list.
 
-Which endpoint serves a request, and whether a retry follows, is decided in `balancer` alone.
+Only `balancer` decides which endpoint serves a request and whether a retry follows.
 """
 
 from proxy.upstream.attempt import AttemptCallbacks, UpstreamAttempt
--- a/proxy/upstream/attempt.py
+++ b/proxy/upstream/attempt.py
@@ -1,8 +1,8 @@
-"""One attempt to have a request answered by a backend, from its start to its only outcome.
+"""One attempt to get a response to a request from a backend, from its start to its outcome.
 
-It owns the attempt's timer, its connect task while there is no connection yet, and the connection while that
-is in use: the end of the attempt ends all three. It knows neither idle connections nor limits:
-`ConnectionPool` finds a connection for it. Whether a retry follows is the balancer's decision.
+It owns the attempt's timer, the task that waits for a connection, and the connection while it is in use. All
+three end with the attempt. `ConnectionPool` finds the connection and enforces the limits on connections. The
+balancer decides whether a retry follows.
 """
 
 from __future__ import annotations
@@ -19,12 +19,13 @@
     from proxy.upstream.backend import Backend
     from proxy.upstream.response_parser import UpstreamResponse
 
-#: Seconds between two pieces of a response. Backends send a response at once, and a retry needs about 0.2 s.
+#: Seconds without new bytes after which a retryable attempt fails if its response has begun. Backends send a
+#: response in one piece, and a retry takes about 0.2 s, which must still fit in before the deadline.
 MAX_RESPONSE_STALL = 0.1
 
 
 class AttemptConnection(Protocol):
-    """What an attempt needs of the connection that carries it.
+    """The interface to the connection on which an attempt is sent.
 
     Attributes:
         request_sent: Whether the last byte of the request has been sent.
@@ -33,7 +34,7 @@
     request_sent: bool
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
 
 
 class FinishCallback(Protocol):
@@ -47,7 +48,7 @@
         Args:
             attempt: The attempt.
             outcome: How it ended.
-            response: The backend's complete response; None if there is none.
+            response: The backend's complete response, or None if there was none.
         """
 
 
@@ -61,14 +62,14 @@
 
 @dataclass(slots=True)
 class AttemptCallbacks:
-    """What an attempt asks of the code that started it, and reports to it.
+    """The functions that an attempt calls in the code that started it.
 
     Attributes:
-        build_request: Returns the request's bytes, given the seconds that are left for it.
+        build_request: Returns the request's bytes, given the seconds until the attempt's deadline.
         on_finished: Called once, with the outcome.
-        send_rejection: Returns why the request may not be sent any more, or None; called just before its
-            first byte is written.
-        on_written: Called once the request is written, with the timeout in seconds that the request states.
+        send_rejection: Returns the reason why the request must not be sent any more, or None if it may be
+            sent. Called immediately before the first byte is written.
+        on_written: Called after the request is written, with the timeout in seconds stated in the request.
     """
 
     build_request: Callable[[float], bytes]
@@ -78,19 +79,20 @@
 
 
 class UpstreamAttempt:
-    """One attempt to have a request answered by one backend.
+    """One attempt to get a response to a request from one backend.
 
     Attributes:
-        backend: The backend that it is sent to.
+        backend: The backend to which it is sent.
         started_at: The event loop's time at which it started.
         deadline: The event loop's time at which it expires.
-        callbacks: The code that started it.
+        callbacks: The functions of the code that started it.
         retryable: Whether the request may be sent again if this attempt fails.
-        written_at: The event loop's time at which writing the request began; None before.
+        written_at: The event loop's time at which writing of the request began; None before that.
         finished: Whether the outcome has been reported.
-        outcome: The outcome, once it is reported.
-        connection: The connection that carries it, from the writing of the request until it finishes.
-        connect_task: The task that waits for a connection, while there is none.
+        outcome: The outcome after it has been reported; None before that.
+        connection: The connection on which it is sent, from the write of the request until the attempt
+            finishes.
+        connect_task: The task that waits for a connection; None when no task is waiting.
     """
 
     __slots__ = (
@@ -129,13 +131,13 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start_timer(self) -> None:
-        """Start the timer of the deadline, in place of one that is running."""
+        """Start the timer for the deadline; it replaces a timer that is already running."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer = asyncio.get_running_loop().call_at(self.deadline, self.expire)
 
     def finish(self, outcome: Outcome, response: UpstreamResponse | None = None) -> None:
-        """Report the outcome, unless one has been reported, and close a connection that is still in use."""
+        """Report the outcome and close a connection still in use; only the first call has an effect."""
         if self.finished:
             return
         self.finished = True
@@ -150,7 +152,7 @@
         self.callbacks.on_finished(self, outcome, response)
 
     def forbid_retry(self) -> None:
-        """Mark the request as not retryable; a response that has begun may then last until the deadline."""
+        """Mark the request as not retryable; a response that has begun may then take until the deadline."""
         if self.retryable and not self.finished and self._timer is not None:
             self.start_timer()
         self.retryable = False
@@ -164,11 +166,11 @@
         self.finish(Outcome.CONNECTION_LOST if self._may_have_been_processed() else Outcome.UNREACHABLE)
 
     def on_response_progress(self, now: float) -> None:
-        """Handle a piece of the response that does not complete it.
+        """Handle received bytes that do not complete the response.
 
-        A response that begins and never ends would occupy a retryable request until its deadline, too late
-        for a retry: such an attempt fails when no piece arrives for a short time. This does harm where
-        backends send correct responses slowly.
+        A response that begins but never ends would block a retryable request until its deadline, when it is
+        too late for a retry. Therefore a retryable attempt fails if no bytes arrive for `MAX_RESPONSE_STALL`.
+        Limitation: this also fails correct responses that a backend sends slowly.
 
         Args:
             now: The event loop's time.
--- a/proxy/upstream/connection.py
+++ b/proxy/upstream/connection.py
@@ -1,7 +1,7 @@
 """One connection to a backend, which carries one attempt at a time.
 
-It owns its socket and its response parser. It does not know its backend's other connections: the pool chooses
-the connection of an attempt, keeps the idle ones and counts all of them, and the connection reports to it.
+It owns its socket and its response parser. The pool chooses the connection for each attempt, stores idle
+connections and counts all of them; a connection reports its state changes to the pool.
 """
 
 from __future__ import annotations
@@ -20,12 +20,13 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its pool: what all connections share, and where it reports to.
+    """The pool's interface to its connections: resources that they share, and callbacks for state changes.
 
     Attributes:
-        read_buffer: The buffer that all connections read into; it holds bytes during one callback only.
-        response_memory: The limit on the bytes of incomplete responses.
-        keepalive_policy: Learns from the connection how reuse after an idle time succeeds.
+        read_buffer: The buffer into which all connections read. Its content is valid during one callback
+            only.
+        response_memory: The limit on the total bytes of incomplete responses.
+        keepalive_policy: Records whether reuse of connections succeeded, by their idle time.
     """
 
     read_buffer: memoryview
@@ -36,28 +37,29 @@
         """Return the event loop's time."""
 
     def on_connected(self) -> None:
-        """Handle a connection that is established."""
+        """Handle a connection that has been established."""
 
     def on_idle(self, connection: UpstreamConnection) -> None:
-        """Handle a connection that carries no attempt any more and may carry another one."""
+        """Handle a connection whose attempt has ended and which may be reused."""
 
     def on_closed(self, connection: UpstreamConnection) -> None:
-        """Handle a connection that has ended."""
+        """Handle a connection that has been closed or lost."""
 
 
 class UpstreamConnection(asyncio.BufferedProtocol):
     """A connection to a backend.
 
-    It carries an attempt from `send` until a complete response has arrived, and may then be reused; if the
-    attempt ends without one, the connection is closed. Whether it is closed is its transport's state.
+    It carries an attempt from `send` until a complete response has arrived, and may then be reused. If the
+    attempt ends without a complete response, the connection is closed. The transport stores whether it is
+    closed.
 
     Attributes:
-        backend: The backend that it was dialled to.
-        incarnation: The incarnation of that backend that it was dialled to.
+        backend: The backend to which it was dialled.
+        incarnation: The incarnation of that backend at the time of the dial.
         idle_since: The event loop's time at which it last became idle.
-        request_sent: Whether the last byte of the attempt's request has been sent: from then on the backend
-            may process it, whether or not the proxy cancels it. A response may begin earlier, as some
-            backends answer a part of a request.
+        request_sent: Whether the last byte of the attempt's request has been sent. From then on the backend
+            may process the request, even if the proxy cancels it. A response may begin earlier, because some
+            backends respond to an incomplete request.
     """
 
     def __init__(self, owner: ConnectionOwner, backend: Backend, incarnation: int) -> None:
@@ -67,31 +69,34 @@
         self.request_sent = False
         self._owner = owner
         self._attempt: UpstreamAttempt | None = None
-        self._response_started = False  # whether a byte of the response has arrived
-        self._reused_after: float | None = None  # seconds that it had been idle when it was last reused
+        self._response_started = False  # whether any byte of the response has arrived
+        self._reused_after: float | None = (
+            None  # seconds of idle time before the last reuse; None: not reused
+        )
         self._parser = ResponseParser(owner.response_memory)
-        self._readable = select.poll()
+        self._input_poll = select.poll()  # reports whether the socket has unread input
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Prepare the established connection for its first attempt."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(high=0)  # resume_writing is then called once all bytes are sent
-        self._readable.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
+        transport.set_write_buffer_limits(high=0)  # resume_writing is then called when all bytes are sent
+        self._input_poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
         self._owner.on_connected()
 
     def is_usable(self) -> bool:
-        """Return whether it can carry another attempt.
+        """Return whether another attempt may be sent on it.
 
-        It can't if there is unread input, a close or bytes behind the last response, which the next request
-        would take for its own response; nor if its backend's process or address has changed.
+        Unread input makes it unusable: it is either a close by the backend, or extra bytes after the last
+        response, which would be parsed as the next request's response. A change of the backend's process or
+        address makes it unusable too.
         """
         if self.incarnation != self.backend.incarnation:
             return False
-        return not self._transport.is_closing() and not self._readable.poll(0)
+        return not self._transport.is_closing() and not self._input_poll.poll(0)
 
     def mark_reused(self, now: float) -> None:
-        """Note that it was idle and is about to carry another attempt.
+        """Record that it is about to be reused after an idle time.
 
         Args:
             now: The event loop's time.
@@ -100,24 +105,25 @@
         self._owner.keepalive_policy.record_reuse(self._reused_after)
 
     def send(self, attempt: UpstreamAttempt, request: bytes) -> None:
-        """Carry an attempt: write its complete request."""
+        """Write the complete request of an attempt."""
         self._attempt = attempt
         attempt.connection = self
         self.request_sent = False
         self._response_started = False
         self._transport.write(request)
-        # The socket accepted all of it, unless the write itself found that the connection is lost.
+        # An empty write buffer means that the socket accepted all bytes, unless the write detected that the
+        # connection is lost.
         self.request_sent = not self._transport.get_write_buffer_size() and not self._transport.is_closing()
 
     def pause_writing(self) -> None:
-        """Transport callback: a part of the request is unsent."""
+        """Transport callback: some bytes of the request are not sent yet."""
 
     def resume_writing(self) -> None:
         """Transport callback: all bytes of the request have been sent."""
         self.request_sent = True
 
     def abort(self) -> None:
-        """Close at once; unsent bytes are dropped."""
+        """Close immediately; unsent bytes are discarded."""
         self._attempt = None
         self._transport.abort()
 
@@ -128,7 +134,7 @@
     def buffer_updated(self, nbytes: int) -> None:
         """Transport callback: bytes have been read into the buffer."""
         attempt = self._attempt
-        if attempt is None:  # an unsolicited response must not answer the next request
+        if attempt is None:  # an unsolicited response must not be used for the next request
             now = self._owner.now()
             self._owner.keepalive_policy.record_late_bytes(now, now - self.idle_since)
             self.abort()
@@ -144,7 +150,7 @@
             attempt.on_response_progress(self._owner.now())
 
     def eof_received(self) -> None:
-        """Transport callback: the backend closed in order, which ends a response without a length."""
+        """Transport callback: the backend closed normally, which ends a response without a length."""
         attempt = self._attempt
         if attempt is not None and self._parser.end_of_input() is ResponseState.COMPLETE:
             self._finish_attempt(attempt)
@@ -152,7 +158,8 @@
     def _finish_attempt(self, attempt: UpstreamAttempt) -> None:
         """Make the connection idle if it can carry another attempt, and report the response."""
         response = self._parser.take_response()
-        # Bytes behind the response might be taken for the next one: with any, the connection is closed.
+        # Extra bytes after the response could be parsed as the next response: `is_usable` detects them, and
+        # the connection is then closed.
         if self._parser.keep_alive and self.request_sent and self.is_usable():
             self._attempt = attempt.connection = None
             self._parser.reset()
--- a/proxy/upstream/connection_pool.py
+++ b/proxy/upstream/connection_pool.py
@@ -1,8 +1,8 @@
-"""All connections to backends: finds one for each attempt, within a limit on their number.
+"""The pool of connections to backends: finds a connection for each attempt, and limits their number.
 
-It owns the dials in progress, the number of connections and what all of them share: a read buffer, the memory
-budget and the keepalive policy. The idle connections belong to `IdleConnections`, an attempt's timer and
-outcome to `UpstreamAttempt`, and the bytes on a connection to `UpstreamConnection`.
+It owns the dials in progress, the count of connections, and the resources that all connections share: the
+read buffer, the memory budget and the keepalive policy. `IdleConnections` owns the idle connections,
+`UpstreamAttempt` the timer and outcome of an attempt, and `UpstreamConnection` the bytes on a connection.
 """
 
 from __future__ import annotations
@@ -22,17 +22,18 @@
     from proxy.upstream.attempt import UpstreamAttempt
     from proxy.upstream.backend import Backend
 
-#: The fraction of the memory limit for incomplete responses: many large ones could fill the memory.
+#: The fraction of the process's memory limit that incomplete responses may use: without a limit, many large
+#: responses at once could fill the memory.
 RESPONSE_MEMORY_FRACTION = 0.125
 
 
 class ConnectionPool:
-    """Connections to backends, within a limit on their number.
+    """Connections to backends, with a limit on their number.
 
     Attributes:
-        read_buffer: The buffer that all connections read into; the bytes are parsed before the next read.
-        response_memory: The limit on the bytes of incomplete responses.
-        keepalive_policy: The limits on the idle time after which connections are reused.
+        read_buffer: The buffer into which all connections read; its bytes are parsed before the next read.
+        response_memory: The limit on the total bytes of incomplete responses.
+        keepalive_policy: Limits the idle time after which connections are reused.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         """Prepare an empty pool.
 
         Args:
-            max_connections: The number of connections, established or being dialled, that there may be.
+            max_connections: The largest number of connections, established ones and dials in progress.
             backend_idle_timeout: Seconds after which backends close idle connections.
             dial_timeout: Seconds after which a dial fails.
             memory_limit: The memory in bytes that the process may use.
@@ -52,14 +53,14 @@
         self.keepalive_policy = KeepalivePolicy(self._loop.time())
         self._max_connections = max_connections
         self._dial_timeout = dial_timeout
-        self._dials_in_progress = 0  # connections that are being established
-        self._established = 0
+        self._dials_in_progress = 0
+        self._established = 0  # number of established connections, idle or in use
         self._idle = IdleConnections(backend_idle_timeout)
 
     # ---- settings and the endpoint list --------------------------------------------------------
 
     def reconfigure(self, backend_idle_timeout: float, dial_timeout: float) -> None:
-        """Apply new timeouts; dials in progress keep the timeout that they began with.
+        """Apply new timeouts; dials in progress keep their previous timeout.
 
         Args:
             backend_idle_timeout: Seconds after which backends close idle connections.
@@ -69,14 +70,19 @@
         self._idle.set_backend_idle_timeout(backend_idle_timeout)
 
     def set_idle_quota(self, backends: int, proxies: int) -> None:
-        """Limit idle connections to this proxy's part of what these proxies may keep to these backends."""
+        """Set this proxy's quota of idle connections.
+
+        Args:
+            backends: The number of backends.
+            proxies: The number of proxies that connect to these backends.
+        """
         self._idle.set_quota(backends, proxies)
 
     def update_backend(
         self, backend: Backend, address: Address, started_at: float, *, in_service: bool
     ) -> None:
         """Apply a backend's entry of the endpoint list."""
-        # A request on an idle connection to a process or an address that no longer exists would be lost.
+        # A request sent on a connection to a process or an address that no longer exists would be lost.
         if backend.is_replaced_by(address, started_at) or not in_service:
             self._idle.close_all_to(backend)
         backend.update(address, started_at, in_service=in_service)
@@ -84,7 +90,7 @@
     # ---- attempts ------------------------------------------------------------------------------
 
     def start(self, attempt: UpstreamAttempt) -> None:
-        """Send an attempt, on an idle connection or a new one; its outcome is reported later."""
+        """Send an attempt on an idle or new connection; its callbacks report the outcome later."""
         attempt.start_timer()
         now = self._loop.time()
         policy = self.keepalive_policy
@@ -101,7 +107,7 @@
         elif now - connection.idle_since < reuse_delay:
             reuse = self._reuse_after_delay(attempt, connection, connection.idle_since + reuse_delay)
             attempt.connect_task = task = self._loop.create_task(reuse)
-            # A task that is cancelled before its first step runs none of its own code.
+            # A done callback is needed: a task that is cancelled before its first step runs none of its code.
             task.add_done_callback(lambda ended: self.on_idle(connection) if ended.cancelled() else None)
         else:
             connection.mark_reused(now)
@@ -110,10 +116,10 @@
     async def _reuse_after_delay(
         self, attempt: UpstreamAttempt, connection: UpstreamConnection, reusable_at: float
     ) -> None:
-        """Wait until a connection that has just answered is reusable, then send on it, or on a new one.
+        """Wait for the end of a connection's reuse delay, then send on it, or on a new one if it is unusable.
 
-        A second response that arrives late would be taken for the next request's own. The wait is shorter
-        than a handshake.
+        Without the delay, a late second response would be parsed as the response to the next request. The
+        wait is shorter than a handshake for a new connection.
         """
         await asyncio.sleep(reusable_at - self._loop.time())
         attempt.connect_task = None
@@ -125,16 +131,16 @@
             self._start_dial(attempt)
 
     def _start_dial(self, attempt: UpstreamAttempt) -> None:
-        """Dial for an attempt, if the limit on connections allows it."""
+        """Dial a connection for an attempt. At the limit, close an idle one or fail."""
         if self._dials_in_progress + self._established >= self._max_connections:
-            if not self._idle:  # the attempt was never sent, so it may be retried elsewhere
+            if not self._idle:  # the attempt was never sent, so its request may be retried elsewhere
                 self._loop.call_soon(attempt.finish, Outcome.UNREACHABLE)
                 return
             self._idle.close_oldest()
         attempt.connect_task = self._loop.create_task(self._dial(attempt))
 
     async def _dial(self, attempt: UpstreamAttempt) -> None:
-        """Establish a connection for an attempt and send it there."""
+        """Establish a connection for an attempt, and send the attempt on it."""
         backend, incarnation = attempt.backend, attempt.backend.incarnation
         self._dials_in_progress += 1
         try:
@@ -142,7 +148,7 @@
                 _, connection = await self._loop.create_connection(
                     lambda: UpstreamConnection(self, backend, incarnation), *backend.address
                 )
-        except OSError:  # the connection was rejected or timed out, or no descriptor is left
+        except OSError:  # the connection was refused or timed out, or no file descriptor is left
             attempt.connect_task = None
             attempt.finish(Outcome.UNREACHABLE)
             return
@@ -153,13 +159,12 @@
 
     def _send(self, attempt: UpstreamAttempt, connection: UpstreamConnection) -> None:
         """Write the request, if the attempt may still be sent."""
-        # While the attempt waited for the connection, what permitted it may have changed: the balancer
-        # decides whether it may still be sent. Whether the connection still fits the backend, only the pool
-        # knows.
+        # The state may have changed while the attempt waited for its connection. The pool checks the
+        # deadline, the backend's status and its incarnation; the balancer checks everything else.
         time_left = attempt.deadline - self._loop.time()
         backend = attempt.backend
-        stale = time_left <= 0.0 or not backend.in_service or connection.incarnation != backend.incarnation
-        if attempt.finished or stale or attempt.callbacks.send_rejection() is not None:
+        is_stale = time_left <= 0.0 or not backend.in_service or connection.incarnation != backend.incarnation
+        if attempt.finished or is_stale or attempt.callbacks.send_rejection() is not None:
             self.on_idle(connection)
             self._loop.call_soon(attempt.finish, Outcome.NOT_SENT)
             return
@@ -171,24 +176,24 @@
         connection.send(attempt, attempt.callbacks.build_request(time_left))
         attempt.callbacks.on_written(attempt, time_left)
 
-    # ---- reports of connections ----------------------------------------------------------------
+    # ---- callbacks of connections --------------------------------------------------------------
 
     def now(self) -> float:
         """Return the event loop's time."""
         return self._loop.time()
 
     def on_connected(self) -> None:
-        """Count a connection that is established."""
+        """Count a connection that has been established."""
         self._established += 1
 
     def on_idle(self, connection: UpstreamConnection) -> None:
-        """Keep a connection that carries no attempt for the next attempt, or close it."""
+        """Store a connection without an attempt for reuse, or close it if it is not usable."""
         if connection.backend.in_service and connection.is_usable():
             self._idle.add(connection, self._established)
         else:
             connection.abort()
 
     def on_closed(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has been closed or lost."""
         self._established -= 1
         self._idle.remove(connection)
--- a/proxy/upstream/memory_budget.py
+++ b/proxy/upstream/memory_budget.py
@@ -1,6 +1,6 @@
-"""A limit on the bytes that many connections together may buffer.
+"""A limit on the total number of bytes that all connections may buffer.
 
-It only counts: the bytes belong to the code that reserved them, which also releases them.
+It only counts bytes. The code that reserves bytes stores them and must release them.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
     """Counts buffered bytes against one limit.
 
     Attributes:
-        reserved: The bytes that are buffered now.
+        reserved: The number of bytes that are currently reserved.
     """
 
     __slots__ = ("_limit", "reserved")
@@ -20,12 +20,12 @@
         self.reserved = 0
 
     def reserve(self, size: int) -> bool:
-        """Count so many more bytes if the limit allows it, and return whether it does."""
+        """Reserve `size` bytes if the limit allows it, and return whether they were reserved."""
         if self.reserved + size > self._limit:
             return False
         self.reserved += size
         return True
 
     def release(self, size: int) -> None:
-        """Count so many bytes less; they must have been reserved."""
+        """Release `size` bytes, which must have been reserved before."""
         self.reserved -= size
--- a/proxy/upstream/response_parser.py
+++ b/proxy/upstream/response_parser.py
@@ -1,7 +1,7 @@
-"""Parses one connection's bytes into responses, and decides which responses are unusable.
+"""Parses the bytes of one connection into responses, and decides which responses are unusable.
 
-It owns the parts of the response that is being read, and their bytes in the memory budget. It knows neither
-the socket nor the attempt: `UpstreamConnection` feeds it and acts on its state.
+It owns the data of the response that is being read, and its share of the memory budget. It handles neither
+the socket nor the attempt: `UpstreamConnection` passes received bytes to it and acts on its state.
 """
 
 from __future__ import annotations
@@ -25,31 +25,32 @@
 if TYPE_CHECKING:
     from proxy.upstream.memory_budget import MemoryBudget
 
-#: Bytes of one response's body: some exceed the protocol's limit of 64 KiB, 350 KB were seen.
+#: Bytes of the body of one response. The protocol's limit is 64 KiB, but some backends exceed it: responses
+#: of 350 KB occurred.
 MAX_RESPONSE_BODY_BYTES = 1 << 20
 
-#: Bytes of a response's head, those of interim responses included: the usual limit of HTTP clients.
+#: Bytes of the head of a response, including the heads of interim responses: the usual limit of HTTP clients.
 MAX_RESPONSE_HEAD_BYTES = 16 << 10
 
-MAX_INTERIM_RESPONSES = 16  # 1xx responses before the final one
+MAX_INTERIM_RESPONSES = 16  # 1xx responses before the final response
 
-# Plain numbers: in Python 3.11 looking up a member of an enum class is slow.
-STATUS_CONTINUE = HTTPStatus.CONTINUE.value  # the lowest status
+# Plain integers, because looking up a member of an enum class is slow in Python 3.11.
+STATUS_CONTINUE = HTTPStatus.CONTINUE.value  # the lowest status code
 STATUS_SWITCHING_PROTOCOLS = HTTPStatus.SWITCHING_PROTOCOLS.value
-STATUS_OK = HTTPStatus.OK.value  # the lowest status that is not interim
+STATUS_OK = HTTPStatus.OK.value  # the lowest status code that is not interim
 OVERLOAD_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE.value, HTTPStatus.GATEWAY_TIMEOUT.value)
 
 
 class ResponseState(Enum):
     """How far the response to the current attempt has been read."""
 
-    HEAD = auto()  # the final response's head is incomplete; interim (1xx) responses may have arrived
-    BODY = auto()  # the head is complete
+    HEAD = auto()  # the head of the final response is incomplete; interim (1xx) responses may have arrived
+    BODY = auto()  # the head is complete, the body is not
     COMPLETE = auto()
-    UNUSABLE = auto()  # malformed, too large, or not plain HTTP/1.1: nothing of it may be forwarded
+    UNUSABLE = auto()  # malformed, too large, or not plain HTTP/1.1: no part of it may be forwarded
 
 
-# Module constants, as in Python 3.11 looking up a member of an enum class is slow.
+# Module constants, because looking up a member of an enum class is slow in Python 3.11.
 HEAD, BODY, COMPLETE, UNUSABLE = ResponseState
 
 
@@ -58,9 +59,9 @@
     """A backend's complete response.
 
     Attributes:
-        status: Its status code.
-        head: Its end-to-end headers, each with its line end.
-        body: Its body, without any framing.
+        status: The status code.
+        head: The end-to-end header lines, each with its line end.
+        body: The body, without transfer encoding.
         not_processed: Whether the backend reports that it did not process the request.
     """
 
@@ -78,17 +79,17 @@
 
 
 class ResponseParser:
-    """The parser of one connection; `reset` prepares it for the next attempt's response.
+    """The parser of one connection; `reset` prepares it for the response to the next attempt.
 
     Attributes:
         state: How far the response has been read.
-        receiving: Whether a message has begun to arrive and has not ended.
-        keep_alive: Whether the input so far permits another request on this connection.
+        receiving: Whether a message has begun and is not complete.
+        keep_alive: Whether the input so far allows another request on this connection.
     """
 
     def __init__(self, memory: MemoryBudget) -> None:
         self._memory = memory
-        self._buffered_bytes = 0  # reserved in the memory budget by this parser
+        self._buffered_bytes = 0  # reserved by this parser in the memory budget
         self._http_parser = httptools.HttpResponseParser(self)
         self.reset()
 
@@ -100,16 +101,16 @@
         self._response: UpstreamResponse | None = None
         self._header_lines: list[bytes] = []
         self._body_parts: list[bytes] = []
-        self._connection_options = b""  # the values of Connection headers, each after a comma
+        self._connection_options = b""  # the values of the Connection headers, each preceded by a comma
         self._not_processed = False
-        self._is_framed = False  # whether its headers define the end of its body
-        self._bytes_before_body = 0  # fed before the head was complete
+        self._is_framed = False  # whether the headers define the end of the body
+        self._bytes_before_body = 0  # bytes passed to `feed` before the head was complete
         self._header_bytes = 0
         self._body_bytes = 0
         self._interim_responses = 0
 
     def feed(self, data: memoryview) -> ResponseState:
-        """Parse received bytes, and return how far the response has been read now."""
+        """Parse received bytes, and return the new state of the response."""
         try:
             self._http_parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -117,19 +118,19 @@
             if self.state is not COMPLETE:
                 self.state = UNUSABLE
         if self.state is HEAD:
-            # `on_header` counts a header once it is complete: a single endless one would fill the memory.
+            # `on_header` only counts complete headers: a single endless header would fill the memory.
             self._bytes_before_body += len(data)
             if self._bytes_before_body > MAX_RESPONSE_HEAD_BYTES + READ_BUFFER_BYTES:
                 self.state = UNUSABLE
         return self.state
 
     def end_of_input(self) -> ResponseState:
-        """Handle an orderly end of the connection, which ends a body that has no other framing.
+        """Handle a normal close by the backend, which ends a body without a length or chunked encoding.
 
-        A reset is no orderly end, and must not be reported here.
+        It must not be called for a connection reset, after which the body may be incomplete.
 
         Returns:
-            How far the response has been read now.
+            The new state of the response.
         """
         if self.state is BODY and not self._is_framed:
             self.keep_alive = False
@@ -137,16 +138,17 @@
         return self.state
 
     def take_response(self) -> UpstreamResponse:
-        """Return the complete response; it can be taken once."""
+        """Return the complete response; may be called once per response."""
         response = self._response
         assert response is not None
         self._response = None
         return response
 
     def close(self) -> None:
-        """Release the memory, as the connection has ended.
+        """Release all memory after the connection has ended.
 
-        The httptools parser and this object refer to each other, and would stay until a garbage collection.
+        The httptools parser and this object refer to each other. Deleting one reference frees both without a
+        garbage collection.
         """
         self._release_memory()
         del self._http_parser
@@ -160,12 +162,12 @@
     def on_message_begin(self) -> None:
         """Parser callback: a message begins."""
         self.receiving = True
-        if self.state is COMPLETE:  # a second response: the first one counts
+        if self.state is COMPLETE:  # a second response: the first one is used
             self.keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Parser callback: one header or trailer."""
-        if self.state is not HEAD:  # trailers must not count as headers
+        if self.state is not HEAD:  # a trailer, which must not be treated as a header
             return
         self._header_bytes += len(name) + len(value) + HEADER_OVERHEAD_BYTES
         lower = name.lower()
@@ -181,34 +183,35 @@
             self._is_framed = True
             if value.lower() != b"chunked":
                 self.state = UNUSABLE
-        # A load report is for the proxy alone, and clients may be unable to parse headers that are not ASCII.
+        # X-Server-Load is meant only for the proxy, and clients may fail to parse headers that are not ASCII.
         elif lower not in HOP_BY_HOP_HEADERS and lower != b"x-server-load" and value.isascii():
             self._header_lines.append(b"%b: %b\r\n" % (name, value))
         if self._header_bytes > MAX_RESPONSE_HEAD_BYTES:
             self.state = UNUSABLE
 
     def on_headers_complete(self) -> None:
-        """Parser callback: the head is complete."""
+        """Parser callback: a head is complete."""
         if self.state is not HEAD:
             return
         status = self._http_parser.get_status_code()
         if STATUS_CONTINUE <= status < STATUS_OK:  # interim
             self._interim_responses += 1
-            # No request asks for another protocol, and endless interim responses would occupy the attempt.
+            # The proxy never requests another protocol. An endless series of interim responses would block
+            # the attempt until its deadline.
             if status == STATUS_SWITCHING_PROTOCOLS or self._interim_responses > MAX_INTERIM_RESPONSES:
                 self.state = UNUSABLE
             return
         self.state = BODY
         if self._connection_options:
-            named = connection_options(self._connection_options)
-            self._header_lines = without_headers(self._header_lines, named)
+            hop_by_hop_names = connection_options(self._connection_options)
+            self._header_lines = without_headers(self._header_lines, hop_by_hop_names)
 
     def on_body(self, body: bytes) -> None:
         """Parser callback: a piece of the body."""
         if self.state is not BODY:
             return
         self._body_bytes += len(body)
-        # One endless response, or many large ones at once, would fill the memory.
+        # Without these limits, an endless response or many large ones at once would fill the memory.
         if self._body_bytes <= MAX_RESPONSE_BODY_BYTES and self._memory.reserve(len(body)):
             self._buffered_bytes += len(body)
             self._body_parts.append(body)
@@ -217,7 +220,7 @@
 
     def on_message_complete(self) -> None:
         """Parser callback: the message is complete."""
-        if self.state is HEAD:  # an interim response: the head of the next one begins
+        if self.state is HEAD:  # an interim response is complete; the next message follows
             self.receiving = False
             self._header_lines.clear()
             self._connection_options = b""
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -12,7 +12,7 @@
 import pytest
 
 from balancer.balancer import Balancer
-from proxy.upstream.idle_connections import FLEET_IDLE_PER_BACKEND
+from proxy.upstream.idle_connections import MAX_FLEET_IDLE_PER_BACKEND
 from tests.support.config_files import READ_CLASS
 from tests.support.loopback import (
     ConnectGate,
@@ -113,7 +113,7 @@
     entries = [endpoint_entry("a", f"{HOST}:1"), endpoint_entry("b", f"{HOST}:2")]
     async with reloadable_proxy(config_path, entries) as proxy:
         proxy.reload(Instances=4)
-        assert idle_quota(proxy.pool) == FLEET_IDLE_PER_BACKEND * 2 / 4
+        assert idle_quota(proxy.pool) == MAX_FLEET_IDLE_PER_BACKEND * 2 / 4
 
 
 def record_calls(monkeypatch: pytest.MonkeyPatch, names: list[str]) -> list[str]:
--- a/tests/proxy/upstream/test_connection_pool.py
+++ b/tests/proxy/upstream/test_connection_pool.py
@@ -11,7 +11,7 @@
 from balancer.events import Outcome
 from balancer.settings_reader import read_settings
 from proxy.upstream import keepalive_policy
-from proxy.upstream.idle_connections import FLEET_IDLE_PER_BACKEND
+from proxy.upstream.idle_connections import MAX_FLEET_IDLE_PER_BACKEND
 from tests.support.loopback import (
     ManualClock,
     StubBackend,
@@ -151,9 +151,9 @@
     async with running_proxy(
         [endpoint_entry("a", f"{HOST}:1"), endpoint_entry("b", f"{HOST}:2")], settings=settings
     ) as proxy:
-        assert idle_quota(proxy.pool) == FLEET_IDLE_PER_BACKEND * 2 / 4
+        assert idle_quota(proxy.pool) == MAX_FLEET_IDLE_PER_BACKEND * 2 / 4
         proxy.notify([endpoint_entry("b", f"{HOST}:2", "terminated")])
-        assert idle_quota(proxy.pool) == FLEET_IDLE_PER_BACKEND / 4
+        assert idle_quota(proxy.pool) == MAX_FLEET_IDLE_PER_BACKEND / 4
 
 
 @in_event_loop
--- a/tests/proxy/upstream/test_keepalive_policy.py
+++ b/tests/proxy/upstream/test_keepalive_policy.py
@@ -17,7 +17,7 @@
 async def test_non_retryable_attempt_reuses_only_connections_that_just_answered(
     idle_time: float, dials: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(keepalive_policy, "PRESUMED_ALIVE", MAX_WAIT)
+    monkeypatch.setattr(keepalive_policy, "MAX_UNPROVEN_IDLE_TIME", MAX_WAIT)
     async with stub_backend(respond_ok) as backend:
         scenario = PoolScenario(backend)
         for number in range(4):
