--- a/proxy/address.py
+++ b/proxy/address.py
@@ -1,4 +1,4 @@
-"""The address of a process that listens, and reading it from text."""
+"""The network address of a listening process, and its text form."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class Address(NamedTuple):
-    """Where a process listens.
+    """The address at which a process listens.
 
     Attributes:
-        host: Its host name or IP address.
-        port: Its TCP port.
+        host: The host name or IP address.
+        port: The TCP port.
     """
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Return the form that addresses have in the configuration."""
+        """Return the address as `host:port`, as in the configuration."""
         return f"{self.host}:{self.port}"
 
 
@@ -29,11 +29,11 @@
     """Read an address of the form `host:port`.
 
     Args:
-        key: The key of the value, for the error.
+        key: The key of the value, for the error message.
         value: The value.
 
     Raises:
-        InvalidEntryError: The value has another form.
+        InvalidEntryError: The value does not have this form.
     """
     if isinstance(value, str):
         host, _, port = value.rpartition(":")
--- a/proxy/clock.py
+++ b/proxy/clock.py
@@ -1,6 +1,6 @@
-"""The balancer's time: seconds since the epoch, on a clock that never steps.
+"""The balancer's clock: seconds since the epoch, unaffected by steps of the system clock.
 
-It owns the offset between the event loop's time and that clock. It owns no timers.
+It owns the offset between the event loop's time and this clock. It owns no timers.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 class EpochClock:
     """Converts between the event loop's time and seconds since the epoch.
 
-    The offset between the two is determined once, when the process starts. The start times in the endpoint
-    list are therefore comparable with this clock, and steps of the system clock have no effect on it.
+    The offset between the two is determined once, when the process starts. Therefore this clock can be
+    compared with the start times in the endpoint list, and steps of the system clock do not change it.
     """
 
     __slots__ = ("_loop", "_offset")
--- a/proxy/discovery/__init__.py
+++ b/proxy/discovery/__init__.py
@@ -1,7 +1,8 @@
-"""The endpoint list, as discovery sends it.
+"""Receives the endpoint list from the discovery service.
 
 `watch` keeps one watch open and reports its updates. `watch_connection` is the connection of one watch, and
-`message_assembler` splits its body into messages. `messages` is the form of the list, which `endpoint_reader`
-reads into typed values; `name_index` numbers zones and machine types, and `entry_errors` explains entries
-that can't be read. The list itself is not stored here: `proxy.endpoint_table` and the balancer own it.
+`message_assembler` splits its body into messages. `messages` defines the JSON form of the list, which
+`endpoint_reader` converts into typed values. `name_index` numbers zones and machine types, and `entry_errors`
+builds the error for an invalid entry. The list itself is not stored here: `proxy.endpoint_table` and the
+balancer own it.
 """
--- a/proxy/discovery/endpoint_reader.py
+++ b/proxy/discovery/endpoint_reader.py
@@ -1,7 +1,7 @@
-"""Reads the entries of the endpoint list, in discovery's form, into typed values.
+"""Converts the entries of the endpoint list from their JSON form into typed values.
 
-It owns the numbers of zones and machine types in this process, but neither the list itself nor the connection
-that the list arrives on.
+It owns the numbers of zones and machine types in this process. It owns neither the list nor the connection on
+which the list arrives.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
     """One entry of the endpoint list.
 
     Attributes:
-        endpoint: What the balancer sees of the backend.
-        address: Where the backend listens.
+        endpoint: The backend as the balancer sees it.
+        address: The address at which the backend listens.
     """
 
     endpoint: Endpoint
@@ -42,12 +42,12 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """A complete endpoint list, or a change of it.
+    """A complete endpoint list, or a change to it.
 
     Attributes:
-        index: The version of the list with these endpoints.
-        endpoints: All endpoints, or those that have changed.
-        is_complete: Whether these are all endpoints.
+        index: The version of the list after this update.
+        endpoints: All endpoints, or only those that have changed.
+        is_complete: Whether `endpoints` are all endpoints.
     """
 
     index: int
@@ -56,28 +56,31 @@
 
 
 def endpoint_id(name: str) -> EndpointId:
-    """Return the id of an endpoint by its name, the same at every proxy and after every restart."""
+    """Return the id of the endpoint with a name; it is the same in all proxies and after restarts."""
     return int.from_bytes(name.encode(), "big")
 
 
 class EndpointReader:
-    """Reads entries in discovery's form into endpoints; names of zones and machine types become numbers."""
+    """Converts entries into endpoints, and names of zones and machine types into numbers."""
 
     def __init__(self, zones: Mapping[str, int], machine_types: Mapping[str, int]) -> None:
         """Prepare a reader.
 
         Args:
-            zones: The numbers of the zones that the settings name.
-            machine_types: The numbers of the machine types that the settings name.
+            zones: The numbers of the zones that the settings list, by name.
+            machine_types: The numbers of the machine types that the settings list, by name.
         """
         self._zones = NameIndex(zones)
         self._machine_types = NameIndex(machine_types)
 
     def read_entry(self, entry: EndpointEntry) -> DiscoveredEndpoint:
-        """Read one entry; no class is bound to a zone or machine type that the settings do not name.
+        """Convert one entry.
+
+        Zones and machine types that the settings do not list get new numbers, which the restrictions of
+        classes never contain.
 
         Raises:
-            EntryError: An entry is missing or invalid.
+            EntryError: A value of the entry is missing or invalid.
         """
         try:
             endpoint = Endpoint(
@@ -96,10 +99,10 @@
             raise entry_error(entry) from error
 
     def read_entries(self, message: Mapping[str, object]) -> list[DiscoveredEndpoint]:
-        """Read all entries of a message.
+        """Convert all entries of a message.
 
         Raises:
-            EntryError: An entry is missing or invalid.
+            EntryError: A value is missing or invalid.
         """
         entries = require_entry(message, "endpoints")
         if not isinstance(entries, Iterable):
@@ -110,25 +113,25 @@
                 endpoints.append(self.read_entry(entry))
         except EntryError as error:
             path = f"endpoints[{len(endpoints)}]"
-            raise error.within(path) from error
+            raise error.with_path(path) from error
         return endpoints
 
     def read_list(self, message: Mapping[str, object]) -> EndpointList:
-        """Read a message.
+        """Convert a message.
 
         Raises:
-            EntryError: An entry is missing or invalid.
+            EntryError: A value is missing or invalid.
         """
         endpoints = self.read_entries(require_object("the list", message))
         index = require_entry(message, "index")
         try:
-            number = int(cast("int", index))
+            version = int(cast("int", index))
         except (TypeError, ValueError) as error:
             raise InvalidEntryError(key="index", value=index, expected="a whole number") from error
-        return EndpointList(number, endpoints, is_complete=bool(message.get("snapshot")))
+        return EndpointList(version, endpoints, is_complete=bool(message.get("snapshot")))
 
     def translate_settings(self, config: Config) -> Settings:
-        """Return a configuration's settings with the numbers that zones and machine types have here."""
+        """Return a configuration's settings with the numbers of zones and machine types in this process."""
         classes = tuple(self._translate_class(each, config) for each in config.settings.classes)
         return replace(config.settings, classes=classes)
 
--- a/proxy/discovery/entry_errors.py
+++ b/proxy/discovery/entry_errors.py
@@ -1,6 +1,7 @@
-"""What an entry of the endpoint list has to be, and the error that names what is wrong with one that is not.
+"""Builds the error that describes why an entry of the endpoint list is invalid.
 
-Readable entries are not checked here: reading them fails where it has to, and this module explains why.
+`EndpointReader` detects an invalid entry when it fails to read it, and only then calls this module. Valid
+entries are therefore not checked here.
 """
 
 from __future__ import annotations
@@ -27,12 +28,12 @@
 
 
 class ValueCheck(NamedTuple):
-    """What one value of an entry has to be.
+    """The check of one value of an entry.
 
     Attributes:
         key: The value's key.
         is_valid: Returns whether a value is valid.
-        expected: What is valid, for the error.
+        expected: A description of the valid values, for the error.
     """
 
     key: str
@@ -41,7 +42,7 @@
 
 
 REQUIRED_KEYS = ("name", "status", "address")
-#: In the order in which errors are reported.
+#: Errors are reported in this order.
 VALUE_CHECKS = (
     ValueCheck("name", _is_text, "a text"),
     ValueCheck("status", _is_status, f"one of {', '.join(STATUSES)}"),
@@ -52,7 +53,7 @@
 
 
 def entry_error(entry: object) -> EntryError:
-    """Return the error that names what makes an entry unreadable."""
+    """Return the error that names the missing or invalid value of an entry that could not be read."""
     if not isinstance(entry, dict):
         return InvalidEntryError(key="entry", value=entry, expected="an object")
     for key in REQUIRED_KEYS:
--- a/proxy/discovery/message_assembler.py
+++ b/proxy/discovery/message_assembler.py
@@ -1,6 +1,6 @@
 """Splits the body of a watch into messages: JSON objects, each on one line or indented over several lines.
 
-It owns the beginning of a message that is not complete. It does not know what a message means.
+It owns the received part of an incomplete message. It does not interpret the content of messages.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
     from proxy.discovery.messages import EndpointListMessage
 
-MAX_MESSAGE_BYTES = 4 << 20  # of an incomplete message
+MAX_MESSAGE_BYTES = 4 << 20  # the size of an incomplete message
 
 
 class MessageTooLongError(ValueError):
-    """A message is longer than allowed."""
+    """A message is longer than `MAX_MESSAGE_BYTES`."""
 
     def __init__(self) -> None:
         super().__init__(f"an object is longer than {MAX_MESSAGE_BYTES} bytes")
@@ -35,15 +35,15 @@
     """Assembles messages from pieces of a watch's body."""
 
     def __init__(self) -> None:
-        self._line = b""  # the beginning of an incomplete line
-        self._object = b""  # the lines of an incomplete message
+        self._line = b""  # the received part of an incomplete line
+        self._object = b""  # the complete lines of an incomplete message
 
     def has_partial_line(self) -> bool:
-        """Return whether a line has begun and has not ended."""
+        """Return whether a part of an incomplete line has been received."""
         return bool(self._line)
 
     def feed(self, pieces: list[bytes]) -> Iterator[EndpointListMessage | None]:
-        """Add pieces of the body; yield each message that they complete, and None for an empty line.
+        """Add pieces of the body; yield each message that is now complete, and None for an empty line.
 
         Raises:
             ValueError: The body can't be parsed.
@@ -51,12 +51,12 @@
         *lines, self._line = b"".join([self._line, *pieces]).split(b"\n")
         for line in lines:
             yield from self._feed_line(line)
-        # Without this limit, a line or an object that never ends would fill the memory.
+        # Without this limit, an endless line or object would fill the memory.
         if len(self._line) + len(self._object) > MAX_MESSAGE_BYTES:
             raise MessageTooLongError
 
     def _feed_line(self, line: bytes) -> Iterator[EndpointListMessage | None]:
-        """Add one line: empty as a heartbeat, else an object, or a part of an indented one."""
+        """Add one line: an empty line is a heartbeat; any other is an object or a part of one."""
         if not line.strip():
             if self._object:
                 raise IncompleteMessageError
@@ -65,12 +65,12 @@
         is_first = not self._object
         self._object += line + b"\n"
         if not is_first and not line.rstrip().endswith(b"}"):
-            return  # It can't be complete. Parsing after each line would be expensive: a list has many lines.
+            return  # not complete; parsing after each line would be expensive, because a list has many lines
         try:
             message = orjson.loads(self._object)
         except orjson.JSONDecodeError as error:
             if error.pos < len(self._object.decode().rstrip()):
-                raise  # the error is not the end of the input: no further line corrects it
+                raise  # the error is not at the end of the input, so further lines can't correct it
             return
         self._object = b""
         yield message
--- a/proxy/discovery/messages.py
+++ b/proxy/discovery/messages.py
@@ -1,4 +1,4 @@
-"""The endpoint list in the form in which discovery sends it and the configuration file states it."""
+"""The JSON form of the endpoint list, which discovery sends and the configuration file contains."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from balancer.endpoints import EndpointStatus
 
-#: The words for an endpoint's status.
+#: The status of an endpoint by its word in the JSON form.
 STATUSES = {
     "in_service": EndpointStatus.UP,
     "terminating": EndpointStatus.DRAINING,
@@ -18,8 +18,8 @@
     """One backend of the endpoint list.
 
     Attributes:
-        name: Its name, which stays the same when its process restarts.
-        address: Where it listens, as `host:port`.
+        name: Its name, which does not change when its process restarts.
+        address: The address at which it listens, as `host:port`.
         status: `in_service`, `terminating` or `terminated`.
         zone: The name of its zone.
         type: The name of its machine type.
@@ -39,12 +39,12 @@
 
 
 class EndpointListMessage(TypedDict):
-    """A complete endpoint list, or a change of it.
+    """A complete endpoint list, or a change to it.
 
     Attributes:
         index: The version of the list after this message.
-        endpoints: The backends, or those that have changed.
-        snapshot: Whether the list is complete; by default it is a change.
+        endpoints: All backends, or only those that have changed.
+        snapshot: Whether the list is complete. If absent, the message is a change.
     """
 
     index: int
--- a/proxy/discovery/name_index.py
+++ b/proxy/discovery/name_index.py
@@ -1,4 +1,4 @@
-"""The numbers that the names of zones and machine types have in this process."""
+"""Assigns numbers to the names of zones and machine types, for the lifetime of the process."""
 
 from __future__ import annotations
 
@@ -7,26 +7,28 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-MAX_NAMES = 4096  # names of zones, or of machine types, that are distinguished
-UNKNOWN_NAME = -1  # the number of all names beyond those
+MAX_NAMES = 4096  # names of zones, or of machine types, that have a number of their own
+UNKNOWN_NAME = -1  # the number of all names beyond the first `MAX_NAMES`
 
-Places = tuple[int, ...] | None  # the zones or machine types that a class is bound to; None: any
+#: The numbers of the zones, or of the machine types, that are allowed for a class; None: all.
+AllowedNumbers = tuple[int, ...] | None
 
 
 class NameIndex:
-    """The numbers of zones, or of machine types; a name keeps its number until the process ends.
+    """Maps the names of zones, or of machine types, to numbers. The number of a name never changes.
 
-    Placement therefore stays right when the settings change: endpoints that were read before still state
-    where they are, and a number never comes to mean another zone or machine type.
+    Therefore a change of the settings does not affect endpoints that were read before: their numbers still
+    mean the same zones and machine types.
     """
 
     def __init__(self, names: Mapping[str, int]) -> None:
         self._numbers = dict(names)
 
     def number_of(self, name: str) -> int:
-        """Return the number of a name, a new one for a new name.
+        """Return the number of a name; a new name gets a new number.
 
-        Names beyond the first `MAX_NAMES` would fill the memory: all of them have the number `UNKNOWN_NAME`.
+        Names beyond the first `MAX_NAMES` are not stored, because they could fill the memory. They all have
+        the number `UNKNOWN_NAME`.
         """
         number = self._numbers.get(name)
         if number is not None:
@@ -35,14 +37,14 @@
             return UNKNOWN_NAME
         return self._numbers.setdefault(name, max(self._numbers.values(), default=-1) + 1)
 
-    def translate(self, places: Places, names: Mapping[str, int]) -> Places:
-        """Return the numbers that places of a configuration have in this process.
+    def translate(self, positions: AllowedNumbers, names: Mapping[str, int]) -> AllowedNumbers:
+        """Convert positions in a configuration's list of names into the numbers of these names.
 
         Args:
-            places: Positions in the configuration's list of names; None: any.
-            names: The configuration's names, in the order of that list.
+            positions: The positions in the list; None if all names are allowed.
+            names: The configuration's names, in the order of the list.
         """
-        if places is None:
+        if positions is None:
             return None
-        listed = list(names)
-        return tuple(sorted({self.number_of(listed[place]) for place in places}))
+        listed_names = list(names)
+        return tuple(sorted({self.number_of(listed_names[position]) for position in positions}))
--- a/proxy/discovery/watch_connection.py
+++ b/proxy/discovery/watch_connection.py
@@ -1,7 +1,7 @@
 """The connection of one watch on discovery: its request, its response and its silence timeout.
 
-It owns the socket, the parsing, and the time within which a line has to arrive. It does not know what a
-message means, and does not open another connection: `proxy.discovery.watch` does.
+It owns the socket, the parsing, and the timer for the next line. `proxy.discovery.watch` interprets the
+messages and opens the next connection.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 logger = logging.getLogger(__name__)
 
-#: Seconds without a complete line after which a watch is dead. Discovery sends a line every 2 s; and the 6 s
-#: within which a change has to be known must leave time for another silent watch, two delays and a connect
-#: timeout.
+#: Seconds without a complete line after which a watch counts as broken. It is longer than the 2 s between two
+#: heartbeats of discovery. It is short enough that two silent watches, two delays before the next watch and a
+#: connect timeout fit into the 6 s within which a change must be applied.
 SILENCE_TIMEOUT = 2.5
 
 
@@ -30,7 +30,7 @@
     """Receives the messages of a watch."""
 
     def __call__(self, connection: WatchConnection, message: EndpointListMessage | None, /) -> None:
-        """Handle one message; None is an empty line, which only shows that the watch is alive."""
+        """Handle one message; None is an empty line, which is a heartbeat."""
 
 
 class WatchConnection(asyncio.Protocol):
@@ -38,27 +38,27 @@
 
     Attributes:
         task: The task that runs this watch.
-        has_responded: Whether a readable line has arrived.
-        has_listed: Whether a message with endpoints or a version has arrived.
-        ended: Done when the connection has ended.
+        has_responded: Whether a heartbeat or a valid message has arrived.
+        has_received_list: Whether a valid message, that is a list or a change to it, has arrived.
+        ended: A future that is done when the connection has ended.
     """
 
     def __init__(self, on_message: MessageHandler, request: bytes) -> None:
-        """Prepare a connection; must run in the task of its watch.
+        """Prepare a connection; must be called in the task of its watch.
 
         Args:
             on_message: Receives the messages.
-            request: The request to send once the connection is established.
+            request: The request to send when the connection is established.
         """
         self._on_message = on_message
         self._request = request
         self._transport: asyncio.Transport | None = None
         self.task = asyncio.current_task()
         self.has_responded = False
-        self.has_listed = False
+        self.has_received_list = False
         self._parser = httptools.HttpResponseParser(self)
         self._loop = asyncio.get_running_loop()
-        self._body: list[bytes] = []  # pieces that are parsed and not yet assembled
+        self._body: list[bytes] = []  # pieces of the body that were not yet passed to `_messages`
         self._messages = MessageAssembler()
         self.ended: asyncio.Future[None] = self._loop.create_future()
 
@@ -74,7 +74,7 @@
         self._parse(data)
 
     def eof_received(self) -> None:
-        """Transport callback: an orderly close, which ends the last line, and a response without a length."""
+        """Transport callback: discovery closed normally, which also ends a last line without a line end."""
         if self._messages.has_partial_line():
             self._body.append(b"\n")
             self._parse(b"")
@@ -83,26 +83,25 @@
         try:
             self._parser.feed_data(data)
             self._deliver()
-        except Exception as error:  # noqa: BLE001 - any error in a list: the last good list stays in force
+        except Exception as error:  # noqa: BLE001 - after any error, the last valid list stays in use
             logger.warning("discovery: %r", error)
             self.close()
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         if self._transport is not None:
             self._transport.abort()
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """Transport callback: report the end of the connection through `ended`."""
         self._silence_timer.cancel()
-        del (
-            self._parser
-        )  # Parser and connection refer to each other, and would wait for the garbage collector.
+        # Parser and connection refer to each other; without this, only the garbage collector would free them.
+        del self._parser
         if not self.ended.done():
             self.ended.set_result(None)
 
     def _deliver(self) -> None:
-        """Report the messages that have arrived."""
+        """Report the messages that are complete."""
         if not self._body:
             return
         if self._parser.get_status_code() != HTTPStatus.OK:
@@ -114,10 +113,11 @@
             self._on_message(self, message)
 
     def _restart_silence_timer(self) -> None:
-        """Restart the timeout after a complete line.
+        """Restart the silence timeout after a complete line.
 
-        The timeout ends a watch on a machine that has vanished: nothing else would show that. Bytes alone do
-        not restart it: a line that arrives slowly and never ends would delay all changes.
+        The timeout is the only way to detect a machine that disappeared without closing the connection.
+        Bytes of an incomplete line do not restart it, because a line that arrives slowly and never ends would
+        delay all changes.
         """
         self._silence_timer.cancel()
         self._silence_timer = self._loop.call_later(SILENCE_TIMEOUT, self.close)
@@ -126,7 +126,7 @@
 
     def on_headers_complete(self) -> None:
         """Parser callback: the head is complete."""
-        if self._parser.get_status_code() > HTTPStatus.OK:  # a lower status is interim: the final one follows
+        if self._parser.get_status_code() > HTTPStatus.OK:  # a lower status is interim: a final one follows
             self.close()
 
     def on_body(self, body: bytes) -> None:
@@ -135,7 +135,7 @@
 
     def on_message_complete(self) -> None:
         """Parser callback: the response is complete."""
-        # The end of the response also ends its last line, whose line end may be missing.
+        # The end of the response also ends its last line, even without a line end.
         if self._body or self._messages.has_partial_line():
             self._body.append(b"\n")
         self.close()
--- a/proxy/json_values.py
+++ b/proxy/json_values.py
@@ -1,4 +1,4 @@
-"""Reading values out of parsed JSON, with errors that name the key, the value and what is expected."""
+"""Reads values from parsed JSON; its errors state the key, the value and the expected values."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     """An entry of a JSON object is missing or invalid.
 
     Attributes:
-        key: The entry's key, with the path to it, as in `limits.sockets`.
-        problem: What is wrong, to be read after the key.
+        key: The entry's key with the path to it, such as `limits.sockets`.
+        problem: The description of the error, which follows the key in the message.
     """
 
     def __init__(self, key: str, problem: str) -> None:
@@ -24,8 +24,8 @@
         self.key = key
         self.problem = problem
 
-    def within(self, path: str) -> EntryError:
-        """Return the same error of an entry whose object has a path of its own."""
+    def with_path(self, path: str) -> EntryError:
+        """Return the same error with the path of the object in front of the key."""
         return EntryError(f"{path}.{self.key}", self.problem)
 
 
@@ -41,7 +41,7 @@
 
     Attributes:
         value: The value.
-        expected: What is allowed.
+        expected: A description of the allowed values.
     """
 
     def __init__(self, *, key: str, value: object, expected: str) -> None:
@@ -51,10 +51,10 @@
 
 
 def require_object(key: str, value: object) -> dict[str, object]:
-    """Return a value that has to be a JSON object.
+    """Return a value that must be a JSON object.
 
     Raises:
-        InvalidEntryError: It is something else.
+        InvalidEntryError: It is not an object.
     """
     if not isinstance(value, dict):
         raise InvalidEntryError(key=key, value=value, expected="an object")
@@ -62,10 +62,10 @@
 
 
 def require_list(key: str, value: object) -> list[object]:
-    """Return a value that has to be a JSON array.
+    """Return a value that must be a JSON array.
 
     Raises:
-        InvalidEntryError: It is something else.
+        InvalidEntryError: It is not an array.
     """
     if not isinstance(value, list):
         raise InvalidEntryError(key=key, value=value, expected="a list")
@@ -78,7 +78,7 @@
     Args:
         entries: The object.
         key: The entry's key.
-        path: The path to the object, with a final dot; empty at the top.
+        path: The path to the object, with a final dot; empty for the top object.
 
     Raises:
         MissingEntryError: There is no such entry.
@@ -89,12 +89,12 @@
 
 
 def require_number(key: str, value: object, low: float, high: float) -> float:
-    """Return a value that has to be a finite number from `low` to `high`.
+    """Return a value that must be a finite number from `low` to `high`.
 
     Raises:
-        InvalidEntryError: It is something else; booleans are no numbers.
+        InvalidEntryError: It is not such a number; booleans do not count as numbers.
     """
-    # Integers are compared as they are: float() would overflow for those that no float can hold.
+    # Integers are not converted: float() raises OverflowError for integers beyond the range of a float.
     if isinstance(value, (int, float)) and not isinstance(value, bool) and low <= value <= high:
         return value
     raise InvalidEntryError(key=key, value=value, expected=f"a number from {low:g} to {high:g}")
--- a/proxy/reload.py
+++ b/proxy/reload.py
@@ -122,7 +122,7 @@
         if config.discovery != in_force.discovery:
             lines.append(f"discovery is at {config.discovery}")
         listener.apply_config(config, version)
-        self._targets.discovery.move(config.discovery)
+        self._targets.discovery.change_address(config.discovery)
         return lines
 
     def _apply_settings(self, config: Config) -> None:
