--- a/proxy/config.py
+++ b/proxy/config.py
@@ -1,6 +1,7 @@
-"""The configuration of one proxy as typed values, and the errors of an unusable one.
+"""The configuration of one proxy as typed values, and the errors for an invalid configuration.
 
-`proxy.config_file` reads it. Which configuration is in force, the listener knows, and `proxy.reload` changes.
+`proxy.config_file` reads it from a file. The listener owns the configuration in force, and `proxy.reload`
+replaces it.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
     from proxy.address import Address
     from proxy.discovery.messages import EndpointListMessage
 
-MAX_PROBLEM_LENGTH = 300  # characters of an error's text: one line of the log
+MAX_PROBLEM_LENGTH = 300  # characters of an error's text, so that it stays one short line in the log
 
 
 class ConfigError(RowandealError):
     """The configuration can't be used; the text is one line.
 
     Attributes:
-        problem: What is wrong.
-        source: The file, environment variable or the like that is wrong; empty if the problem names it.
+        problem: The description of the error.
+        source: The file or environment variable that contains the error; empty if `problem` names it.
     """
 
     def __init__(self, problem: str, source: str = "") -> None:
@@ -59,22 +60,22 @@
 
     Attributes:
         name: The proxy's name.
-        listen: Where it listens for clients.
-        discovery: Where discovery listens.
+        listen: The address at which it listens for clients.
+        discovery: The address at which discovery listens.
         seed: The seed of the balancer's random numbers.
-        max_sockets: The number of descriptors that the proxy may use.
-        memory_limit: The memory in bytes that it may use.
-        cached_list: The endpoint list known when the file was written, in discovery's form. Only a starting
-            process reads it; a reload compares it.
+        max_sockets: The largest number of file descriptors that the proxy may use.
+        memory_limit: The largest amount of memory in bytes that the proxy may use.
+        cached_list: The endpoint list at the time when the file was written, in its JSON form. It is only
+            used at the start of the process; a reload only reports that it differs.
         settings: The balancer's settings.
-        class_indices: The position of each class in the settings, by its name.
-        tenant_indices: The position of each tenant in the settings, by its name.
-        zone_indices: The position of each zone in the settings, by its name.
-        machine_type_indices: The position of each machine type in the settings, by its name.
+        class_indices: The position of each class in the settings, by name.
+        tenant_indices: The position of each tenant in the settings, by name.
+        zone_indices: The position of each zone in the settings, by name.
+        machine_type_indices: The position of each machine type in the settings, by name.
         backend_idle_timeout: Seconds after which backends close idle connections.
         dial_timeout: Seconds after which a dial to a backend fails.
-        label: The version that the file states; empty if it states none.
-        digest: A digest of the settings in the file.
+        version_label: The version label in the file; empty if there is none.
+        settings_digest: A digest of the settings in the file.
     """
 
     name: str
@@ -91,18 +92,18 @@
     machine_type_indices: dict[str, int]
     backend_idle_timeout: float
     dial_timeout: float
-    label: str = ""
-    digest: str = ""
+    version_label: str = ""
+    settings_digest: str = ""
 
     @property
     def longest_deadline(self) -> float:
-        """The seconds that a client waits for an answer at most."""
+        """The longest time in seconds that any client waits for a response."""
         return max(request_class.deadline for request_class in self.settings.classes)
 
     def version(self, count: int) -> str:
-        """Return the version that operators see: the label, or else a count, and the digest.
+        """Return the version that operators see: the label, or a count if there is none, and the digest.
 
         Args:
-            count: The number of configurations that this process has applied, with this one.
+            count: The number of configurations that this process has applied, including this one.
         """
-        return f"{self.label or count}-{self.digest}"
+        return f"{self.version_label or count}-{self.settings_digest}"
--- a/proxy/config_file.py
+++ b/proxy/config_file.py
@@ -1,6 +1,6 @@
-"""Reads the configuration file of one proxy into a `Config`, and reports what is wrong with an invalid one.
+"""Reads the configuration file of one proxy into a `Config`, and reports the errors of an invalid file.
 
-It knows the form of the file outside of `settings`, whose form `balancer.settings_reader` knows.
+It defines the form of the file except for `settings`, whose form `balancer.settings_reader` defines.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from proxy.config import Config, ConfigFileError, ConfigPathNotSetError
 from proxy.discovery.messages import EMPTY_LIST, EndpointListMessage
 from proxy.json_values import InvalidEntryError, require_entry, require_number, require_object
-from proxy.settings_check import check_placement, check_words, name_indices
+from proxy.settings_check import check_placement_restrictions, check_words, name_indices
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-MAX_FILE_BYTES = 4 << 20  # the limit on one endpoint list of discovery
-MAX_NUMBER = 1e9  # of a limit, or seconds: larger numbers are mistakes, and their sums may overflow
-MIN_IDLE_TIMEOUT = 0.001  # seconds: idle connections are checked several times within it
+MAX_FILE_BYTES = 4 << 20  # the same as the limit on an endpoint list from discovery, which the file contains
+MAX_NUMBER = 1e9  # for limits and for seconds; larger numbers are mistakes, and sums of them may overflow
+MIN_IDLE_TIMEOUT = 0.001  # seconds; idle connections are checked several times per idle timeout
 DIGEST_LENGTH = 12  # characters
-VERSION_LABEL = re.compile(r"[!-~]{1,64}")
+VERSION_LABEL = re.compile(r"[!-~]{1,64}")  # printable ASCII characters without spaces
 BYTES_PER_MB = 1 << 20
-DEFAULT_MEMORY_MB = 192  # the most that the platform gives
+DEFAULT_MEMORY_MB = 192  # the largest amount of memory that the platform provides
 DEFAULT_IDLE_TIMEOUT = 15.0  # seconds
 DEFAULT_DIAL_TIMEOUT = 0.25  # seconds
 
@@ -36,8 +36,8 @@
     """The limits of the process.
 
     Attributes:
-        sockets: The number of descriptors.
-        memory_mb: The memory in mebibytes.
+        sockets: The largest number of file descriptors.
+        memory_mb: The largest amount of memory in mebibytes.
     """
 
     sockets: float
@@ -49,12 +49,12 @@
 
     Attributes:
         name: The proxy's name.
-        listen: Where it listens for clients, as `host:port`.
-        discovery: Where discovery listens, as `host:port`.
+        listen: The address at which it listens for clients, as `host:port`.
+        discovery: The address at which discovery listens, as `host:port`.
         seed: The seed of random numbers, in hexadecimal digits.
         limits: The limits of the process.
-        known: The endpoint list known when the file was written.
-        version: The file's label.
+        known: The endpoint list at the time when the file was written.
+        version: The version label of the file.
         settings: The settings, in the form of `balancer.settings_reader`.
     """
 
@@ -90,14 +90,14 @@
         raise ConfigPathNotSetError
     try:
         return _read_config(environ, orjson.loads(_read_file(path)))
-    # The readers of single entries raise ValueErrors; the others come from settings of the wrong type, which
-    # `read_settings` does not check.
+    # Reading a single entry raises a ValueError. The other exceptions come from settings of a wrong type,
+    # which `read_settings` does not check.
     except (OSError, ValueError, KeyError, TypeError, AttributeError, ArithmeticError) as error:
         raise ConfigFileError(path, error) from error
 
 
 def _read_file(path: str) -> bytes:
-    """Read a file of limited size: a large one would fill the memory."""
+    """Read a file of limited size, because a very large file would fill the memory."""
     with open(path, "rb") as file:
         data = file.read(MAX_FILE_BYTES + 1)
     if len(data) > MAX_FILE_BYTES:
@@ -113,11 +113,11 @@
     settings.check()
     zone_indices = name_indices("Zones", raw_settings.get("Zones") or [])
     machine_type_indices = name_indices("HostTypes", raw_settings.get("HostTypes") or [])
-    check_placement(settings, zone_indices, machine_type_indices)
+    check_placement_restrictions(settings, zone_indices, machine_type_indices)
     limits = cast("LimitsEntry", require_object("limits", require_entry(file, "limits")))
     bounds = require_object("Bounds", raw_settings.get("Bounds") or {})
     return Config(
-        # The name is not checked: the proxy only compares it when it reloads the file.
+        # The type of the name is not checked: a reload only compares it.
         name=environ.get("RELAY_NAME") or cast("str", require_entry(file, "name")),
         listen=_read_address(environ, "RELAY_LISTEN", file, "listen"),
         discovery=_read_address(environ, "RELAY_DISCOVERY", file, "discovery"),
@@ -132,13 +132,13 @@
         machine_type_indices=machine_type_indices,
         backend_idle_timeout=_read_seconds(bounds, "ConnIdle", DEFAULT_IDLE_TIMEOUT, MIN_IDLE_TIMEOUT),
         dial_timeout=_read_seconds(bounds, "DialTimeout", DEFAULT_DIAL_TIMEOUT, 0.0),
-        label=_read_label(file.get("version")),
-        digest=_digest(raw_settings),
+        version_label=_read_version_label(file.get("version")),
+        settings_digest=_digest(raw_settings),
     )
 
 
 def _read_address(environ: Mapping[str, str], variable: str, file: ConfigFile, key: str) -> Address:
-    """Return the address that an environment variable states, or else an entry of the file."""
+    """Return the address in an environment variable, or in the file if the variable is not set."""
     if text := environ.get(variable):
         return read_address(variable, text)
     return read_address(key, require_entry(file, key))
@@ -155,11 +155,11 @@
     return int(require_number(f"limits.{key}", value, 1, MAX_NUMBER))
 
 
-def _read_seconds(bounds: dict[str, object], key: str, default: float, low: float) -> float:
-    return float(require_number(f"Bounds.{key}", bounds.get(key, default), low, MAX_NUMBER))
+def _read_seconds(bounds: dict[str, object], key: str, default: float, minimum: float) -> float:
+    return float(require_number(f"Bounds.{key}", bounds.get(key, default), minimum, MAX_NUMBER))
 
 
-def _read_label(value: object) -> str:
+def _read_version_label(value: object) -> str:
     if value is None:
         return ""
     text = str(value) if isinstance(value, (str, int, float)) and not isinstance(value, bool) else ""
@@ -171,5 +171,5 @@
 
 
 def _digest(raw_settings: dict[str, object]) -> str:
-    """Return a digest of settings that does not depend on the order of their keys."""
+    """Return a digest of settings; it does not depend on the order of their keys."""
     return sha256(orjson.dumps(raw_settings, option=orjson.OPT_SORT_KEYS)).hexdigest()[:DIGEST_LENGTH]
--- a/proxy/endpoint_table.py
+++ b/proxy/endpoint_table.py
@@ -1,7 +1,7 @@
-"""The backends of the endpoint list, by their id.
+"""The backends of the endpoint list, by endpoint id.
 
-It owns the set of backends. It does not choose among them, does not read the list (`proxy.discovery` does),
-and does not own the connections to them (`proxy.upstream` does).
+It owns the set of backends. It does not choose a backend for a request. `proxy.discovery` reads the list, and
+`proxy.upstream` owns the connections to the backends.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     """One `Backend` for each endpoint of the list.
 
     Attributes:
-        backends: The backends by the id of their endpoint.
+        backends: The backends by endpoint id.
     """
 
     def __init__(self, pool: ConnectionPool) -> None:
@@ -29,16 +29,16 @@
     def update(self, kind: UpdateKind, endpoints: list[DiscoveredEndpoint]) -> None:
         """Apply an update of the endpoint list.
 
-        A backend with another address or start time is another incarnation: connections to the previous one
-        are not used any more, which `ConnectionPool.update_backend` ensures.
+        A changed address or start time starts a new incarnation of a backend. `ConnectionPool.update_backend`
+        ensures that connections to the previous incarnation are not used any more.
 
         Args:
             kind: Whether the update is a complete list or a change.
-            endpoints: The endpoints in it.
+            endpoints: All endpoints, or only those that have changed.
         """
         if kind is not UpdateKind.DELTA:
-            listed = {discovered.endpoint.id for discovered in endpoints}
-            for endpoint_id in self.backends.keys() - listed:
+            listed_ids = {discovered.endpoint.id for discovered in endpoints}
+            for endpoint_id in self.backends.keys() - listed_ids:
                 self._remove(endpoint_id)
         for discovered in endpoints:
             endpoint = discovered.endpoint
@@ -50,7 +50,7 @@
             self._pool.update_backend(backend, discovered.address, endpoint.started, in_service=in_service)
 
     def update_idle_quota(self, fleet_size: int) -> None:
-        """Limit the idle connections to this proxy's quota.
+        """Update this proxy's quota of idle connections.
 
         Args:
             fleet_size: The number of proxies that connect to the same backends.
@@ -58,9 +58,9 @@
         self._pool.set_idle_quota(len(self.backends), fleet_size)
 
     def _remove(self, endpoint_id: EndpointId) -> None:
-        """Remove a terminated backend: without this, backends would accumulate in memory.
+        """Remove a backend that is no longer listed, so that such backends do not accumulate in memory.
 
-        Attempts in flight to it keep their reference to the object.
+        Attempts in flight to it keep a reference to the `Backend`.
         """
         backend = self.backends.pop(endpoint_id, None)
         if backend is not None:
--- a/proxy/http_common.py
+++ b/proxy/http_common.py
@@ -1,4 +1,4 @@
-"""Limits and header rules of HTTP that requests and responses have in common.
+"""HTTP limits and header rules that apply to both requests and responses.
 
 It owns no state. `proxy.downstream` and `proxy.upstream` parse and write the messages.
 """
@@ -6,11 +6,11 @@
 from __future__ import annotations
 
 READ_BUFFER_BYTES = 64 << 10  # size of the buffer that all connections of one side share for reading
-HEADER_OVERHEAD_BYTES = 4  # bytes of a header line besides name and value: `: ` and the line end
-MAX_BODY_BYTES = 64 << 10  # bytes of a request's body: the limit that the protocol sets
+HEADER_OVERHEAD_BYTES = 4  # bytes of a header line in addition to name and value: `: ` and the line end
+MAX_BODY_BYTES = 64 << 10  # bytes of a request's body; the limit of the protocol
 
-#: Headers (in lower case) that apply to one connection only and are never forwarded. `Content-Length` and
-#: `Expect` are among them because the proxy buffers every complete body and writes its own framing.
+#: Headers, in lower case, that apply to a single connection and are never forwarded. `Content-Length` and
+#: `Expect` are included because the proxy buffers each body completely and writes its own framing.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
@@ -27,10 +27,10 @@
 
 
 def connection_options(values: bytes) -> set[bytes]:
-    """Return the header names in the values of `Connection` headers, joined by commas, in lower case."""
+    """Return the header names in the comma-separated, lower-case values of `Connection` headers."""
     return {option.strip() for option in values.split(b",")}
 
 
 def without_headers(lines: list[bytes], names: set[bytes]) -> list[bytes]:
-    """Return the header lines except those with one of these names, which are in lower case."""
+    """Return the header lines whose names, in lower case, are not in `names`."""
     return [line for line in lines if line.partition(b":")[0].lower() not in names]
--- a/proxy/settings_check.py
+++ b/proxy/settings_check.py
@@ -1,6 +1,7 @@
-"""Checks of the settings in the configuration file that the balancer's own checks do not make.
+"""Checks the settings in the configuration file for errors that the balancer can't detect.
 
-The balancer sees positions and defaults; here are the names that the file states for them.
+The balancer only sees positions and defaults. These checks concern the words and names in the file, which are
+converted into them.
 """
 
 from __future__ import annotations
@@ -18,24 +19,24 @@
 
 
 def check_words(raw_settings: Mapping[str, object]) -> None:
-    """Require at least one class and known words: a typing error must not select a default.
+    """Require at least one class, and only known words, so that a misspelled word does not select a default.
 
     Raises:
-        EntryError: There is no class, or an entry is no known word.
+        EntryError: There is no class, or an entry is not a known word.
     """
     _check_word("RegistryMode", raw_settings.get("RegistryMode"), DISCOVERY_MODES)
-    rows = require_list("Services", raw_settings.get("Services") or [])
-    if not rows:
-        raise InvalidEntryError(key="Services", value=rows, expected="a list with at least one class")
-    for index, value in enumerate(rows):
-        row = require_object(f"Services[{index}]", value)
-        idempotency = _check_word(f"Services[{index}].Repeat", row.get("Repeat"), IDEMPOTENCIES)
+    raw_classes = require_list("Services", raw_settings.get("Services") or [])
+    if not raw_classes:
+        raise InvalidEntryError(key="Services", value=raw_classes, expected="a list with at least one class")
+    for index, value in enumerate(raw_classes):
+        raw_class = require_object(f"Services[{index}]", value)
+        idempotency = _check_word(f"Services[{index}].Repeat", raw_class.get("Repeat"), IDEMPOTENCIES)
         if IDEMPOTENCIES.get(idempotency) is Idempotency.KEYED:  # other classes have no deduplication scope
-            _check_word(f"Services[{index}].Group", row.get("Group"), DEDUPLICATION_SCOPES)
+            _check_word(f"Services[{index}].Group", raw_class.get("Group"), DEDUPLICATION_SCOPES)
 
 
 def _check_word(key: str, value: object, words: Collection[str]) -> str:
-    """Return a word that may be absent; empty if it is."""
+    """Require a known word or no value; return the word, or an empty string if there is no value."""
     if value is None:
         return ""
     if not isinstance(value, str) or value not in words:
@@ -46,10 +47,10 @@
 def name_indices(key: str, names: object) -> dict[str, int]:
     """Return the position of each name in a list of names.
 
-    The balancer keeps state by name, so the names have to differ.
+    The names must be unique, because the balancer stores state by name.
 
     Raises:
-        InvalidEntryError: It is no list of different names.
+        InvalidEntryError: It is not a list of unique names.
     """
     if isinstance(names, list) and all(isinstance(name, str) for name in names):
         indices = {name: index for index, name in enumerate(names)}
@@ -58,13 +59,13 @@
     raise InvalidEntryError(key=key, value=names, expected="a list of different names")
 
 
-def check_placement(
+def check_placement_restrictions(
     settings: Settings, zone_indices: Collection[str], machine_type_indices: Collection[str]
 ) -> None:
-    """Require that classes are bound to zones and machine types that the settings list.
+    """Require that classes are restricted to zones and machine types that the settings list.
 
     Raises:
-        InvalidEntryError: A class is bound to another one.
+        InvalidEntryError: A class allows a position that is not in the list.
     """
     for index, request_class in enumerate(settings.classes):
         for key, allowed, names, list_key in (
--- a/tests/proxy/test_config.py
+++ b/tests/proxy/test_config.py
@@ -92,5 +92,5 @@
     other = load(os.environ)
     config_path.write_bytes(file_with(version="2026-12-02T03:00+01:00"))
     labelled = load(os.environ)
-    assert labelled.digest != other.digest
-    assert labelled.version(5) == f"2026-12-02T03:00+01:00-{labelled.digest}"
+    assert labelled.settings_digest != other.settings_digest
+    assert labelled.version(5) == f"2026-12-02T03:00+01:00-{labelled.settings_digest}"
