--- a/proxy/__main__.py
+++ b/proxy/__main__.py
@@ -1,7 +1,7 @@
-"""Starts a proxy: `python -m proxy`, with the configuration that the environment names.
+"""Starts a proxy: `python -m proxy`, with the configuration file that the environment names.
 
-All other modules are imported only once reload signals are recorded: that import takes long, and a
-signal may arrive meanwhile.
+All other modules are imported after the handler for SIGHUP is installed: the import takes long, and without a
+handler a reload signal in this time would end the process.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 def main() -> int:
     """Run a proxy and return the exit code of its process."""
-    hangup = EarlySignal(signal.SIGHUP)
+    early_hangup = EarlySignal(signal.SIGHUP)
     from proxy import process
 
-    return process.run(hangup)
+    return process.run(early_hangup)
 
 
 if __name__ == "__main__":
--- a/proxy/early_signal.py
+++ b/proxy/early_signal.py
@@ -1,8 +1,8 @@
 """Records a signal that arrives before the process can handle it.
 
-By default SIGHUP ends a process, and operators send it to complete fleets, some of whose processes are just
-starting. This module owns whether the signal has arrived; the code that installs the final handler acts on
-it.
+By default, SIGHUP ends a process. Operators send it to all processes of a fleet, some of which may still be
+starting. This module only records that the signal has arrived; the code that installs the final handler acts
+on it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class EarlySignal:
-    """Records that a signal has arrived, until another handler is installed for it.
+    """Records whether a signal has arrived, until another handler is installed for this signal.
 
     Attributes:
         was_received: Whether the signal has arrived.
--- a/proxy/process.py
+++ b/proxy/process.py
@@ -1,7 +1,7 @@
-"""The process of one proxy, from its configuration to its exit code.
+"""The process of one proxy, from reading its configuration to its exit code.
 
-It owns the process: its signals, its exit codes and the garbage collector's settings. What the proxy does
-belongs to `proxy.proxy` and its parts.
+It owns the signals, the exit codes and the garbage collector's settings. `proxy.proxy` builds the proxy
+itself.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def report_exception(loop: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
-    """Report an exception of a callback, except for a reset by a client while a connection is being closed.
+    """Report an exception in a callback, except for a client's reset while its connection is being closed.
 
     Args:
         loop: The event loop.
@@ -47,12 +47,13 @@
         loop.default_exception_handler(context)
 
 
-async def serve(config: Config, hangup: EarlySignal | None = None) -> None:
+async def serve(config: Config, early_hangup: EarlySignal | None = None) -> None:
     """Run until SIGTERM or SIGINT, then shut down gracefully.
 
     Args:
         config: The configuration.
-        hangup: Whether a reload was requested during the start; the file may have changed since it was read.
+        early_hangup: Records whether SIGHUP arrived during the start. If so, the configuration is reloaded,
+            because the file may have changed since it was read.
     """
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(report_exception)
@@ -61,14 +62,15 @@
         loop.add_signal_handler(number, termination_requested.set)
     proxy = Proxy(config, EventLog.from_environment(os.environ))
     loop.add_signal_handler(signal.SIGHUP, proxy.reloader.reload, os.environ)
-    if hangup is not None and hangup.was_received:
+    if early_hangup is not None and early_hangup.was_received:
         proxy.reloader.reload(os.environ)
     proxy.listener.bind()
-    # Backends may have begun to drain before this process started, which discovery knows and the cached list
-    # may not: connections wait in the accept queue until discovery's list has arrived.
+    # The cached list may not show backends that have begun to drain, but discovery's list does. Until
+    # discovery's list has arrived, or the wait for it has timed out, connections wait in the accept queue.
     await proxy.endpoints_loaded.wait()
     listening_socket = await proxy.listener.listen()
-    # All objects of the start are permanent: the garbage collector need not examine them again.
+    # The objects created so far stay until the end, so that the garbage collector need not examine them
+    # again.
     gc.collect()
     gc.freeze()
     await termination_requested.wait()
@@ -80,9 +82,10 @@
 
 
 def ignore_signals() -> None:
-    """Ignore the signals that `serve` handled: one that arrives after a shutdown must not look like a crash.
+    """Ignore the signals that `serve` handled: a signal after the shutdown must not look like a crash.
 
-    Call it in the event loop, whose end would restore the signals' default action, to end the process.
+    It must be called in the event loop. The end of the loop would otherwise restore the default action of
+    these signals, which is to end the process.
     """
     loop = asyncio.get_running_loop()
     for number in (*TERMINATION_SIGNALS, signal.SIGHUP):
@@ -90,13 +93,13 @@
         signal.signal(number, signal.SIG_IGN)
 
 
-async def _serve_and_ignore_signals(config: Config, hangup: EarlySignal | None) -> None:
-    await serve(config, hangup)
+async def _serve_and_ignore_signals(config: Config, early_hangup: EarlySignal | None) -> None:
+    await serve(config, early_hangup)
     ignore_signals()
 
 
 def _check_cached_list(config: Config) -> None:
-    """Read the cached endpoint list on trial: an error in it has to show before the process listens.
+    """Check that the cached endpoint list is valid, so that an error is reported before the process listens.
 
     Raises:
         CachedListError: The list is invalid.
@@ -107,11 +110,11 @@
         raise CachedListError(error) from error
 
 
-def run(hangup: EarlySignal | None = None) -> int:
+def run(early_hangup: EarlySignal | None = None) -> int:
     """Run a proxy and return the exit code of its process.
 
     Args:
-        hangup: Whether a reload was requested during the start.
+        early_hangup: Records whether SIGHUP arrived during the start.
     """
     try:
         config = load(os.environ)
@@ -121,7 +124,7 @@
         return EXIT_BAD_CONFIG
     configure_logging()
     try:
-        asyncio.run(_serve_and_ignore_signals(config, hangup))
+        asyncio.run(_serve_and_ignore_signals(config, early_hangup))
     except OSError as error:
         print(f"proxy: {config.listen}: {error}", file=sys.stderr)
         return EXIT_CAN_NOT_LISTEN
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -1,7 +1,7 @@
-"""Builds one proxy: creates its parts and connects them.
+"""Builds one proxy: creates its components and connects them.
 
-It owns the parts, and whether the endpoint list is loaded. Each part's own module describes what the part
-does.
+It owns the components, and whether the endpoint list is loaded. The module of each component describes what
+it does.
 """
 
 from __future__ import annotations
@@ -30,20 +30,26 @@
 if TYPE_CHECKING:
     from proxy.config import Config
 
-RESERVED_SOCKETS = 48  # descriptors for the listener, discovery, the event loop, and clients beyond the limit
-MIN_SOCKETS = 8  # descriptors for connections, however few the configuration allows
-CLIENT_SOCKET_FRACTION = 0.5  # the clients' part of the descriptors that are not reserved
-CACHED_LIST_DELAY = 0.3  # seconds to wait for discovery's list before the cached one is used
-EMPTY_LIST_DELAY = 6.0  # seconds to wait for any list: an update counts as delivered by then
+#: File descriptors reserved for the listener, discovery, the event loop, and client connections above the
+#: limit.
+RESERVED_SOCKETS = 48
+
+MIN_SOCKETS = 8  # file descriptors for connections, even if the configuration allows fewer
+CLIENT_SOCKET_FRACTION = 0.5  # the fraction of the unreserved file descriptors for client connections
+CACHED_LIST_DELAY = 0.3  # seconds to wait for discovery's list before requests are served by the cached one
+
+#: Seconds after the start when the proxy reports that it is ready even without any list. By then, a list that
+#: discovery had at the start would count as delivered.
+EMPTY_LIST_DELAY = 6.0
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionLimits:
-    """How many connections there may be on each side of the proxy.
+    """The largest number of connections on each side of the proxy.
 
     Attributes:
-        clients: Connections of clients.
-        backends: Connections to backends.
+        clients: The limit on connections from clients.
+        backends: The limit on connections to backends.
     """
 
     clients: int
@@ -51,7 +57,7 @@
 
 
 def connection_limits(max_sockets: int) -> ConnectionLimits:
-    """Divide the descriptors that a process may use between its two sides."""
+    """Divide the file descriptors of a process between connections from clients and to backends."""
     available = max(MIN_SOCKETS, max_sockets - RESERVED_SOCKETS)
     clients = int(CLIENT_SOCKET_FRACTION * available)
     return ConnectionLimits(clients=clients, backends=available - clients)
@@ -61,19 +67,20 @@
     """One running proxy: the balancer between clients, backends and discovery.
 
     Attributes:
-        clock: The balancer's time.
-        reader: Reads the entries of the endpoint list.
+        clock: The balancer's clock.
+        reader: Converts the entries of the endpoint list.
         balancer: Decides where requests are sent.
         pool: The connections to backends.
         endpoint_table: The backends of the endpoint list.
         discovery: The watch on discovery.
-        dispatcher: Takes requests to their answers.
-        listener: The clients' connections.
-        shutdown: Ends the proxy.
+        dispatcher: Handles each request until its response.
+        listener: The connections from clients.
+        shutdown: The graceful shutdown.
         reloader: Applies new configurations.
-        event_log: Receives the events of requests and connections; off unless the environment enables it.
+        event_log: Receives the events of requests and connections; disabled unless the environment enables
+            it.
         monitor: Counts violations of the invariants.
-        endpoints_loaded: Set once the endpoint list has arrived, or the wait for it has ended.
+        endpoints_loaded: Set when the endpoint list has arrived, or when the wait for it has timed out.
     """
 
     def __init__(self, config: Config, event_log: EventLog | None = None) -> None:
@@ -121,20 +128,21 @@
         )
 
     def _start(self, config: Config, cached_endpoints: list[DiscoveredEndpoint]) -> None:
-        """Start with the list that the configuration states, and wait for discovery to send a newer one."""
+        """Start with the cached list of the configuration, and wait for a newer list from discovery."""
         loop = asyncio.get_running_loop()
         self._update_endpoints(UpdateKind.CACHED, cached_endpoints)
         self.dispatcher.start()
         if config.settings.discovery is DiscoveryMode.PUSHED:
             self.discovery.open()
-        # Where discovery is unavailable at the start, an old list serves better than none.
-        on_delay = self._mark_loaded if cached_endpoints else self.endpoints_loaded.set
-        loop.call_later(CACHED_LIST_DELAY, on_delay)
-        # A tier may start without any list while discovery is down: its proxies have to be ready in 10 s.
+        # If discovery is unavailable at the start, an old list is better than none. Without any list, the
+        # proxy accepts connections after this delay but does not report that it is ready.
+        on_list_delay = self._mark_loaded if cached_endpoints else self.endpoints_loaded.set
+        loop.call_later(CACHED_LIST_DELAY, on_list_delay)
+        # A tier may start without any list while discovery is down. Its proxies must be ready within 10 s.
         loop.call_later(EMPTY_LIST_DELAY, self._mark_loaded)
 
     def on_update(self, kind: UpdateKind, endpoints: list[DiscoveredEndpoint]) -> None:
-        """Apply an update of the endpoint list; an empty delta only shows that discovery responds."""
+        """Apply an update of the endpoint list; an empty delta only means that discovery is responding."""
         if endpoints or kind is not UpdateKind.DELTA:
             self._update_endpoints(kind, endpoints)
         self._mark_loaded()
--- a/proxy/reload.py
+++ b/proxy/reload.py
@@ -1,7 +1,7 @@
 """Applies a new configuration while the proxy runs.
 
-It owns the number of configurations applied so far. It does not read the file (`proxy.config_file` does); the
-configuration in force belongs to the listener.
+It owns the count of applied configurations. `proxy.config_file` reads the file, and the listener owns the
+configuration in force.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 
 logger = logging.getLogger(__name__)
 
-#: What identifies the process, and therefore needs a restart to change: the fields of `Config`, and the
-#: entries of the file that the log names.
+#: The fields of `Config` that can only change with a restart, because they identify the process or were used
+#: at its start, and the names under which the log reports them.
 IDENTITY_FIELDS = {
     "name": "name",
     "listen": "listen",
@@ -39,13 +39,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ReloadTargets:
-    """The parts of a proxy that a new configuration affects.
+    """The components of a proxy that a new configuration changes.
 
     Attributes:
-        reader: Knows the numbers of zones and machine types.
+        reader: Converts positions of zones and machine types into the numbers of this process.
         listener: Owns the configuration in force.
         dispatcher: Applies the settings to the balancer and to active requests.
-        endpoint_table: Applies the fleet's size to the limit on idle connections.
+        endpoint_table: Applies the fleet size to the limit on idle connections.
         pool: Applies the timeouts of connections to backends.
         discovery: Applies the address of discovery.
     """
@@ -59,28 +59,29 @@
 
 
 class ConfigReloader:
-    """Applies new configurations, each completely and within one turn of the event loop, or not at all."""
+    """Applies new configurations: each completely and in one iteration of the event loop, or not at all."""
 
     def __init__(self, targets: ReloadTargets, is_shutting_down: Callable[[], bool]) -> None:
         """Prepare for reloads.
 
         Args:
-            targets: The parts to reconfigure.
+            targets: The components to reconfigure.
             is_shutting_down: Returns whether the process is shutting down.
         """
         self._targets = targets
         self._is_shutting_down = is_shutting_down
-        self._config_count = 1  # configurations applied so far, with the one at the start
+        self._config_count = 1  # configurations applied so far, including the one at the start
 
     def reload(self, environ: Mapping[str, str]) -> None:
         """Read the configuration file again, apply it and log the result.
 
-        A file that can't be applied changes nothing, and is reported in one line.
+        A configuration that can't be applied changes nothing, and its error is logged in one line.
 
         Args:
-            environ: Names the file, as for `load`.
+            environ: The environment that names the file, as for `load`.
         """
-        # The environment still names the discovery of the start: the current one is up to the file.
+        # The environment contains the address of discovery at the start of the process, which may be
+        # outdated. After a reload, the address in the file is used.
         environ = {name: value for name, value in environ.items() if name != "RELAY_DISCOVERY"}
         try:
             lines = self.apply(load(environ))
@@ -91,13 +92,13 @@
             logger.info("reload: %s", line)
 
     def apply(self, proposed: Config) -> list[str]:
-        """Apply what a new configuration may change: its settings, and the address of discovery.
+        """Apply the parts of a new configuration that may change: the settings and the address of discovery.
 
         Returns:
             The lines to log.
 
         Raises:
-            ConfigError: The settings need a restart; nothing has changed.
+            ConfigError: The new settings require a restart; nothing has changed.
         """
         listener = self._targets.listener
         in_force = listener.config
@@ -111,7 +112,7 @@
         with_discovery_only = replace(in_force, discovery=proposed.discovery)
         version = listener.version
         if config != with_discovery_only and self._is_shutting_down():
-            # A shutdown keeps the settings that it began with; the endpoint list still matters.
+            # The settings do not change during a shutdown, but updates of the endpoint list are still needed.
             lines.append(f"the process is ending: version {version} stays")
             config = with_discovery_only
         elif config != with_discovery_only:
@@ -126,10 +127,10 @@
         return lines
 
     def _apply_settings(self, config: Config) -> None:
-        """Apply settings.
+        """Apply new settings.
 
         Raises:
-            ConfigError: They need a restart; nothing has changed.
+            ConfigError: They require a restart; nothing has changed.
         """
         targets = self._targets
         try:
--- a/proxy/shutdown.py
+++ b/proxy/shutdown.py
@@ -1,7 +1,6 @@
-"""Graceful shutdown: what happens between SIGTERM and the end of the process.
+"""Graceful shutdown, from SIGTERM to the end of the process.
 
-It owns whether the process is shutting down, and the times of the shutdown. The connections belong to the
-listener.
+It owns the state of the shutdown and its time limits. The listener owns the connections.
 """
 
 from __future__ import annotations
@@ -15,19 +14,22 @@
     from proxy.dispatcher import Dispatcher
     from proxy.downstream.listener import Listener
 
-MIN_ACCEPT_TIME = 0.45  # seconds after SIGTERM in which new connections are accepted in any case
-QUIET_TIME = 0.1  # seconds without a new connection after which no more are expected
-MAX_ACCEPT_TIME = 0.6  # seconds after SIGTERM from which on none is accepted
-READ_TIME = 0.02  # seconds to read the input of connections that were accepted last
-KILL_DELAY = 0.7  # seconds after SIGTERM and the longest deadline at which SIGKILL may follow
-MAX_DEADLINE = 3.0  # seconds: for SIGKILL, a longer deadline counts as this one
-KILL_MARGIN = 0.1  # seconds before SIGKILL by which requests that arrived late are answered
-ACCEPT_POLL_INTERVAL = 0.02  # seconds between two checks whether connections still arrive
-CONNECTION_POLL_INTERVAL = 0.01  # seconds between two checks whether connections are left
+MIN_ACCEPT_TIME = 0.45  # seconds after SIGTERM during which new connections are always accepted
+QUIET_TIME = 0.1  # seconds without a new connection after which no further connection is expected
+MAX_ACCEPT_TIME = 0.6  # seconds after SIGTERM after which no connection is accepted
+READ_TIME = 0.02  # seconds for reading the input of the connections accepted last
+
+#: Seconds that are added to the longest deadline of a class: SIGKILL may follow SIGTERM after their sum.
+KILL_DELAY = 0.7
+
+MAX_DEADLINE = 3.0  # seconds; a longer deadline does not delay SIGKILL any further
+KILL_MARGIN = 0.1  # seconds before SIGKILL by which requests that arrived late get a response
+ACCEPT_POLL_INTERVAL = 0.02  # seconds between two checks for new connections
+CONNECTION_POLL_INTERVAL = 0.01  # seconds between two checks for remaining connections
 
 
 class GracefulShutdown:
-    """Ends the proxy: accepts connections for a short time, answers all requests, closes the connections."""
+    """Shuts down: accepts connections for a short time, responds to all requests, closes the connections."""
 
     def __init__(self, listener: Listener, dispatcher: Dispatcher) -> None:
         self._listener = listener
@@ -39,10 +41,10 @@
         return self._has_started
 
     async def run(self, listening_socket: socket.socket) -> None:
-        """Shut down, and return once no client's connection is left.
+        """Shut down, and return when no client connection is left.
 
         Args:
-            listening_socket: The socket that accepts clients.
+            listening_socket: The socket that accepts client connections.
         """
         loop = asyncio.get_running_loop()
         self._has_started = True
@@ -51,16 +53,17 @@
         await self._accept_late_connections(began_at)
         await self._listener.stop_listening(listening_socket)
         await asyncio.sleep(READ_TIME)
-        # A request may become complete only from here on, and SIGKILL may follow before its own deadline.
-        killed_at = began_at + min(self._listener.config.longest_deadline, MAX_DEADLINE) + KILL_DELAY
-        self._dispatcher.limit_deadlines(killed_at - KILL_MARGIN)
+        # The rest of a request may arrive from now on, so that SIGKILL may come before the request's
+        # deadline.
+        earliest_kill_at = began_at + min(self._listener.config.longest_deadline, MAX_DEADLINE) + KILL_DELAY
+        self._dispatcher.limit_deadlines(earliest_kill_at - KILL_MARGIN)
         self._listener.stop_keepalive()
         while self._listener.connections.open:
             await asyncio.sleep(CONNECTION_POLL_INTERVAL)
             self._listener.close_disconnected()
 
     async def _accept_late_connections(self, began_at: float) -> None:
-        """Accept connections for a short time more: clients learn of the shutdown with a delay."""
+        """Accept connections for a short time, because clients notice the shutdown with a delay."""
         loop = asyncio.get_running_loop()
         while (elapsed := loop.time() - began_at) < MAX_ACCEPT_TIME:
             if elapsed >= MIN_ACCEPT_TIME and loop.time() - self._listener.last_accepted_at >= QUIET_TIME:
