--- a/tests/proxy/test_config.py
+++ b/tests/proxy/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration file: the version of a valid one, and the one line that reports an invalid one."""
+"""The configuration file: the version of a valid file, and the error line for an invalid file."""
 
 from __future__ import annotations
 
@@ -11,7 +11,13 @@
 from proxy.config import ConfigError
 from proxy.config_file import load
 from proxy.process import run
-from tests.support.config_files import BAD_FILES, READ_CLASS, file_with, file_with_settings, raw_config
+from tests.support.config_files import (
+    INVALID_FILES,
+    READ_CLASS,
+    config_with,
+    config_with_settings,
+    raw_config,
+)
 from tests.support.proxy_inputs import HOST, endpoint_entry
 
 if TYPE_CHECKING:
@@ -19,8 +25,8 @@
     from pathlib import Path
 
 
-@pytest.mark.parametrize("content", BAD_FILES.values(), ids=BAD_FILES)
-def test_proxy_does_not_start_from_a_bad_file(
+@pytest.mark.parametrize("content", INVALID_FILES.values(), ids=INVALID_FILES)
+def test_proxy_with_an_invalid_file_exits_with_one_line(
     config_path: Path, content: bytes, log_lines: Callable[[], list[str]]
 ) -> None:
     config_path.write_bytes(content)
@@ -35,24 +41,24 @@
     ("content", "problem"),
     [
         (b"[]", "the file: [] is not an object"),
-        (file_with(settings=None), "settings is missing"),
-        (file_with(limits={}), "limits.sockets is missing"),
-        (file_with(limits={"sockets": "many"}), "limits.sockets: 'many' is not a number from 1 to 1e+09"),
-        (file_with(seed="xyz"), "seed: 'xyz' is not a text of hexadecimal digits"),
-        (file_with(discovery="nowhere"), "discovery: 'nowhere' is not an address of the form host:port"),
-        (file_with_settings(Services=[7]), "Services[0]: 7 is not an object"),
-        (file_with_settings(Zones=["a", "a"]), "Zones: ['a', 'a'] is not a list of different names"),
+        (config_with(settings=None), "settings is missing"),
+        (config_with(limits={}), "limits.sockets is missing"),
+        (config_with(limits={"sockets": "many"}), "limits.sockets: 'many' is not a number from 1 to 1e+09"),
+        (config_with(seed="xyz"), "seed: 'xyz' is not a text of hexadecimal digits"),
+        (config_with(discovery="nowhere"), "discovery: 'nowhere' is not an address of the form host:port"),
+        (config_with_settings(Services=[7]), "Services[0]: 7 is not an object"),
+        (config_with_settings(Zones=["a", "a"]), "Zones: ['a', 'a'] is not a list of different names"),
         (
-            file_with_settings(Services=[READ_CLASS | {"AllowedIn": [2]}]),
+            config_with_settings(Services=[READ_CLASS | {"AllowedIn": [2]}]),
             "Services[0].AllowedIn: [2] is not a list of positions in Zones",
         ),
         (
-            file_with_settings(RegistryMode="asked"),
+            config_with_settings(RegistryMode="asked"),
             "RegistryMode: 'asked' is not one of pushed, on_request",
         ),
     ],
 )
-def test_error_names_the_key_the_value_and_what_is_expected(
+def test_error_states_the_key_the_value_and_the_expected_values(
     config_path: Path, content: bytes, problem: str
 ) -> None:
     config_path.write_bytes(content)
@@ -61,36 +67,36 @@
     assert str(caught.value) == f"{config_path}: {problem}"
 
 
-def test_error_in_the_environment_names_the_variable(
+def test_error_in_an_environment_variable_states_its_name(
     config_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    config_path.write_bytes(file_with())
+    config_path.write_bytes(config_with())
     monkeypatch.setenv("RELAY_LISTEN", "nowhere")
     with pytest.raises(ConfigError, match="RELAY_LISTEN: 'nowhere' is not an address"):
         load(os.environ)
 
 
-def test_proxy_does_not_start_from_a_bad_endpoint_list(
+def test_proxy_with_an_invalid_cached_list_exits_with_one_line(
     config_path: Path, log_lines: Callable[[], list[str]]
 ) -> None:
     entry = endpoint_entry("a", f"{HOST}:1", status="asleep")
-    config_path.write_bytes(file_with(known={"index": 7, "endpoints": [entry]}))
+    config_path.write_bytes(config_with(known={"index": 7, "endpoints": [entry]}))
     assert run() == 2
     [line] = log_lines()
     assert line.startswith("proxy: the known list can't be read: endpoints[0].status: 'asleep' is not one of")
 
 
-def test_digest_depends_on_the_settings_alone_and_not_on_the_order_of_the_file(config_path: Path) -> None:
+def test_digest_depends_only_on_the_settings_and_not_on_their_order(config_path: Path) -> None:
     reversed_file = json.dumps(dict(reversed(raw_config().items()))).encode()
     versions = set()
-    for content in (file_with(), file_with(known=None, discovery=f"{HOST}:10"), reversed_file):
+    for content in (config_with(), config_with(known=None, discovery=f"{HOST}:10"), reversed_file):
         config_path.write_bytes(content)
         versions.add(load(os.environ).version(1))
     assert len(versions) == 1
     assert versions.pop().startswith("1-")
-    config_path.write_bytes(file_with_settings(Instances=2))
+    config_path.write_bytes(config_with_settings(Instances=2))
     other = load(os.environ)
-    config_path.write_bytes(file_with(version="2026-12-02T03:00+01:00"))
+    config_path.write_bytes(config_with(version="2026-12-02T03:00+01:00"))
     labelled = load(os.environ)
     assert labelled.settings_digest != other.settings_digest
     assert labelled.version(5) == f"2026-12-02T03:00+01:00-{labelled.settings_digest}"
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -1,7 +1,7 @@
-"""A configuration that is read again while the proxy runs: what is applied, and the version in force.
+"""Reload of the configuration while the proxy runs: what it applies, and the version it reports.
 
-`test_reload_rejected` checks what stays in force, `test_reload_signals` the signals, and
-`test_reload_active_requests` what happens to active requests.
+`test_reload_rejected` tests configurations that are not applied, `test_reload_signals` the signals, and
+`test_reload_active_requests` the effect on active requests.
 """
 
 from __future__ import annotations
@@ -40,13 +40,15 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-BACKENDS_AT_SIZE = 910
+LARGE_FLEET_SIZE = 910  # backends
 
 LogLines = Callable[[], list[str]]
 
 
 @in_event_loop
-async def test_zones_and_machine_types_keep_their_meaning_when_their_order_changes(config_path: Path) -> None:
+async def test_reordered_zones_and_machine_types_do_not_move_classes_to_other_backends(
+    config_path: Path,
+) -> None:
     async with stub_backend(respond_ok) as near, stub_backend(respond_ok) as far:
         entries = [
             endpoint_entry("a", near.address),
@@ -65,10 +67,10 @@
                 proxy.reload(
                     Services=[READ_CLASS | restriction], Zones=zones, HostTypes=machine_types, Zone=0
                 )
-                assert list(proxy.listener.config.machine_type_indices) == machine_types  # it is in force
+                assert list(proxy.listener.config.machine_type_indices) == machine_types  # applied
                 for repetition in range(8):
                     number += 1
-                    if repetition == 4:  # an update from now on is read as the list before the reload
+                    if repetition == 4:  # an update after the reload gives the endpoints the same numbers
                         proxy.notify(entries)
                     assert status_of(await client.request(get_request(number))) == 200
                     assert b"id%d\r\n" % number in await with_timeout(expected_backend.received.get())
@@ -78,7 +80,7 @@
 
 
 @in_event_loop
-async def test_draining_backend_stays_draining(config_path: Path) -> None:
+async def test_reload_does_not_return_a_draining_backend_to_service(config_path: Path) -> None:
     async with reloadable_proxy_with_backend(config_path, respond_ok) as (proxy, backend):
         client = await proxy.connect()
         assert status_of(await client.request(get_request(1))) == 200
@@ -89,7 +91,7 @@
 
 
 @in_event_loop
-async def test_idle_connections_and_dials_have_the_new_timeouts(
+async def test_reload_applies_new_timeouts_to_idle_connections_and_dials(
     config_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = ManualClock()
@@ -109,7 +111,7 @@
 
 
 @in_event_loop
-async def test_idle_quota_follows_the_new_fleet_size(config_path: Path) -> None:
+async def test_reload_applies_the_new_fleet_size_to_the_idle_quota(config_path: Path) -> None:
     entries = [endpoint_entry("a", f"{HOST}:1"), endpoint_entry("b", f"{HOST}:2")]
     async with reloadable_proxy(config_path, entries) as proxy:
         proxy.reload(Instances=4)
@@ -117,7 +119,7 @@
 
 
 def record_calls(monkeypatch: pytest.MonkeyPatch, names: list[str]) -> list[str]:
-    """Return a list to which each call of these methods of `Balancer` appends the method's name."""
+    """Patch methods of `Balancer`; return a list to which each call appends the name of the method."""
     calls: list[str] = []
 
     def recording(name: str) -> Callable[..., Any]:
@@ -141,20 +143,20 @@
 
 @pytest.mark.parametrize("settings", [{"Services": [READ_CLASS]}, {"Instances": 30, "Ordinal": 7}])
 @in_event_loop
-async def test_reload_at_size_rebuilds_the_pools_once(
+async def test_reload_with_many_backends_rebuilds_the_pools_only_once(
     config_path: Path, monkeypatch: pytest.MonkeyPatch, settings: Mapping[str, object]
 ) -> None:
-    entries = [endpoint_entry(f"s{number}", f"{HOST}:9") for number in range(BACKENDS_AT_SIZE)]
+    entries = [endpoint_entry(f"s{number}", f"{HOST}:9") for number in range(LARGE_FLEET_SIZE)]
     async with reloadable_proxy(config_path, entries) as proxy:
         calls = record_calls(monkeypatch, ["rebuild_pools", "on_endpoints_updated"])
-        before = first_subset(proxy)
+        subset_before = first_subset(proxy)
         proxy.reload(**settings)
         assert calls == ["rebuild_pools"]
-        assert (first_subset(proxy) != before) == ("Ordinal" in settings)
+        assert (first_subset(proxy) != subset_before) == ("Ordinal" in settings)
 
 
 @in_event_loop
-async def test_version_in_force_is_visible_in_the_health_response_and_the_log(
+async def test_health_response_and_log_report_the_version_in_force(
     config_path: Path, log_lines: LogLines
 ) -> None:
     async with reloadable_proxy(config_path, []) as proxy:
@@ -181,8 +183,8 @@
         assert (await proxy.health()).status == 503
 
 
-def state_that_settings_replace(proxy: ReloadableProxy) -> list[Any]:
-    """Return the objects that a change of settings replaces."""
+def settings_dependent_state(proxy: ReloadableProxy) -> list[Any]:
+    """Return the objects that a reload with changed settings replaces."""
     balancer = proxy.balancer
     return [
         balancer.settings,
@@ -194,16 +196,18 @@
 
 
 @in_event_loop
-async def test_unchanged_settings_replace_nothing(config_path: Path, log_lines: LogLines) -> None:
+async def test_reload_with_unchanged_settings_replaces_no_state(
+    config_path: Path, log_lines: LogLines
+) -> None:
     async with reloadable_proxy_with_backend(config_path, respond_ok) as (proxy, _backend):
         client = await proxy.connect()
         assert status_of(await client.request(get_request(1))) == 200
-        before = state_that_settings_replace(proxy)
+        state_before = settings_dependent_state(proxy)
         in_other_order = dict(reversed(proxy.file.content.items()))
         in_other_order |= {"settings": dict(reversed(RAW_SETTINGS.items()))}
         for top_entries in (None, in_other_order, {"discovery": f"{HOST}:10"}):
             proxy.reload(top_entries)
-        after = state_that_settings_replace(proxy)
-        assert all(old is new for old, new in zip(before, after, strict=True))
+        state_after = settings_dependent_state(proxy)
+        assert all(old is new for old, new in zip(state_before, state_after, strict=True))
         assert log_lines() == [f"proxy: reload: discovery is at {HOST}:10"]
         assert (await proxy.health()).lines[1].startswith(b"version 1-")
--- a/tests/proxy/test_reload_active_requests.py
+++ b/tests/proxy/test_reload_active_requests.py
@@ -1,4 +1,4 @@
-"""Active requests during a reload: none is lost, run twice or sent to a backend that its class excludes."""
+"""Active requests during a reload: none is lost, executed twice, or sent to a backend its class excludes."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     ],
 )
 @in_event_loop
-async def test_active_request_is_answered_although_its_class_moves_or_goes(
+async def test_active_request_gets_its_response_after_its_class_is_moved_or_removed(
     config_path: Path, services: list[Mapping[str, object]]
 ) -> None:
     async with reloadable_proxy_with_backend(config_path, stay_silent) as (proxy, backend):
@@ -69,17 +69,14 @@
 @pytest.mark.parametrize(
     ("make_request", "services"),
     [
-        (post_request, [READ_CLASS, BOOK_CLASS | IDEMPOTENT]),  # its class allows a retry after the reload
-        (
-            get_request,
-            [READ_CLASS | NON_IDEMPOTENT, BOOK_CLASS],
-        ),  # its class allows no retry after the reload
-        (post_request, [READ_CLASS]),  # its class is removed
+        (post_request, [READ_CLASS, BOOK_CLASS | IDEMPOTENT]),  # only the new class allows a retry
+        (get_request, [READ_CLASS | NON_IDEMPOTENT, BOOK_CLASS]),  # only the old class allows a retry
+        (post_request, [READ_CLASS]),  # the class is removed
     ],
 )
 @pytest.mark.parametrize("failure", ["connection closed", "error response"])
 @in_event_loop
-async def test_request_that_may_have_run_is_neither_retried_nor_rejected(
+async def test_request_that_may_have_been_executed_is_neither_retried_nor_rejected(
     config_path: Path,
     make_request: Callable[[int], bytes],
     services: list[Mapping[str, object]],
@@ -103,7 +100,7 @@
 
 
 @in_event_loop
-async def test_request_that_did_not_run_is_retried_although_its_class_is_gone(config_path: Path) -> None:
+async def test_unexecuted_request_is_retried_after_its_class_is_removed(config_path: Path) -> None:
     async with (
         stub_backend(respond_ok) as other_backend,
         reloadable_proxy_with_backend(config_path, stay_silent) as (proxy, backend),
@@ -118,7 +115,7 @@
 
 
 @in_event_loop
-async def test_response_that_has_begun_is_awaited_once_no_retry_is_allowed(config_path: Path) -> None:
+async def test_slow_response_is_awaited_after_the_class_stops_allowing_retries(config_path: Path) -> None:
     def respond_in_part(_request: bytes) -> bytes:
         return OK_RESPONSE[:-2]
 
@@ -135,7 +132,7 @@
 
 
 @in_event_loop
-async def test_queued_request_is_classified_when_it_is_taken_up(config_path: Path) -> None:
+async def test_queued_request_is_classified_by_the_new_configuration(config_path: Path) -> None:
     async with reloadable_proxy_with_backend(config_path, stay_silent) as (proxy, backend):
         client = await proxy.connect()
         queued = request_of_class("book", 2) + request_of_class("book", 3, "POST")
@@ -148,7 +145,9 @@
 
 
 @in_event_loop
-async def test_active_request_is_answered_although_its_tenant_moves_and_goes(config_path: Path) -> None:
+async def test_active_request_gets_its_response_after_its_tenant_is_moved_and_removed(
+    config_path: Path,
+) -> None:
     new_tenant = {"Name": "new", "AllowancePerS": 9.0}
     async with reloadable_proxy_with_backend(config_path, stay_silent) as (proxy, backend):
         client, other = await proxy.connect(), await proxy.connect()
@@ -166,7 +165,7 @@
 
 
 @in_event_loop
-async def test_unsent_attempt_moves_to_a_backend_that_its_class_may_still_use(
+async def test_unsent_attempt_is_not_sent_to_a_backend_that_its_class_no_longer_allows(
     config_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with (
--- a/tests/proxy/test_reload_rejected.py
+++ b/tests/proxy/test_reload_rejected.py
@@ -1,4 +1,4 @@
-"""A reload while the proxy runs: what needs a restart, rejected files, and a log that is not read."""
+"""Reloads that are not applied, completely or in part, and a log that is not read."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.support.config_files import BAD_FILES, file_with_settings
+from tests.support.config_files import INVALID_FILES, config_with_settings
 from tests.support.loopback import (
     in_event_loop,
     respond_ok,
@@ -36,7 +36,9 @@
 
 
 @in_event_loop
-async def test_what_identifies_the_process_stays(config_path: Path, log_lines: LogLines) -> None:
+async def test_reload_does_not_change_what_identifies_the_process(
+    config_path: Path, log_lines: LogLines
+) -> None:
     async with reloadable_proxy_with_backend(config_path, respond_ok) as (proxy, _backend):
         other_identity = {
             "name": "n1",
@@ -56,15 +58,15 @@
         assert "in force" in log_lines()[-1]
 
 
-#: Files that are valid at a start, but change settings that need a restart.
+#: Files that are valid at the start, but change settings that require a restart.
 RESTART_FILES: dict[str, bytes] = {
-    "another tier": file_with_settings(Tier=1, Tiers=["one", "two"]),
-    "another discovery mode": file_with_settings(RegistryMode="on_request"),
+    "another tier": config_with_settings(Tier=1, Tiers=["one", "two"]),
+    "another discovery mode": config_with_settings(RegistryMode="on_request"),
 }
 
 
 def replace_file(path: Path, content: bytes | None) -> None:
-    """Give a file another content; None removes it."""
+    """Replace the content of a file; None removes the file."""
     if content is None:
         path.unlink()
     else:
@@ -73,11 +75,11 @@
 
 @pytest.mark.parametrize(
     "content",
-    [*BAD_FILES.values(), *RESTART_FILES.values(), None],
-    ids=[*BAD_FILES, *RESTART_FILES, "no file"],
+    [*INVALID_FILES.values(), *RESTART_FILES.values(), None],
+    ids=[*INVALID_FILES, *RESTART_FILES, "no file"],
 )
 @in_event_loop
-async def test_bad_file_leaves_the_last_good_one_in_force_and_logs_one_line(
+async def test_invalid_file_changes_nothing_and_is_reported_in_one_line(
     config_path: Path, content: bytes | None, log_lines: LogLines
 ) -> None:
     async with reloadable_proxy_with_backend(config_path, respond_ok) as (proxy, _backend):
@@ -103,9 +105,9 @@
 
 @contextmanager
 def full_pipe() -> Iterator[tuple[int, int]]:
-    """Open a full pipe and yield its reading and its writing end; a write blocks until the pipe is read.
+    """Open a full pipe and yield its read and write ends; a write blocks until the pipe is read.
 
-    The caller closes the writing end.
+    The caller must close the write end.
     """
     read_end, write_end = os.pipe()
     os.set_blocking(write_end, False)
@@ -120,7 +122,7 @@
 
 
 @in_event_loop
-async def test_log_that_is_not_read_does_not_stop_the_proxy(
+async def test_reload_does_not_block_while_the_log_is_not_read(
     config_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     loop = asyncio.get_running_loop()
@@ -130,7 +132,7 @@
                 monkeypatch.setattr(sys, "stderr", log)
                 proxy.file.write(Instances=2)
                 reload_done = threading.Event()
-                # Reads the pipe in the end, so that the test ends even if the proxy blocks in a write.
+                # Reads the pipe after `MAX_WAIT` at the latest, so that a proxy that blocks can go on.
                 reader = threading.Thread(
                     target=lambda: reload_done.wait(MAX_WAIT) or os.read(read_end, 1 << 20)
                 )
--- a/tests/proxy/test_reload_signals.py
+++ b/tests/proxy/test_reload_signals.py
@@ -1,4 +1,4 @@
-"""SIGHUP to a proxy's process: it applies a new configuration, and not any more during a shutdown."""
+"""SIGHUP to a proxy process: it applies a new configuration, except for settings during a shutdown."""
 
 from __future__ import annotations
 
@@ -37,13 +37,15 @@
 
 
 async def next_log_line(process: Process) -> bytes:
-    """Return the next line that a process logs."""
+    """Return the next line in the log of a process."""
     assert process.stderr is not None
     return await with_timeout(process.stderr.readline())
 
 
-async def request_in_flight(port: int, backend: StubBackend, request: bytes, request_id: bytes) -> Client:
-    """Send a request to a proxy, wait until it has reached the backend, and return its client."""
+async def send_and_wait_until_received(
+    port: int, backend: StubBackend, request: bytes, request_id: bytes
+) -> Client:
+    """Send a request to a proxy, wait until the backend has received it, and return the client."""
     client = await connect(port)
     client.writer.write(request)
     assert request_id in await with_timeout(backend.received.get())
@@ -59,7 +61,7 @@
 
 
 @in_event_loop
-async def test_one_sighup_applies_settings_and_moves_the_watch_until_shutdown(tmp_path: Path) -> None:
+async def test_sighup_applies_settings_and_the_discovery_address_until_shutdown(tmp_path: Path) -> None:
     async with (
         stub_discovery() as old_discovery,
         stub_discovery() as new_discovery,
@@ -74,7 +76,7 @@
             await with_timeout(old_discovery.watch_requests.get())
             old_discovery.send_update(8, [endpoint_entry("a", backend.address)])
             await wait_until_ready(port)
-            first = await request_in_flight(port, backend, post_request(1, timeout="15"), b"id1")
+            first = await send_and_wait_until_received(port, backend, post_request(1, timeout="15"), b"id1")
 
             file.content["discovery"] = f"{HOST}:{new_discovery.port}"
             file.write({"version": "v2"}, Services=[READ_CLASS, READ_CLASS | {"Name": "new"}])
@@ -83,12 +85,12 @@
             line = await next_log_line(process)
             assert line.decode() == f"proxy: reload: discovery is at {HOST}:{new_discovery.port}\n"
             await with_timeout(new_discovery.watch_requests.get())
-            for _ in range(5):  # the same file several times: nothing to log
+            for _ in range(5):  # the same file again: nothing is logged
                 process.send_signal(signal.SIGHUP)
-            second = await request_in_flight(port, backend, request_of_class("new", 2), b"id2")
+            second = await send_and_wait_until_received(port, backend, request_of_class("new", 2), b"id2")
 
             process.send_signal(signal.SIGTERM)
-            third = await request_in_flight(port, backend, request_of_class("new", 3), b"id3")
+            third = await send_and_wait_until_received(port, backend, request_of_class("new", 3), b"id3")
             await wait_until_draining(port)
             file.write(Services=[READ_CLASS])
             process.send_signal(signal.SIGHUP)
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The proxy as a process: SIGTERM and SIGHUP, invalid configurations, and draining the listener."""
+"""Signals and invalid configurations of a proxy process, and draining of its listener."""
 
 from __future__ import annotations
 
@@ -48,12 +48,12 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-#: A configuration whose endpoint list is not valid.
+#: A configuration with an invalid cached endpoint list.
 INVALID_LIST = raw_config(limits={"sockets": 64}, known={"index": 1, "endpoints": [{"name": "a"}]})
 
 
 @in_event_loop
-async def test_sigterm_lets_accepted_requests_finish(tmp_path: Path) -> None:
+async def test_sigterm_loses_no_request_received_before_or_shortly_after_it(tmp_path: Path) -> None:
     async with stub_discovery() as discovery, stub_backend(stay_silent) as backend:
         port = free_port()
         path, listen, watched = tmp_path / "c.json", f"{HOST}:{port}", f"{HOST}:{discovery.port}"
@@ -67,7 +67,7 @@
         early.writer.write(post_request(1, timeout="15"))
         await with_timeout(backend.received.get())
         process.send_signal(signal.SIGTERM)
-        late = await connect(port)  # new connections are still accepted for a moment
+        late = await connect(port)  # new connections are still accepted for a short time
         late.writer.write(post_request(2, timeout="15"))
         await with_timeout(backend.received.get())
         assert await with_timeout(idle.reader.read()) == b""
@@ -81,7 +81,7 @@
 
 
 @in_event_loop
-async def test_sighup_moves_the_watch_and_loses_nothing(tmp_path: Path) -> None:
+async def test_sighup_with_a_new_discovery_address_loses_no_update(tmp_path: Path) -> None:
     async with (
         stub_discovery() as old,
         stub_discovery() as new,
@@ -99,14 +99,14 @@
         old.send_update(4, [endpoint_entry("b", f"{HOST}:9", "terminating")])
         await wait_until_ready(port)
         path.write_text("{")
-        process.send_signal(signal.SIGHUP)  # invalid: one line in the log, and nothing changes
+        process.send_signal(signal.SIGHUP)  # invalid: it is reported in one line and changes nothing
         assert (await with_timeout(process.stderr.readline())).startswith(b"proxy: reload: ")
         write_config(path, listen, new_address, [])
         for _ in range(3):
             process.send_signal(signal.SIGHUP)
         assert await with_timeout(new.watch_requests.get()) == "/v1/servers?follow=1&since=0"
-        assert old.disconnects.empty(), "the old watch was closed before the new one sent anything"
-        old.send_update(5, [endpoint_entry("a", backend.address)])  # the old watch still counts
+        assert old.disconnects.empty(), "the old watch was closed before the new one had sent a list"
+        old.send_update(5, [endpoint_entry("a", backend.address)])  # updates from the old watch still apply
         client = await connect(port)
         for number in itertools.count(1):
             if status_of(await client.request(get_request(number))) == 200:
@@ -123,7 +123,7 @@
 
 
 @in_event_loop
-async def test_draining_proxy_serves_queued_and_arriving_connections() -> None:
+async def test_draining_proxy_still_serves_queued_and_new_connections() -> None:
     async with stub_backend(respond_ok) as backend:
         proxy = Proxy(proxy_config([endpoint_entry("a", backend.address)]))
         listening_socket = await proxy.listener.listen()
@@ -140,7 +140,7 @@
 
 
 @in_event_loop
-async def test_closing_the_listener_loses_no_queued_connection() -> None:
+async def test_closing_the_listener_does_not_reset_queued_connections() -> None:
     async with stub_backend(respond_ok) as backend:
         listener = Proxy(proxy_config([endpoint_entry("a", backend.address)])).listener
         listening_socket = await listener.listen()
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "{}", "[]", '{"settings":{}}', json.dumps(INVALID_LIST)])
-def test_invalid_configuration_exits_with_one_plain_line(tmp_path: Path, text: str) -> None:
+def test_invalid_configuration_exits_with_one_line_without_a_traceback(tmp_path: Path, text: str) -> None:
     path = tmp_path / "c.json"
     path.write_text(text)
     environment = inherited_environment()
--- a/tests/proxy/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown, on loopback sockets with a manual clock: what clients do meanwhile."""
+"""Events from clients and backends during a graceful shutdown, on loopback sockets with a manual clock."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 if TYPE_CHECKING:
     import socket
 
-KILL_DELAY = 3.0 + 0.7  # seconds after SIGTERM at which SIGKILL may come, by the protocol
-MAX_SHUTDOWN_TIME = KILL_DELAY + 1.0  # seconds after which a test fails
-ACCEPT_TIME = 0.7  # seconds after SIGTERM after which no connection is accepted
-CLOCK_STEP = 0.02  # seconds
+KILL_DELAY = 3.0 + 0.7  # seconds after SIGTERM when SIGKILL may follow, according to the protocol
+MAX_SHUTDOWN_TIME = KILL_DELAY + 1.0  # seconds after SIGTERM after which a test fails
+ACCEPT_TIME = 0.7  # seconds after SIGTERM when connections are certainly no longer accepted
+CLOCK_STEP = 0.02  # seconds by which the clock is advanced at a time
 
 
-class EndingProxy(RunningProxy):
-    """A proxy in this process that shuts down as its clock is advanced.
+class StoppingProxy(RunningProxy):
+    """A proxy in this process whose shutdown proceeds as its clock is advanced.
 
     Attributes:
         clock: The event loop's clock.
@@ -53,7 +53,7 @@
         self._shutdown: asyncio.Task[None] | None = None
 
     async def connect(self) -> Client:
-        """Open a client's connection to it without advancing the clock."""
+        """Open a client connection to the proxy without advancing the clock."""
         return await self.clock.wait_for(connect(self.port))
 
     async def response(self, client: Client) -> bytes:
@@ -61,7 +61,7 @@
         return await self.clock.wait_for(client.response())
 
     async def start_shutdown(self) -> None:
-        """Do what SIGTERM does."""
+        """Start the shutdown, as SIGTERM does."""
         self._started_at = self.clock.now
         self._shutdown = asyncio.create_task(self.proxy.shutdown.run(self._listening_socket))
         await self.clock.settle()
@@ -80,20 +80,20 @@
         """Advance the clock until the shutdown is complete."""
         assert self._shutdown is not None
         while not self.has_ended():
-            assert self.clock.now < self._started_at + MAX_SHUTDOWN_TIME, "the proxy does not end"
+            assert self.clock.now < self._started_at + MAX_SHUTDOWN_TIME, "the shutdown does not end"
             await self.clock.advance(CLOCK_STEP)
         await self._shutdown
 
 
-async def start_proxy(backend: StubBackend) -> EndingProxy:
+async def start_proxy(backend: StubBackend) -> StoppingProxy:
     """Start a proxy whose endpoint list has one backend."""
     clock = ManualClock()
     proxy = Proxy(proxy_config([endpoint_entry("a", backend.address)]))
-    return EndingProxy(proxy, await proxy.listener.listen(), clock)
+    return StoppingProxy(proxy, await proxy.listener.listen(), clock)
 
 
 @in_event_loop
-async def test_request_that_is_complete_late_in_a_shutdown_is_answered_before_sigkill() -> None:
+async def test_request_completed_late_in_a_shutdown_gets_a_response_before_sigkill() -> None:
     async with stub_backend(stay_silent) as backend:
         proxy = await start_proxy(backend)
         client = await proxy.connect()
@@ -110,7 +110,7 @@
 
 @pytest.mark.parametrize("state", ["connecting", "sent", "response started", "partly read", "another queued"])
 @in_event_loop
-async def test_shutdown_answers_received_requests_and_closes_each_connection(
+async def test_shutdown_responds_to_received_requests_and_closes_each_connection(
     state: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def script(_request: bytes) -> bytes | None:
@@ -134,7 +134,7 @@
 
         await proxy.start_shutdown()
         await proxy.advance_to(ACCEPT_TIME)
-        # No request can follow on an idle connection any more.
+        # Idle connections are closed: no further request can arrive on them.
         assert await clock.wait_for(idle_client.reader.read()) == b""
         assert not proxy.has_ended()
 
@@ -144,12 +144,12 @@
         await clock.wait_until(lambda: backend.received.qsize() == 1)
         backend.writers[0].write(OK_RESPONSE[-2:] if state == "response started" else OK_RESPONSE)
         response = await proxy.response(client)
-        if state == "another queued":  # the queued one gets a response too
+        if state == "another queued":  # the queued request gets a response too
             assert status_of(response) == 200
             assert b"Connection: close\r\n" not in response
-            client.writer.write(get_request(3))  # not read any more
+            client.writer.write(get_request(3))  # no longer read
             await clock.settle()
-            await clock.advance(CLOCK_STEP)  # the connection to the backend may be used again
+            await clock.advance(CLOCK_STEP)  # longer than the reuse delay of the backend's connection
             await clock.wait_until(lambda: backend.received.qsize() == 2)
             backend.writers[0].write(OK_RESPONSE)
             response = await proxy.response(client)
@@ -162,7 +162,7 @@
 
 @pytest.mark.parametrize("disconnects", [False, True], ids=["waits", "disconnects"])
 @in_event_loop
-async def test_request_sent_after_another_as_connections_close_stays_unread(*, disconnects: bool) -> None:
+async def test_request_pipelined_while_connections_close_is_not_read(*, disconnects: bool) -> None:
     async with stub_backend(stay_silent) as backend:
         proxy = await start_proxy(backend)
         clock = proxy.clock
@@ -171,10 +171,10 @@
         await clock.wait_until(lambda: backend.received.qsize() == 1)
         await proxy.start_shutdown()
         await proxy.advance_to(ACCEPT_TIME)
-        client.writer.write(post_request(2))  # if this were read, it would have to be answered
+        client.writer.write(post_request(2))  # if it were read, it would need a response
         await clock.settle()
         await clock.advance(CLOCK_STEP)
-        if disconnects:  # noticed although nothing is read
+        if disconnects:  # detected although nothing is read
             client.writer.close()
             await clock.settle()
             await clock.advance(CLOCK_STEP)
--- a/tests/proxy/test_startup.py
+++ b/tests/proxy/test_startup.py
@@ -1,4 +1,4 @@
-"""The start of proxies, under a manual clock: when they are ready, and when they accept requests."""
+"""The start of proxies, with a manual clock: when they report that they are ready, and accept requests."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-READINESS_DEADLINE = 10.0  # seconds in which nine in ten proxies have to be ready
-READY_SHARE = 0.9
+READINESS_DEADLINE = 10.0  # seconds after the start when `READY_FRACTION` of the proxies must be ready
+READY_FRACTION = 0.9
 TIER_SIZE = 20  # proxies
-CLOCK_STEP = 0.25  # seconds
+CLOCK_STEP = 0.25  # seconds by which the clock is advanced at a time
 
 CACHED_ENTRIES = {
     "one backend": [endpoint_entry("a", f"{HOST}:1")],
@@ -51,13 +51,13 @@
 
 @asynccontextmanager
 async def silent_discovery() -> AsyncIterator[int]:
-    """Run a discovery that accepts connections and never responds, and yield its port."""
+    """Run a discovery service that accepts connections and never responds, and yield its port."""
 
-    async def serve_call(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_silently(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
         writer.close()
 
-    server = await asyncio.start_server(serve_call, HOST, 0)
+    server = await asyncio.start_server(serve_silently, HOST, 0)
     try:
         yield int(server.sockets[0].getsockname()[1])
     finally:
@@ -65,7 +65,7 @@
 
 
 async def is_ready(clock: ManualClock, port: int) -> bool:
-    """Return whether a proxy's health check passes at the present time of the clock."""
+    """Return whether a proxy's health check passes at the current time of the clock."""
     client = await clock.wait_for(connect(port))
     response = asyncio.ensure_future(client.request(HEALTH_REQUEST))
     await clock.settle()
@@ -102,9 +102,9 @@
         began_at = clock.now
         while clock.now < began_at + READINESS_DEADLINE - CLOCK_STEP:
             await clock.advance(CLOCK_STEP)
-        gate.passing = UNLIMITED  # from here on the test's own connections
+        gate.passing = UNLIMITED  # the test's own connections must not be blocked
         ready = [await is_ready(clock, port) for port in ports]
-        assert sum(ready) >= READY_SHARE * TIER_SIZE, f"{sum(ready)} of {TIER_SIZE} are ready"
+        assert sum(ready) >= READY_FRACTION * TIER_SIZE, f"{sum(ready)} of {TIER_SIZE} are ready"
         for proxy in tier:
             proxy.cancel()
         await asyncio.gather(*tier, return_exceptions=True)
@@ -129,7 +129,7 @@
         await clock.settle()
         assert cached_backend.received.empty()
         if has_list:
-            # What discovery has counts as delivered from the first moment.
+            # Updates that discovery has at the start count as delivered immediately.
             draining = endpoint_entry("a", cached_backend.address, "terminating")
             discovery.send_update(8, [draining, endpoint_entry("b", new_backend.address)])
             await clock.wait_until(lambda: new_backend.received.qsize() == 1)
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -1,7 +1,7 @@
-"""A proxy in its own process, started as operators start it.
+"""A proxy in its own process, started with the command that operators use.
 
-It is separate from `testbed.processes`, whose processes are bound to processor cores and exchange lines over
-pipes: the tests read a proxy's log and choose its environment.
+`testbed.processes` is not used, because its processes are bound to processor cores and exchange lines over
+pipes, whereas these tests read a proxy's log and choose its environment.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
     """Write the configuration file of a proxy process.
 
     Args:
-        config_path: Where the file is written.
+        config_path: The path of the file.
         listen: The proxy's address, as `host:port`.
         discovery: The address of discovery.
-        endpoints: The entries of the cached endpoint list, in discovery's form.
+        endpoints: The entries of the cached endpoint list, in their JSON form.
     """
     content = raw_config(
         listen=listen,
@@ -55,8 +55,8 @@
 
 
 @asynccontextmanager
-async def killed_at_the_end(process: Process) -> AsyncIterator[None]:
-    """Kill a process that has not ended by the end of the context, and wait until it has ended."""
+async def killing_on_exit(process: Process) -> AsyncIterator[None]:
+    """Kill a process that is still running at the end of the context, and wait until it has ended."""
     try:
         yield
     finally:
@@ -67,9 +67,9 @@
 
 @asynccontextmanager
 async def proxy_process(config_path: Path) -> AsyncIterator[Process]:
-    """Run a proxy whose configuration is a file alone, and whose log is a pipe.
+    """Run a proxy that is configured only by a file, and whose log is a pipe.
 
-    A process that has not ended by the end of the context is killed.
+    The process is killed if it is still running at the end of the context.
     """
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -79,10 +79,10 @@
         stderr=asyncio.subprocess.PIPE,
         env=inherited_environment() | {"RELAY_CONFIG": str(config_path)},
     )
-    async with killed_at_the_end(process):
+    async with killing_on_exit(process):
         yield process
 
 
 async def wait_until_ready(port: int) -> None:
-    """Wait until the health check of the proxy at a port passes, for as long as `MAX_WAIT`."""
+    """Wait until the health check of the proxy at a port passes, but not longer than `MAX_WAIT`."""
     await wait_until_healthy(port, within=MAX_WAIT)
--- a/tests/support/reloadable_proxy.py
+++ b/tests/support/reloadable_proxy.py
@@ -31,8 +31,8 @@
     """The configuration file of a proxy.
 
     Attributes:
-        path: Where the file is.
-        content: The content that `write` starts from; change it to change all later files.
+        path: The path of the file.
+        content: The base content for each `write`. A change of it affects all later writes.
     """
 
     def __init__(
@@ -41,9 +41,9 @@
         """Write the file.
 
         Args:
-            path: Where the file is.
-            entries: The endpoint list that it states, in discovery's form.
-            discovery: The port of discovery; by default nothing listens there.
+            path: The path of the file.
+            entries: The entries of its cached endpoint list, in their JSON form.
+            discovery: The port of discovery; no process listens on the default port.
         """
         self.path = path
         self.content = raw_config(
@@ -53,11 +53,11 @@
         self.write()
 
     def write(self, top_entries: Mapping[str, object] | None = None, /, **settings: object) -> None:
-        """Write the file with changes that the next call does not keep.
+        """Write the file with changes, which do not affect later calls.
 
         Args:
-            top_entries: Entries at the top of the file that differ from `content`.
-            settings: Settings that differ from `RAW_SETTINGS`.
+            top_entries: Top-level entries that replace those of `content`.
+            settings: Settings that replace those of `RAW_SETTINGS`.
         """
         content = self.content | {"settings": RAW_SETTINGS | settings} | dict(top_entries or {})
         self.path.write_text(json.dumps(content))
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthResponse:
-    """A response of `/healthz`.
+    """A response from `/healthz`.
 
     Attributes:
         status: Its status code.
@@ -111,8 +111,8 @@
     """Run a proxy on a free port.
 
     Args:
-        config_path: Where its configuration file is written, which the environment must name.
-        entries: The endpoint list that the file states.
+        config_path: The path of its configuration file, which `RELAY_CONFIG` must name.
+        entries: The entries of the file's cached endpoint list.
     """
     file = ConfigFile(config_path, entries)
     proxy = Proxy(load(os.environ))
@@ -128,12 +128,12 @@
 async def reloadable_proxy_with_backend(
     config_path: Path, script: Script
 ) -> AsyncIterator[tuple[ReloadableProxy, StubBackend]]:
-    """Run a backend with this script, and a proxy whose file lists it under the name "a"."""
+    """Run a backend with a script, and a proxy whose cached list contains it under the name "a"."""
     async with stub_backend(script) as backend:
         async with reloadable_proxy(config_path, [endpoint_entry("a", backend.address)]) as proxy:
             yield proxy, backend
 
 
 def request_of_class(class_name: str, number: int, method: str = "GET") -> bytes:
-    """Return a request of a class; its id is `id` and the number."""
+    """Return a request of a class with the id `id<number>`."""
     return get_request(number, X_Priority_Class=class_name).replace(b"GET", method.encode(), 1)
--- a/tests/support/virtual_time.py
+++ b/tests/support/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes only while it waits, and then at once: long schedules run in no time."""
+"""An event loop with virtual time: waiting advances its time immediately, so that long schedules run fast."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """A selector that does not wait: it advances the time by the timeout instead.
 
     Attributes:
-        now: The time in seconds.
+        now: The virtual time in seconds.
     """
 
     def __init__(self) -> None:
@@ -22,13 +22,13 @@
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[SelectorKey, int]]:
-        """Return what is ready, and advance the time."""
+        """Advance the virtual time by the timeout, and return the file objects that are ready."""
         self.now += timeout or 0.0
         return list(super().select(0))
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop with virtual time, for code that waits by the loop's timers alone."""
+    """An event loop with virtual time, for code that only waits for timers of the loop."""
 
     def __init__(self) -> None:
         self.selector = VirtualTimeSelector()
