--- a/tests/proxy/discovery/__init__.py
+++ b/tests/proxy/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the endpoint list and of the watch that brings it."""
+"""Tests of the endpoint list and of the watch that receives it."""
--- a/tests/proxy/discovery/test_endpoint_list.py
+++ b/tests/proxy/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The proxy and its endpoint list: readiness, resuming the watch, and removed backends."""
+"""Effects of the endpoint list on the proxy: readiness, resumption of the watch, and removed backends."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 
 @in_event_loop
-async def test_clock_of_the_balancer_is_the_clock_of_the_endpoint_list() -> None:
+async def test_clock_of_the_balancer_is_comparable_with_start_times_in_the_endpoint_list() -> None:
     async with running_proxy([]) as proxy:
         assert abs(proxy.proxy.clock.now() - time.time()) < 5.0
 
 
 @in_event_loop
-async def test_health_check_passes_only_with_an_endpoint_list() -> None:
+async def test_health_check_fails_until_the_endpoint_list_has_arrived() -> None:
     async with stub_discovery() as discovery, stub_backend(respond_ok) as backend:
         async with running_proxy([], discovery=discovery.port) as proxy:
             client = await proxy.connect()
@@ -60,13 +60,13 @@
         assert await with_timeout(discovery.watch_requests.get()) == "/v1/servers?follow=1&since=12"
         discovery.send_update(13, [endpoint_entry("b", f"{HOST}:2")], snapshot=True)
         await wait_until(lambda: sum(each.in_service for each in backends.values()) == 1)
-        # Malformed: the list stays, the watch is renewed.
+        # A malformed update does not change the list; the watch is reopened.
         discovery.send_update(14, [endpoint_entry("a", "nowhere")])
         assert await with_timeout(discovery.watch_requests.get()) == "/v1/servers?follow=1&since=13"
 
 
 @in_event_loop
-async def test_removed_backends_do_not_accumulate() -> None:
+async def test_removed_backends_do_not_accumulate_in_memory() -> None:
     async with proxy_with_backends(respond_ok) as (proxy, [backend]):
         client = await proxy.connect()
         for number in range(50):
@@ -80,6 +80,6 @@
 
 
 @in_event_loop
-async def test_proxy_starts_without_any_endpoint_list() -> None:
+async def test_proxy_without_an_endpoint_list_starts_but_is_not_healthy() -> None:
     proxy = Proxy(proxy_config([]))
     assert not proxy.listener.is_healthy()
--- a/tests/proxy/discovery/test_endpoint_reader.py
+++ b/tests/proxy/discovery/test_endpoint_reader.py
@@ -1,4 +1,4 @@
-"""Reading the endpoint list: the errors of entries that can't be read, and the numbers of zones."""
+"""Reading the endpoint list: the errors for invalid entries, and the numbers of zones."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def reader() -> EndpointReader:
-    """Return a reader whose settings name the zones of the usual entries."""
+    """Return a reader whose settings list the zones of the default entries."""
     return EndpointReader({"here": 0, "there": 1}, {"k": 0})
 
 
@@ -34,7 +34,7 @@
         ({"type": {}}, "type: {} is not a text"),
     ],
 )
-def test_error_names_the_entry_the_value_and_what_is_expected(
+def test_error_states_the_entry_the_value_and_the_expected_values(
     reader: EndpointReader, change: Mapping[str, object], problem: str
 ) -> None:
     entries = [endpoint_entry("a", f"{HOST}:1"), endpoint_entry("b", f"{HOST}:2") | dict(change)]
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("key", ["name", "status", "address"])
-def test_missing_value_of_an_entry_is_named(reader: EndpointReader, key: str) -> None:
+def test_error_states_the_missing_value_of_an_entry(reader: EndpointReader, key: str) -> None:
     entry = endpoint_entry("a", f"{HOST}:1")
     del entry[key]
     with pytest.raises(EntryError, match=rf"endpoints\[0\]\.{key} is missing"):
@@ -62,7 +62,7 @@
         ({"index": None, "endpoints": []}, "index: None is not a whole number"),
     ],
 )
-def test_error_of_a_message_names_its_key(
+def test_error_states_the_invalid_key_of_a_message(
     reader: EndpointReader, message: Mapping[str, object], problem: str
 ) -> None:
     with pytest.raises(EntryError) as caught:
@@ -70,22 +70,22 @@
     assert str(caught.value) == problem
 
 
-def test_list_that_is_no_object_is_rejected(reader: EndpointReader) -> None:
+def test_list_that_is_not_an_object_is_rejected(reader: EndpointReader) -> None:
     with pytest.raises(EntryError, match="is not an object"):
         reader.read_list([])  # type: ignore[arg-type]  # what discovery sends may be anything
 
 
-def test_long_values_are_shortened_in_errors(reader: EndpointReader) -> None:
+def test_long_values_are_abbreviated_in_errors(reader: EndpointReader) -> None:
     with pytest.raises(EntryError) as caught:
         reader.read_list({"index": "x" * 10_000, "endpoints": []})
     assert len(str(caught.value)) < 100
 
 
-def test_entries_become_endpoints_with_the_numbers_of_the_settings(reader: EndpointReader) -> None:
+def test_zones_and_machine_types_get_the_numbers_of_the_settings_or_new_ones(reader: EndpointReader) -> None:
     entries = [endpoint_entry("a", f"{HOST}:1", since_ms=2500), endpoint_entry("b", f"{HOST}:2")]
     entries[1] |= {"zone": "elsewhere", "type": "k"}
     endpoint_list = reader.read_list({"index": 7, "snapshot": True, "endpoints": entries})
     first, second = endpoint_list.endpoints
     assert (endpoint_list.index, endpoint_list.is_complete) == (7, True)
     assert (first.endpoint.zone, first.endpoint.started, first.address) == (0, 2.5, (HOST, 1))
-    assert (second.endpoint.zone, second.endpoint.machine_type) == (2, 0)  # the first number that is free
+    assert (second.endpoint.zone, second.endpoint.machine_type) == (2, 0)  # 2 is the first unused number
--- a/tests/proxy/discovery/test_notification_deadline.py
+++ b/tests/proxy/discovery/test_notification_deadline.py
@@ -1,6 +1,6 @@
-"""A change of the endpoint list is delivered within 6 s, although watches on discovery fail before.
+"""A change of the endpoint list is applied within 6 s, even if preceding watches on discovery fail.
 
-The tests use a manual clock and loopback sockets: no sum of the proxy's waits may exceed the deadline.
+The tests use a manual clock and loopback sockets, so that only the proxy's own delays count.
 """
 
 from __future__ import annotations
@@ -25,39 +25,39 @@
     WatchFault,
     faulty_discovery,
     measure_delivery,
-    updates,
+    watch_response,
 )
 from tests.support.loopback import ManualClock, RunningProxy, free_port, in_event_loop, running_proxy
 from tests.support.proxy_inputs import HOST, RAW_SETTINGS, endpoint_entry
 
-#: Seconds after discovery had a change, and was reachable, by which the change counts as delivered.
+#: Seconds after discovery has a change and is reachable, by which the change counts as delivered.
 DELIVERY_DEADLINE = 6.0
 OLD_ENTRIES = [endpoint_entry("a", f"{HOST}:1")]
 
 
 def polled_settings(poll_interval: float) -> Settings:
-    """Return the usual settings, with lists that the proxy polls."""
+    """Return the default settings with the discovery mode in which the proxy polls for the list."""
     rules = RAW_SETTINGS["Rules"] | {"AskEvery": poll_interval}
     return read_settings(RAW_SETTINGS | {"RegistryMode": "on_request", "Rules": rules})
 
 
 def backend_ports(proxy: RunningProxy) -> list[int]:
-    """Return the ports of the backends that a proxy knows."""
+    """Return the ports of the backends in a proxy's endpoint table."""
     return [backend.address[1] for backend in proxy.endpoint_table.backends.values()]
 
 
 def has_backends(proxy: RunningProxy) -> bool:
-    """Return whether a proxy knows any backend."""
+    """Return whether a proxy's endpoint table contains any backend."""
     return bool(proxy.endpoint_table.backends)
 
 
 def describe(delay: float, discovery: FaultyDiscovery) -> str:
-    """Return the message of a failed test."""
+    """Return the message for a failed test."""
     return f"delivered after {delay:.2f} s and {discovery.calls} watches"
 
 
 async def check_delivery_after_failed_watches(fault: WatchFault, times: int) -> None:
-    """Require that a change is delivered in time although so many watches from the start have a fault."""
+    """Require that a change is delivered in time if the first `times` watches have a fault."""
     clock = ManualClock()
     async with (
         faulty_discovery([fault] * times) as discovery,
@@ -78,17 +78,17 @@
 
 @pytest.mark.parametrize("fault", IMMEDIATE_FAULTS)
 @in_event_loop
-async def test_backoff_after_watches_that_fail_at_once_stays_within_the_deadline(fault: str) -> None:
+async def test_delays_after_many_immediate_failures_stay_within_the_deadline(fault: str) -> None:
     await check_delivery_after_failed_watches(FAULTS[fault], 10)
 
 
 @pytest.mark.parametrize("ending", ["silent", "a line that trickles", "an object that trickles"])
 @pytest.mark.parametrize("fault", FAULTS)
 @in_event_loop
-async def test_silent_watch_and_a_failed_one_together_stay_within_the_deadline(
+async def test_silent_watch_followed_by_a_failed_one_stays_within_the_deadline(
     fault: str, ending: str
 ) -> None:
-    empty_list = updates(SNAPSHOT | {"index": 8, "endpoints": []})
+    empty_list = watch_response(SNAPSHOT | {"index": 8, "endpoints": []})
     after_list = FAULTS[ending].response.removeprefix(CHUNKED_HEAD)
     falls_silent = WatchFault(empty_list + after_list, FAULTS[ending].trickle)
     clock = ManualClock()
@@ -117,7 +117,7 @@
 
 
 @in_event_loop
-async def test_discovery_that_is_back_is_polled_soon() -> None:
+async def test_poll_follows_shortly_after_discovery_is_back() -> None:
     port = free_port()
     clock = ManualClock()
     async with running_proxy([], discovery=port, settings=polled_settings(60.0)) as proxy:
@@ -129,7 +129,7 @@
 
 
 def next_poll_time(balancer: Balancer, now: float, actions: list[Action]) -> float:
-    """Return when the balancer polls again, and require that the deadline leaves time for another poll."""
+    """Return the time of the balancer's next poll; require that the deadline leaves time for another one."""
     [timer] = actions
     assert isinstance(timer, SetTimer)
     assert timer.at - now <= DELIVERY_DEADLINE / 2.0
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize("poll_interval", [0.5, 2.0, 10.0, 60.0])
-def test_balancer_polls_twice_in_any_interval_as_long_as_the_deadline(poll_interval: float) -> None:
+def test_balancer_polls_at_least_twice_within_the_deadline(poll_interval: float) -> None:
     for seed in range(50):
         rules = Rules(poll_interval=poll_interval)
         balancer = Balancer(Settings(discovery=DiscoveryMode.POLLED, rules=rules), seed)
@@ -160,7 +160,7 @@
     ],
 )
 @in_event_loop
-async def test_list_may_arrive_in_any_form_of_http(response: bytes) -> None:
+async def test_list_is_read_from_any_valid_form_of_an_http_response(response: bytes) -> None:
     clock = ManualClock()
     async with (
         faulty_discovery(response=response) as discovery,
@@ -172,11 +172,11 @@
 
 @pytest.mark.parametrize("index", [5, 8, 43])
 @in_event_loop
-async def test_snapshot_on_return_replaces_the_list_and_a_delta_follows_on_it(index: int) -> None:
+async def test_snapshot_after_reconnection_replaces_the_list_and_a_delta_extends_it(index: int) -> None:
     both_entries = [endpoint_entry("a", f"{HOST}:1"), endpoint_entry("b", f"{HOST}:2")]
-    falls_silent = WatchFault(updates(SNAPSHOT | {"index": 8, "endpoints": both_entries}))
+    falls_silent = WatchFault(watch_response(SNAPSHOT | {"index": 8, "endpoints": both_entries}))
     delta = {"index": index + 1, "snapshot": False, "endpoints": [endpoint_entry("c", f"{HOST}:3")]}
-    on_return = updates(SNAPSHOT | {"index": index}, delta)
+    on_return = watch_response(SNAPSHOT | {"index": index}, delta)
     clock = ManualClock()
     async with (
         faulty_discovery([falls_silent], on_return) as discovery,
--- a/tests/proxy/discovery/test_watch.py
+++ b/tests/proxy/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery, on loopback sockets: when it is reopened, and which forms it can read."""
+"""The watch on discovery, on loopback sockets: when it is reopened, and which message forms it reads."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.support.faulty_discovery import faulty_discovery, updates
+from tests.support.faulty_discovery import faulty_discovery, watch_response
 from tests.support.loopback import (
     ManualClock,
     in_event_loop,
@@ -21,13 +21,13 @@
 )
 from tests.support.proxy_inputs import HOST, endpoint_entry
 
-HEARTBEAT_INTERVAL = 2.0  # seconds between two empty lines, by the protocol
-DELIVERY_DEADLINE = 6.0  # seconds after a watch fell silent by which missed changes count as delivered
-DRAIN_GRACE = 0.25  # seconds after the delivery of a drain in which the backend may still get a request
+HEARTBEAT_INTERVAL = 2.0  # seconds between two empty lines, according to the protocol
+DELIVERY_DEADLINE = 6.0  # seconds after a watch became silent by which missed changes count as delivered
+DRAIN_GRACE = 0.25  # seconds after the delivery of a drain during which the backend may still get requests
 
 
 @in_event_loop
-async def test_silent_watch_is_reopened_in_half_of_the_deadline() -> None:
+async def test_silent_watch_is_reopened_within_half_of_the_deadline() -> None:
     async with stub_discovery() as discovery:
         clock = ManualClock()
         async with running_proxy([], discovery=discovery.port) as proxy:
@@ -35,7 +35,7 @@
             discovery.send_update(8, [endpoint_entry("a", f"{HOST}:1")])
             await clock.wait_until(lambda: proxy.listener.ready)
             await clock.advance(HEARTBEAT_INTERVAL)
-            assert discovery.disconnects.empty()  # a heartbeat is due only now
+            assert discovery.disconnects.empty()  # the first heartbeat is only due now
             await clock.advance(DELIVERY_DEADLINE / 2.0 - HEARTBEAT_INTERVAL)
             await clock.wait_until(lambda: discovery.disconnects.qsize() == 1)
             await clock.advance(DRAIN_GRACE / 2.0)
@@ -43,11 +43,11 @@
 
 
 @in_event_loop
-async def test_watch_is_soon_opened_on_a_discovery_that_is_back() -> None:
+async def test_watch_is_reopened_shortly_after_discovery_is_back() -> None:
     async with stub_discovery() as discovery:
         port = discovery.port
     clock = ManualClock()
-    async with running_proxy([], discovery=port):  # nothing listens there any more
+    async with running_proxy([], discovery=port):  # no process listens on this port any more
         for _ in range(40):
             await clock.advance(DRAIN_GRACE)
         server = await asyncio.start_server(discovery.serve, HOST, port)
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("line", [b"nonsense\n", b'{"index":9,\n{"index":10}\n', b'{"index":9,\n\n', b"[]\n"])
 @in_event_loop
-async def test_unreadable_update_reopens_the_watch_after_the_last_readable_one(line: bytes) -> None:
+async def test_invalid_update_reopens_the_watch_at_the_last_valid_version(line: bytes) -> None:
     async with stub_discovery() as discovery, running_proxy([], discovery=discovery.port) as proxy:
         await with_timeout(discovery.watch_requests.get())
         discovery.send_update(8, [endpoint_entry("a", f"{HOST}:1")])
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("error", [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.ENFILE])
 @in_event_loop
-async def test_watch_is_reopened_in_time_although_system_calls_fail_for_a_short_time(
+async def test_watch_is_reopened_in_time_after_system_calls_failed_for_a_short_time(
     error: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = ManualClock()
@@ -114,12 +114,12 @@
 
 @pytest.mark.parametrize("line_end", [b"\n", b""])
 @in_event_loop
-async def test_list_without_a_length_ends_with_its_connection(line_end: bytes) -> None:
-    listed = json.dumps({"index": 9, "snapshot": True, "endpoints": [endpoint_entry("a", f"{HOST}:1")]})
+async def test_list_without_a_content_length_is_read_when_the_connection_ends(line_end: bytes) -> None:
+    snapshot = json.dumps({"index": 9, "snapshot": True, "endpoints": [endpoint_entry("a", f"{HOST}:1")]})
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + listed.encode() + line_end)
+        writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + snapshot.encode() + line_end)
         writer.close()
 
     server = await asyncio.start_server(serve, HOST, 0)
@@ -129,10 +129,10 @@
 
 
 @in_event_loop
-async def test_unreadable_list_is_not_requested_continuously() -> None:
+async def test_invalid_list_is_not_requested_continuously() -> None:
     unreadable = {"index": 9, "snapshot": True, "endpoints": [endpoint_entry("a", f"{HOST}:1", "unknown")]}
     clock = ManualClock()
-    async with faulty_discovery(response=updates(unreadable)) as discovery:
+    async with faulty_discovery(response=watch_response(unreadable)) as discovery:
         async with running_proxy([], discovery=discovery.port):
             for _ in range(100):
                 await clock.advance(0.01)
--- a/tests/proxy/upstream/__init__.py
+++ b/tests/proxy/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the backends' side of the proxy."""
+"""Tests of the connections to backends and of the attempts sent on them."""
--- a/tests/proxy/upstream/test_attempt_races.py
+++ b/tests/proxy/upstream/test_attempt_races.py
@@ -1,4 +1,4 @@
-"""Attempts that race with drains, disconnects, deadlines and endpoint updates, each race forced by events."""
+"""Attempts that race with drains, disconnects, deadlines and endpoint updates, in a forced order."""
 
 from __future__ import annotations
 
@@ -35,11 +35,12 @@
 ) -> None:
     async with proxy_with_backends(respond_ok) as (proxy, [backend]):
         loop = asyncio.get_running_loop()
-        create_connection, dial_started, gate = loop.create_connection, asyncio.Event(), asyncio.Event()
+        create_connection = loop.create_connection
+        dial_started, dial_allowed = asyncio.Event(), asyncio.Event()
 
         async def dial_slowly(*args: Any, **options: Any) -> Any:
             dial_started.set()
-            await gate.wait()
+            await dial_allowed.wait()
             return await create_connection(*args, **options)
 
         client = await proxy.connect()
@@ -53,7 +54,7 @@
             await wait_until(lambda: not proxy.dispatcher.active_requests)
         else:
             assert status_of(await client.response()) >= 500
-        gate.set()
+        dial_allowed.set()
         if change == "drained":
             assert status_of(await client.response()) == 503
         pool = proxy.pool
@@ -110,7 +111,7 @@
                 proxy.notify([endpoint_entry("a", address, since_ms=1000 if change == "restarted" else 0)])
             gate.release()
             assert status_of(await client.response()) == 200
-            await with_timeout(backend_a.disconnects.get())  # the one that was dialled is closed
+            await with_timeout(backend_a.disconnects.get())  # the dialled connection is closed
             assert b"id1" in await with_timeout(backend_b.received.get())
             assert backend_a.received.empty()
 
@@ -118,7 +119,7 @@
 @pytest.mark.parametrize("late_event", ["response", "close", "nothing"])
 @pytest.mark.parametrize("make_request", [post_request, get_request])
 @in_event_loop
-async def test_late_bytes_behind_a_response_do_not_answer_the_next_request(
+async def test_late_bytes_after_a_response_are_not_used_for_the_next_request(
     late_event: str, make_request: Callable[[int], bytes]
 ) -> None:
     clock = ManualClock()
@@ -171,7 +172,7 @@
 
 
 @in_event_loop
-async def test_reuse_delay_is_longer_where_second_responses_were_seen_to_arrive_late() -> None:
+async def test_reuse_delay_is_longer_after_a_second_response_arrived_late() -> None:
     clock = ManualClock()
     async with proxy_with_backends(respond_ok) as (proxy, [backend]):
         client = await clock.wait_for(proxy.connect())
--- a/tests/proxy/upstream/test_connection_pool.py
+++ b/tests/proxy/upstream/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool: its limits, its idle connections, and how its attempts finish."""
+"""The connection pool: its limits, its idle connections, and the outcomes of its attempts."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
 
 @in_event_loop
-async def test_request_that_was_not_sent_completely_counts_as_not_processed() -> None:
+async def test_incompletely_sent_request_counts_as_not_processed() -> None:
     async def abort(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(1)
         writer.transport.abort()
@@ -88,13 +88,13 @@
     backend = StubBackend(stay_silent)
     backend.address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
     scenario = PoolScenario(backend)
-    scenario.start(b"x" * (64 << 20))  # more than the sockets hold
+    scenario.start(b"x" * (64 << 20))  # more than the socket buffers can hold
     assert await scenario.next_outcome() is Outcome.UNREACHABLE
     server.close()
 
 
 @in_event_loop
-async def test_connection_limit_closes_idle_connections_and_then_fails_attempts() -> None:
+async def test_attempt_at_the_connection_limit_closes_an_idle_connection_or_fails() -> None:
     async with stub_backend(lambda request: OK_RESPONSE if b"id1" in request else None) as backend:
         scenario = PoolScenario(backend, max_connections=1)
         assert await scenario.run(post_request(1)) is Outcome.SUCCESS
@@ -105,7 +105,7 @@
 
 
 @in_event_loop
-async def test_most_recently_used_connection_is_reused_and_old_ones_are_closed() -> None:
+async def test_most_recently_used_connection_is_reused_and_expired_ones_are_closed() -> None:
     async with stub_backend(respond_ok) as backend:
         scenario = PoolScenario(backend)
         await scenario.run_concurrently(2)
@@ -125,23 +125,23 @@
 
 @pytest.mark.parametrize(("proxies", "concurrent", "idle_connections"), [(1, 1, 10), (40, 1, 2), (40, 5, 5)])
 @in_event_loop
-async def test_fleet_keeps_few_idle_connections_to_a_backend(
+async def test_idle_connections_of_a_fleet_do_not_fill_the_connection_table_of_a_backend(
     proxies: int, concurrent: int, idle_connections: int
 ) -> None:
     async with stub_backend(stay_silent) as backend:
         scenario = PoolScenario(backend, max_connections=20)
         scenario.pool.set_idle_quota(10, proxies)
         for number in range(0, 10, concurrent):
-            for _ in range(number, number + concurrent):  # each to a backend of its own
+            for _ in range(number, number + concurrent):  # each to a different backend
                 scenario.use_another_backend()
                 scenario.start()
             for _ in range(concurrent):
                 await with_timeout(backend.received.get())
-            for writer in backend.writers[number:]:  # all are in use by now
+            for writer in backend.writers[number:]:  # all of these connections are in use
                 writer.write(OK_RESPONSE)
             for _ in range(concurrent):
                 assert await scenario.next_outcome() is Outcome.SUCCESS
-            assert scenario.idle_connections()  # the latest stay open
+            assert scenario.idle_connections()  # the most recent connections stay open
         assert len(all_idle_connections(scenario.pool)) == idle_connections
 
 
@@ -171,20 +171,20 @@
 
 
 @in_event_loop
-async def test_full_idle_quota_closes_the_oldest_connection_for_one_that_just_answered() -> None:
+async def test_recently_used_connection_replaces_the_oldest_idle_one_at_the_limit() -> None:
     async with stub_backend(respond_ok) as backend:
         scenario = PoolScenario(backend)
         await scenario.run_concurrently(2)
         for connection in scenario.idle_connections():
             connection.idle_since -= MAX_WAIT
-        for _ in range(3):  # the first finds none that is recent enough, the others find its connection
+        for _ in range(3):  # the first attempt dials, the others reuse its connection
             assert await scenario.run(retryable=False) is Outcome.SUCCESS
         assert len(backend.writers) == 3
-        await wait_until(lambda: backend.disconnects.qsize() == 1)  # no more than two stay idle
+        await wait_until(lambda: backend.disconnects.qsize() == 1)  # at most two connections stay idle
 
 
 @in_event_loop
-async def test_connection_stays_open_if_its_attempt_ends_in_the_loop_turn_in_which_it_started() -> None:
+async def test_connection_is_not_lost_if_its_attempt_ends_in_the_loop_iteration_that_started_it() -> None:
     async with stub_backend(respond_ok) as backend:
         clock = ManualClock()
         scenario = PoolScenario(backend)
--- a/tests/proxy/upstream/test_keepalive_policy.py
+++ b/tests/proxy/upstream/test_keepalive_policy.py
@@ -1,4 +1,4 @@
-"""Which idle connections attempts reuse, depending on earlier reuses and on whether they are retryable."""
+"""Which idle connections are reused, depending on earlier reuses and on whether attempts are retryable."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize(("idle_time", "dials"), [(0.0, 1), (MAX_WAIT, 4)])
 @in_event_loop
-async def test_non_retryable_attempt_reuses_only_connections_that_just_answered(
+async def test_non_retryable_attempt_reuses_only_recently_used_connections(
     idle_time: float, dials: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(keepalive_policy, "MAX_UNPROVEN_IDLE_TIME", MAX_WAIT)
@@ -25,15 +25,15 @@
                 connection.idle_since -= idle_time
             assert await scenario.run(post_request(number), retryable=False) is Outcome.SUCCESS
         assert len(backend.writers) == dials
-        # No more than two stay idle.
+        # At most two connections stay idle.
         await wait_until(lambda: backend.disconnects.qsize() == max(0, dials - 2))
 
 
 @in_event_loop
-async def test_non_retryable_attempt_avoids_idle_times_after_which_connections_break() -> None:
+async def test_non_retryable_attempt_avoids_idle_times_after_which_a_reuse_failed() -> None:
     async with stub_backend(respond_ok) as backend:
         scenario = PoolScenario(backend)
-        # One failure is too few to stop retryable attempts.
+        # A single failure does not stop reuse by retryable attempts.
         scenario.pool.keepalive_policy.record_reuse(0.15)
         scenario.pool.keepalive_policy.record_failure(0.15)
         assert await scenario.run() is Outcome.SUCCESS
@@ -48,12 +48,12 @@
     ("reuses", "failures", "dials"), [(0, 0, 2), (4, 0, 2), (5, 0, 1), (20, 1, 1), (20, 4, 2)]
 )
 @in_event_loop
-async def test_non_retryable_attempt_uses_idle_times_after_which_reuse_was_seen_to_succeed(
+async def test_non_retryable_attempt_reuses_connections_after_idle_times_with_successful_reuses(
     reuses: int, failures: int, dials: int
 ) -> None:
     async with stub_backend(respond_ok) as backend:
         scenario = PoolScenario(backend)
-        for number in range(reuses):  # idle for longer than the one below: proof for shorter times too
+        for number in range(reuses):  # success after 5 s is also evidence for the 2 s below
             scenario.pool.keepalive_policy.record_reuse(5.0)
             if number < failures:
                 scenario.pool.keepalive_policy.record_failure(5.0)
@@ -65,7 +65,7 @@
 
 
 @in_event_loop
-async def test_one_broken_idle_connection_does_not_stop_all_reuse() -> None:
+async def test_one_broken_idle_connection_does_not_stop_reuse() -> None:
     responses = [OK_RESPONSE, OK_RESPONSE, CLOSE_CONNECTION, OK_RESPONSE, OK_RESPONSE]
     async with stub_backend(lambda _: responses.pop(0)) as backend:
         scenario = PoolScenario(backend)
@@ -82,7 +82,7 @@
 
 
 @in_event_loop
-async def test_connections_that_break_after_an_idle_time_are_reused_only_before_it() -> None:
+async def test_connections_that_break_after_an_idle_time_are_reused_only_after_shorter_ones() -> None:
     breaks_connections = False
     async with stub_backend(lambda _: CLOSE_CONNECTION if breaks_connections else OK_RESPONSE) as backend:
         scenario = PoolScenario(backend)
@@ -95,22 +95,22 @@
         assert await run_after(0.0) is Outcome.SUCCESS
         broken_connections = 0
         for _ in range(9):  # connections that were idle for 5 s are broken
-            connections = len(backend.writers)
+            connection_count = len(backend.writers)
             breaks_connections = True
             await run_after(5.0)
             breaks_connections = False
-            if len(backend.writers) > connections:
+            if len(backend.writers) > connection_count:
                 break
             broken_connections += 1
             assert await run_after(0.0) is Outcome.SUCCESS
         assert 2 <= broken_connections < 9
         assert await run_after(0.0) is Outcome.SUCCESS
-        connections = len(backend.writers)
+        connection_count = len(backend.writers)
         for _ in range(5):
             assert await run_after(1.0) is Outcome.SUCCESS
-        assert len(backend.writers) == connections  # connections that were idle for less are still reused
+        assert len(backend.writers) == connection_count  # reuse after a shorter idle time continues
         assert await run_after(5.0) is Outcome.SUCCESS
-        assert len(backend.writers) == connections + 1
+        assert len(backend.writers) == connection_count + 1
 
 
 @in_event_loop
--- a/tests/proxy/upstream/test_responses.py
+++ b/tests/proxy/upstream/test_responses.py
@@ -1,4 +1,4 @@
-"""Responses of backends: malformed, unsolicited, large, stalled and slow ones."""
+"""Malformed, unsolicited, large, stalled and slow responses from backends."""
 
 from __future__ import annotations
 
@@ -23,9 +23,12 @@
 
 
 @in_event_loop
-async def test_malformed_responses_are_no_reason_to_shed_load() -> None:
+async def test_malformed_responses_do_not_cause_load_shedding() -> None:
     responses = [OK_RESPONSE, OK_RESPONSE, b"nonsense"] * 20
-    services = [row | {"Credit": 5.0 if row["Name"] == "read" else 1.0} for row in RAW_SETTINGS["Services"]]
+    services = [
+        raw_class | {"Credit": 5.0 if raw_class["Name"] == "read" else 1.0}
+        for raw_class in RAW_SETTINGS["Services"]
+    ]
     async with proxy_with_backends(lambda _: responses.pop(), settings=settings_with(Services=services)) as (
         proxy,
         _,
@@ -36,12 +39,12 @@
 
 
 @in_event_loop
-async def test_response_larger_than_a_request_may_be_is_forwarded() -> None:
+async def test_response_larger_than_the_limit_on_requests_is_forwarded() -> None:
     body = bytes(range(256)) * 1400  # 350 KB
     scripted = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
     async with proxy_with_backends(lambda _: scripted) as (proxy, _):
         client = await proxy.connect()
-        for number in range(40):  # together more than may be buffered: what has been forwarded is released
+        for number in range(40):  # in total more than may be buffered: forwarded bytes are released
             response = await client.request(post_request(number))
             assert status_of(response) == 200
             assert response.endswith(b"\r\n\r\n" + body)
@@ -49,7 +52,7 @@
 
 
 @in_event_loop
-async def test_large_responses_can_not_fill_the_memory() -> None:
+async def test_large_incomplete_responses_do_not_fill_the_memory() -> None:
     part = b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + b"x" * 900000
     async with proxy_with_backends(lambda _: part, memory_limit=2 << 20) as (proxy, _):
         client = await proxy.connect()
@@ -72,7 +75,7 @@
     [(post_request(), OK_RESPONSE[:-2]), (get_request(), b"HTTP/1.1 102 Processing\r\n\r\n")],
 )
 @in_event_loop
-async def test_slow_response_is_awaited(request_bytes: bytes, beginning: bytes) -> None:
+async def test_slow_response_does_not_fail(request_bytes: bytes, beginning: bytes) -> None:
     async with proxy_with_backends(lambda _: beginning) as (proxy, [backend]):
         client = await proxy.connect()
         client.writer.write(request_bytes)
@@ -85,7 +88,7 @@
 @pytest.mark.parametrize("request_bytes", [post_request(), get_request()], ids=["POST", "GET"])
 @pytest.mark.parametrize("pieces", [[b"wh", b"ole"], [b""]], ids=["body in pieces", "empty body"])
 @in_event_loop
-async def test_response_without_length_is_complete_when_the_backend_closes_in_order(
+async def test_response_without_length_is_complete_when_the_backend_closes_normally(
     request_bytes: bytes, pieces: list[bytes]
 ) -> None:
     async with proxy_with_backends(stay_silent) as (proxy, [backend]):
@@ -102,7 +105,7 @@
         assert status_of(response) == 200
         assert b"X-Kept: 1\r\n" in response
         assert response.endswith(b"\r\n\r\n" + b"".join(pieces))
-        assert backend.received.empty()  # it was not sent again
+        assert backend.received.empty()  # the request was not sent again
         await with_timeout(backend.disconnects.get())
 
 
@@ -118,7 +121,7 @@
     ids=["length", "chunked", "half a head", "half a line", "nothing"],
 )
 @in_event_loop
-async def test_end_of_a_connection_completes_no_response_whose_own_end_is_missing(beginning: bytes) -> None:
+async def test_closed_connection_does_not_complete_a_truncated_response(beginning: bytes) -> None:
     async with proxy_with_backends(stay_silent) as (proxy, [backend]):
         client = await proxy.connect()
         client.writer.write(post_request())
@@ -129,7 +132,7 @@
 
 
 @in_event_loop
-async def test_reset_ends_no_response_without_length() -> None:
+async def test_reset_does_not_complete_a_response_without_length() -> None:
     async with proxy_with_backends(stay_silent) as (proxy, [backend]):
         client = await proxy.connect()
         client.writer.write(post_request())
--- a/tests/support/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -1,7 +1,7 @@
-"""A discovery whose first watches fail in given ways, and the ways in which a watch can fail.
+"""A discovery service whose first watches fail in given ways, and the faults that a watch can have.
 
-It is separate from `testbed.discovery`, which speaks the protocol correctly: its responses are incomplete,
-slow or no HTTP at all.
+It is separate from `testbed.discovery`, which implements the protocol correctly. Responses of this service
+are incomplete, slow or not HTTP.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
     from tests.support.loopback import ManualClock
 
-TRICKLE_INTERVAL = 0.5  # seconds between two pieces of a response that trickles
+TRICKLE_INTERVAL = 0.5  # seconds between two pieces of a response that is sent slowly
 CLOCK_STEP = 0.05  # seconds by which the clock is advanced at a time
 MAX_DELIVERY_TIME = 18.0  # seconds after which a delivery counts as failed: three times the deadline
 
-#: The list that a watch without a fault receives: a backend at port 2.
+#: The list that a watch without a fault receives: one backend on port 2.
 SNAPSHOT: dict[str, object] = {
     "index": 9,
     "snapshot": True,
@@ -33,22 +33,22 @@
 SNAPSHOT_TEXT = json.dumps(SNAPSHOT).encode()
 
 
-def updates(*messages: Mapping[str, object]) -> bytes:
-    """Return the beginning of a watch's response, with these messages."""
+def watch_response(*messages: Mapping[str, object]) -> bytes:
+    """Return the beginning of a watch's response that contains these messages."""
     return CHUNKED_HEAD + b"".join(encode_chunk(json.dumps(message).encode() + b"\n") for message in messages)
 
 
-SNAPSHOT_RESPONSE = updates(SNAPSHOT)
+SNAPSHOT_RESPONSE = watch_response(SNAPSHOT)
 
 
 @dataclass(frozen=True)
 class WatchFault:
-    """How a watch fails.
+    """The way in which a watch fails.
 
     Attributes:
-        response: The bytes that are sent at once.
-        trickle: The bytes that are sent repeatedly after that, every `TRICKLE_INTERVAL`.
-        closes: Whether the connection is closed at once.
+        response: The bytes that are sent immediately.
+        trickle: The bytes that are then sent again after each `TRICKLE_INTERVAL`.
+        closes: Whether the connection is closed immediately.
     """
 
     response: bytes = b""
@@ -58,7 +58,7 @@
 
 FAULTS: dict[str, WatchFault] = {
     "silent": WatchFault(),
-    "a head alone": WatchFault(CHUNKED_HEAD),
+    "only a head": WatchFault(CHUNKED_HEAD),
     "half a head": WatchFault(CHUNKED_HEAD[:20]),
     "a head that trickles": WatchFault(CHUNKED_HEAD[:-2], b"X-A: b\r\n"),
     "a line that trickles": WatchFault(CHUNKED_HEAD + encode_chunk(b"{"), encode_chunk(b" ")),
@@ -71,7 +71,7 @@
     "an empty response": WatchFault(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
     "no HTTP": WatchFault(b"nonsense\r\n\r\n", b" "),
 }
-#: Those of the faults that a proxy detects at once, without a timeout.
+#: The faults that a proxy detects immediately, without a timeout.
 IMMEDIATE_FAULTS = [
     "another status",
     "another status, chunked",
@@ -82,11 +82,11 @@
 
 
 class FaultyDiscovery:
-    """A discovery whose watches meet the given faults in order, one each, and then get a valid response.
+    """A discovery service whose first watches have the given faults, and whose later watches succeed.
 
     Attributes:
-        calls: The number of watches that were requested.
-        port: Where it listens.
+        calls: The number of requested watches.
+        port: The port on which it listens.
     """
 
     def __init__(self, faults: Sequence[WatchFault], response: bytes = SNAPSHOT_RESPONSE) -> None:
@@ -110,7 +110,7 @@
             self._trickling.append((writer, fault.trickle))
 
     def trickle(self) -> None:
-        """Send the next piece on each connection whose response trickles."""
+        """Send the next piece on each connection whose response is sent slowly."""
         for writer, piece in self._trickling:
             if not writer.is_closing():
                 writer.write(piece)
@@ -120,11 +120,11 @@
 async def faulty_discovery(
     faults: Sequence[WatchFault] = (), response: bytes = SNAPSHOT_RESPONSE, port: int = 0
 ) -> AsyncIterator[FaultyDiscovery]:
-    """Run a discovery.
+    """Run a faulty discovery service.
 
     Args:
         faults: The faults of its first watches.
-        response: The response to all later ones.
+        response: The response to all later watches.
         port: The port to listen on; 0 for a free one.
     """
     discovery = FaultyDiscovery(faults, response)
@@ -143,7 +143,7 @@
 
     Args:
         clock: The clock, which is advanced.
-        discovery: The discovery that sends the change.
+        discovery: The discovery service that sends the change.
         is_delivered: Returns whether the proxy has applied the change.
     """
     began_at = trickled_at = clock.now
