--- a/proxy/discovery/endpoint_reader.py
+++ b/proxy/discovery/endpoint_reader.py
@@ -76,8 +76,8 @@
     def read_entry(self, entry: EndpointEntry) -> DiscoveredEndpoint:
         """Convert one entry.
 
-        Zones and machine types that the settings do not list get new numbers, which the restrictions of
-        classes never contain.
+        Zones and machine types that the settings do not list get new numbers. No class is restricted to them
+        until a reload lists their names.
 
         Raises:
             EntryError: A value of the entry is missing or invalid.
--- a/proxy/discovery/message_assembler.py
+++ b/proxy/discovery/message_assembler.py
@@ -28,7 +28,7 @@
     """An empty line follows a message that is not complete."""
 
     def __init__(self) -> None:
-        super().__init__("an object breaks off")
+        super().__init__("an empty line follows an incomplete object")
 
 
 class MessageAssembler:
--- a/proxy/upstream/connection.py
+++ b/proxy/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend, which carries one attempt at a time.
+"""One connection to a backend, on which one attempt is sent at a time.
 
 It owns its socket and its response parser. The pool chooses the connection for each attempt, stores idle
 connections and counts all of them; a connection reports its state changes to the pool.
@@ -49,7 +49,7 @@
 class UpstreamConnection(asyncio.BufferedProtocol):
     """A connection to a backend.
 
-    It carries an attempt from `send` until a complete response has arrived, and may then be reused. If the
+    An attempt uses it from `send` until a complete response has arrived; then it may be reused. If the
     attempt ends without a complete response, the connection is closed. The transport stores whether it is
     closed.
 
@@ -58,8 +58,8 @@
         incarnation: The incarnation of that backend at the time of the dial.
         idle_since: The event loop's time at which it last became idle.
         request_sent: Whether the last byte of the attempt's request has been sent. From then on the backend
-            may process the request, even if the proxy cancels it. A response may begin earlier, because some
-            backends respond to an incomplete request.
+            may process the request, even if the proxy cancels it. The response may begin earlier, because
+            some backends respond to an incomplete request.
     """
 
     def __init__(self, owner: ConnectionOwner, backend: Backend, incarnation: int) -> None:
@@ -70,9 +70,8 @@
         self._owner = owner
         self._attempt: UpstreamAttempt | None = None
         self._response_started = False  # whether any byte of the response has arrived
-        self._reused_after: float | None = (
-            None  # seconds of idle time before the last reuse; None: not reused
-        )
+        #: The idle time in seconds before the last reuse; None: it was not reused.
+        self._reused_after: float | None = None
         self._parser = ResponseParser(owner.response_memory)
         self._input_poll = select.poll()  # reports whether the socket has unread input
 
@@ -156,7 +155,7 @@
             self._finish_attempt(attempt)
 
     def _finish_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Make the connection idle if it can carry another attempt, and report the response."""
+        """Make the connection idle if it can be reused, and report the response."""
         response = self._parser.take_response()
         # Extra bytes after the response could be parsed as the next response: `is_usable` detects them, and
         # the connection is then closed.
--- a/proxy/upstream/connection_pool.py
+++ b/proxy/upstream/connection_pool.py
@@ -131,7 +131,7 @@
             self._start_dial(attempt)
 
     def _start_dial(self, attempt: UpstreamAttempt) -> None:
-        """Dial a connection for an attempt. At the limit, close an idle one or fail."""
+        """Dial a connection for an attempt; at the limit, close an idle one or fail the attempt."""
         if self._dials_in_progress + self._established >= self._max_connections:
             if not self._idle:  # the attempt was never sent, so its request may be retried elsewhere
                 self._loop.call_soon(attempt.finish, Outcome.UNREACHABLE)
--- a/tests/proxy/discovery/test_endpoint_reader.py
+++ b/tests/proxy/discovery/test_endpoint_reader.py
@@ -72,7 +72,7 @@
 
 def test_list_that_is_not_an_object_is_rejected(reader: EndpointReader) -> None:
     with pytest.raises(EntryError, match="is not an object"):
-        reader.read_list([])  # type: ignore[arg-type]  # what discovery sends may be anything
+        reader.read_list([])  # type: ignore[arg-type]  # discovery may send any JSON value
 
 
 def test_long_values_are_abbreviated_in_errors(reader: EndpointReader) -> None:
--- a/tests/proxy/discovery/test_notification_deadline.py
+++ b/tests/proxy/discovery/test_notification_deadline.py
@@ -1,6 +1,7 @@
 """A change of the endpoint list is applied within 6 s, even if preceding watches on discovery fail.
 
-The tests use a manual clock and loopback sockets, so that only the proxy's own delays count.
+The sum of the proxy's timeouts and delays must not exceed this deadline. The tests use a manual clock and
+loopback sockets.
 """
 
 from __future__ import annotations
@@ -96,7 +97,7 @@
         faulty_discovery([falls_silent, FAULTS[fault]]) as discovery,
         running_proxy(OLD_ENTRIES, discovery=discovery.port) as proxy,
     ):
-        await clock.wait_until(lambda: not has_backends(proxy))  # the empty list has arrived
+        await clock.wait_until(lambda: not has_backends(proxy))  # the empty list has been applied
         delay = await measure_delivery(clock, discovery, partial(has_backends, proxy))
         assert delay < DELIVERY_DEADLINE, describe(delay, discovery)
 
@@ -122,7 +123,7 @@
     clock = ManualClock()
     async with running_proxy([], discovery=port, settings=polled_settings(60.0)) as proxy:
         for _ in range(60):
-            await clock.advance(0.5)  # nothing listens there
+            await clock.advance(0.5)  # no process listens on this port
         async with faulty_discovery(port=port) as discovery:
             delay = await measure_delivery(clock, discovery, partial(has_backends, proxy))
             assert delay < 0.25
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -40,7 +40,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-LARGE_FLEET_SIZE = 910  # backends
+MANY_BACKENDS = 910
 
 LogLines = Callable[[], list[str]]
 
@@ -146,7 +146,7 @@
 async def test_reload_with_many_backends_rebuilds_the_pools_only_once(
     config_path: Path, monkeypatch: pytest.MonkeyPatch, settings: Mapping[str, object]
 ) -> None:
-    entries = [endpoint_entry(f"s{number}", f"{HOST}:9") for number in range(LARGE_FLEET_SIZE)]
+    entries = [endpoint_entry(f"s{number}", f"{HOST}:9") for number in range(MANY_BACKENDS)]
     async with reloadable_proxy(config_path, entries) as proxy:
         calls = record_calls(monkeypatch, ["rebuild_pools", "on_endpoints_updated"])
         subset_before = first_subset(proxy)
