--- a/balancer/attempt_dispatch.py
+++ b/balancer/attempt_dispatch.py
@@ -1,4 +1,4 @@
-"""Attempt dispatch: starts first attempts, retries and hedged requests, as far as rules and budgets allow."""
+"""Attempt dispatch: starts first attempts, retries and hedged requests within the rules and budgets."""
 
 from dataclasses import dataclass
 from random import Random
@@ -14,12 +14,12 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class AttemptDispatch:
-    """Starts attempts, and records each of them wherever it counts.
+    """Starts attempts, and records each one in the budgets and rates that count it.
 
     Attributes:
-        rng: The balancer's source of randomness, for the breakers.
+        rng: The balancer's source of randomness; the circuit breakers draw from it.
         selection: Ranks the candidates for an attempt.
-        retry_budgets: The budgets that retries and hedged requests count against.
+        retry_budgets: The budgets of retries and of hedged requests.
         hedging: Sets the timers of hedged requests.
     """
 
@@ -29,12 +29,12 @@
     hedging: Hedging
 
     def start(self, now: float, request: RequestState, endpoints: list[EndpointState]) -> list[Action]:
-        """Start an attempt at the best candidate whose breaker admits it; no actions if none does.
+        """Start an attempt at the best candidate whose circuit breaker admits it; no actions if none does.
 
         Args:
             now: The time in seconds.
-            request: The request, whose earlier attempts exclude their endpoints.
-            endpoints: The list of the request's pool from which candidates are drawn.
+            request: The request; the endpoints of its earlier attempts are excluded.
+            endpoints: The list of the request's pool from which to draw candidates.
         """
         objective = request.request_class.latency_objective
         for target in self.selection.rank(now, request, endpoints):
@@ -60,7 +60,7 @@
         return [StartAttempt(request.id, target.endpoint.id, timeout), *hedge]
 
     def retry(self, now: float, request: RequestState) -> list[Action]:
-        """Start another attempt within the rules and the retry budget; no actions if none is started."""
+        """Start another attempt if the rules and the retry budget allow it; no actions if they do not."""
         if request.responded or request.response_started or now >= request.useful_until:
             return []
         within_budget = self.retry_budgets.budget_for_next_attempt(request.open_attempts).allows(now)
--- a/balancer/attempts.py
+++ b/balancer/attempts.py
@@ -1,4 +1,4 @@
-"""Requests in flight, and where their retries may go; `attempt_dispatch` starts them."""
+"""Requests in flight, and which endpoints may get their retries; `attempt_dispatch` starts the attempts."""
 
 from dataclasses import dataclass, field
 
@@ -8,31 +8,33 @@
 from balancer.events import Action, CancelAttempt, RequestId
 from balancer.settings import DeduplicationScope, Idempotency, Limits, RequestClass
 
-#: Part of a class's deduplication window in which retries are sent. The rule counts the window from the
-#: moment of the first attempt to that of the repeat, and a proxy may be paused for up to 0.15 s between
-#: reading its clock and writing (STANDING): what is left of the window covers that. Chosen: a tenth is less
-#: than 0.15 s where the window is shorter than 1.5 s.
-WINDOW_MARGIN = 0.9
+#: Fraction of the deduplication window in which retries are sent. The window lasts from the moment of the
+#: first attempt to that of the retry, and a proxy may be paused for up to 0.15 s between reading its clock
+#: and writing: the rest of the window covers that pause. Limitation: the rest is less than 0.15 s if the
+#: window is shorter than 1.5 s.
+USABLE_WINDOW_FRACTION = 0.9
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class RequestState:
-    """A request whose final answer is pending, or that has open attempts; later settings only narrow it.
+    """A request whose final response is pending, or that has open attempts.
+
+    Reloads of the settings can only restrict what it may do.
 
     Attributes:
-        id: Its id.
-        class_index: Its class in the settings in force; -1 once they no longer have it.
-        request_class: Its class, narrowed by all reloads since it was admitted.
-        limits: What the deployment permits it, narrowed likewise.
+        id: The id of the request.
+        class_index: Its class in the settings in force; -1 if they no longer have the class.
+        request_class: Its class as it was admitted, restricted by all reloads since then.
+        limits: The limits it was admitted with, restricted in the same way.
         pool: The endpoints that its attempts may go to.
-        wait_budget: Seconds that its class may be expected to wait, as it was admitted.
-        deadline: When its client gives up.
-        useful_until: When an answer stops being useful, at the latest at `deadline`; no attempt lasts longer.
-        cost: The work that it is expected to need, in the unit of its caller.
+        wait_budget: The longest expected wait in seconds with which its class was admitted.
+        deadline: When its client gives up, in seconds.
+        useful_until: When a response stops being useful, at most `deadline`; no attempt lasts longer.
+        cost: The work that it is expected to need, in the unit of its client.
         attempts: Its attempts, in the order in which they were started.
-        open_attempts: How many of them have not ended.
-        responded: Whether its final answer has been given.
-        response_started: Whether it is bound to one attempt, whose response is being streamed.
+        open_attempts: The number of attempts that have not ended.
+        responded: Whether its final response has been given.
+        response_started: Whether it is bound to one attempt because the response is being streamed.
     """
 
     id: RequestId
@@ -63,7 +65,7 @@
         return self.open_attempts - self.attempts[number].is_open > 0
 
     def retry_endpoints(self, now: float) -> list[EndpointState]:
-        """Return the endpoints where a retry can not repeat an effect, by the class's idempotency."""
+        """Return the endpoints where, by the class's idempotency, a retry cannot cause an effect twice."""
         first = self.first_attempt_that_may_have_run()
         if first is None or self.request_class.idempotency is Idempotency.IDEMPOTENT:
             return self.pool.ready
@@ -72,48 +74,50 @@
         scope = self.request_class.deduplication_scope
         if scope is DeduplicationScope.ALL:
             return self.pool.ready
-        return self.pool.deduplication_groups.get((scope, _place(first.endpoint, scope)), [])
+        return self.pool.deduplication_groups.get((scope, _zone_or_cell(first.endpoint, scope)), [])
 
     def allows_retry(self, now: float, endpoint: Endpoint, number: int) -> bool:
-        """Whether an attempt may run at an endpoint now, by what the other attempts may have done.
+        """Whether an attempt may be executed at an endpoint now, although others may have been executed.
 
-        This is the rule of `retry_endpoints`, applied to an attempt that was started and is not yet sent.
+        This applies the rule of `retry_endpoints` to an attempt that was started and not yet sent.
 
         Args:
-            now: The time.
-            endpoint: The attempt's endpoint as it is listed now.
+            now: The time in seconds.
+            endpoint: The endpoint of the attempt as it is listed now.
             number: The number of the attempt.
         """
         first = self.first_attempt_that_may_have_run(other_than=number)
         if first is None or self.request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
         scope = self.request_class.deduplication_scope
-        in_scope = scope is DeduplicationScope.ALL or _place(endpoint, scope) == _place(first.endpoint, scope)
+        in_scope = scope is DeduplicationScope.ALL or (
+            _zone_or_cell(endpoint, scope) == _zone_or_cell(first.endpoint, scope)
+        )
         return in_scope and self._is_deduplicated(now, first)
 
     def _is_deduplicated(self, now: float, first: AttemptState) -> bool:
-        """Whether endpoints of the scope still discard a repeat of what this first attempt may have done."""
-        window = WINDOW_MARGIN * self.request_class.deduplication_window
+        """Whether the endpoints of the scope still discard a duplicate of this first attempt."""
+        window = USABLE_WINDOW_FRACTION * self.request_class.deduplication_window
         is_keyed = self.request_class.idempotency is Idempotency.KEYED
         return is_keyed and now - first.started_at < window
 
     def is_safe_to_retry(self) -> bool:
-        """Whether the client may repeat the request without harm."""
+        """Whether the client may retry the request without the risk of a second execution."""
         idempotency, scope = self.request_class.idempotency, self.request_class.deduplication_scope
         keyed_everywhere = idempotency is Idempotency.KEYED and scope is DeduplicationScope.ALL
-        harmless = idempotency is Idempotency.IDEMPOTENT or keyed_everywhere
-        return harmless or self.first_attempt_that_may_have_run() is None
+        duplicates_are_harmless = idempotency is Idempotency.IDEMPOTENT or keyed_everywhere
+        return duplicates_are_harmless or self.first_attempt_that_may_have_run() is None
 
-    def cancel_open_attempts(self, spared: int = -1) -> list[Action]:
-        """Return the cancellations of the open attempts, if the deployment permits any.
+    def cancel_open_attempts(self, excluded: int = -1) -> list[Action]:
+        """Return the cancellations of the open attempts; none if the limits forbid to cancel.
 
         Args:
-            spared: The number of an attempt that goes on; -1 spares none.
+            excluded: The number of an attempt that is not cancelled; -1 excludes none.
         """
         numbered = enumerate(self.attempts) if self.limits.cancel else ()
-        return [CancelAttempt(self.id, n) for n, attempt in numbered if attempt.is_open and n != spared]
+        return [CancelAttempt(self.id, n) for n, attempt in numbered if attempt.is_open and n != excluded]
 
 
-def _place(endpoint: Endpoint, scope: DeduplicationScope) -> int:
-    """Return the zone or the cell of an endpoint, whichever the scope is."""
+def _zone_or_cell(endpoint: Endpoint, scope: DeduplicationScope) -> int:
+    """Return the zone of an endpoint for the scope ZONE, its cell for the scope CELL."""
     return endpoint.zone if scope is DeduplicationScope.ZONE else endpoint.cell
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,8 +1,9 @@
-"""The balancer of one proxy instance: the path of a request from its arrival to its final answer.
+"""The balancer of one proxy instance: the path of a request from its arrival to its final response.
 
-Its types are in balancer/settings.py, endpoints.py and events.py. Here is the order of the steps; each step
-has a module of its own, and `reconfiguration` replaces the settings of a running balancer. The balancer does
-no I/O: its methods take the time and return the actions to carry out; the seed gives all randomness.
+The types of its interface are in balancer/settings.py, endpoints.py and events.py. This module defines the
+order of the steps. Each step is implemented in its own module; `reconfiguration` replaces the settings of a
+running balancer. The balancer does no I/O: its methods take the current time and return the actions to carry
+out. All randomness comes from one generator with a given seed.
 """
 
 from collections.abc import Sequence
@@ -42,24 +43,24 @@
 from balancer.subsetting import Subsetting, ready_ring
 from balancer.tenant_quota import TenantQuotas
 
-#: Outcomes that indicate that the endpoints have more work than they can do.
+#: Outcomes that indicate an overload of the endpoints.
 OVERLOAD_OUTCOMES = frozenset({Outcome.OVERLOADED, Outcome.TIMEOUT, Outcome.UNREACHABLE})
 
-UNKNOWN_COST = 1.0  # the cost of a request whose caller states none
+DEFAULT_COST = 1.0  # cost of a request whose client states none, in the unit of the stated costs
 
 
 class Balancer:
-    """One instance: a method for each event, each returning the actions to carry out, in order.
+    """The balancer of one instance; the method for each event returns the actions to carry out, in order.
 
-    Times are seconds on the caller's clock.
+    Times are in seconds on the caller's clock.
 
     Attributes:
         settings: The settings in force.
-        requests: The requests whose final answer is pending, or that have open attempts, by their ids.
-        rng: The one source of randomness; the order of draws from it is part of the behaviour.
-        endpoints: The endpoint list as last delivered.
-        assignment: The endpoint pools and the classes that draw from them.
-        statistics: The latencies measured.
+        requests: The requests whose final response is pending, or that have open attempts, by their ids.
+        rng: The only source of randomness; the order of the draws from it is part of the behavior.
+        endpoints: The endpoint list as discovery last sent it.
+        assignment: The endpoint pools, and which pool each class uses.
+        statistics: The measured latencies.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -98,36 +99,38 @@
     # ---- endpoints and settings ----------------------------------------------------------
 
     def start(self, now: float) -> list[Action]:
-        """Begin to poll discovery, where the settings require it; call once, after the first list."""
+        """Start polling discovery if the settings require it; call this once, after the first list."""
         return self.polling.start(now)
 
-    def on_endpoints_updated(self, now: float, kind: UpdateKind, rows: Sequence[Endpoint]) -> list[Action]:
-        """Apply an endpoint list or a change to it, or note that a poll failed (see `UpdateKind`)."""
+    def on_endpoints_updated(
+        self, now: float, kind: UpdateKind, endpoints: Sequence[Endpoint]
+    ) -> list[Action]:
+        """Apply an endpoint list or a change to it, or handle a failed poll (see `UpdateKind`)."""
         if kind is UpdateKind.FAILED:
             return self.polling.on_failure(now)
         if kind is not UpdateKind.CACHED:
             self.polling.reset_backoff()
-        self.endpoints.update(now, kind, rows)
+        self.endpoints.update(now, kind, endpoints)
         self.rebuild_pools(now)
         return []
 
     def rebuild_pools(self, now: float) -> None:
-        """Rebuild the pools' lists of ready endpoints; those that drain or are removed leave them at once."""
+        """Rebuild the pools' lists of ready endpoints; draining and removed endpoints leave them at once."""
         ready = ready_ring(self.endpoints.states)
         for pool in self.assignment.pools:
             pool.set_ready(ready)
         self.subsetting.resize(now, self.assignment.pools)
 
     def reconfigure(self, now: float, settings: Settings) -> list[Action]:
-        """Replace all settings at once; equal ones change nothing.
+        """Replace all settings at once; equal settings change nothing.
 
-        Requests in flight are finished under those that they were admitted with, narrowed to what both allow
-        (see `reconfiguration`). What was learned of a class or tenant stays with its name; retry budgets,
-        endpoints and their breakers stay as they are. The numbers of zones and machine types have to mean the
-        same in both settings.
+        Requests in flight keep the settings that they were admitted with, restricted to what the new ones
+        also allow (see `reconfiguration`). The learned state of a class or tenant follows its name. Retry
+        budgets, endpoints and their breakers do not change. Zone and machine type indices must have the same
+        meaning in both settings.
 
         Raises:
-            InvalidValueError: `Settings.check_reload` does not allow the new settings; nothing has changed.
+            InvalidValueError: `Settings.check_reload` rejects the new settings; nothing has changed.
         """
         if settings != self.settings:
             self.settings.check_reload(settings)
@@ -137,29 +140,31 @@
         return []
 
     def misplaced_attempts(self) -> list[MisplacedAttempt]:
-        """Return the open attempts that `reconfigure` has left misplaced; end those that are not sent yet."""
+        """Return the open attempts that the settings now forbid; the caller ends those not yet sent."""
         return self._reconfiguration.misplaced_attempts()
 
     # ---- the path of a request -----------------------------------------------------------
 
     def on_request(self, now: float, incoming: IncomingRequest) -> list[Action]:
-        """Admit or reject a new request; from here on exactly one final answer is pending.
+        """Admit or reject a new request; from now on exactly one final response is pending.
 
         Raises:
-            InvalidValueError: A field of the request makes no sense; nothing has changed.
+            InvalidValueError: A field of the request is invalid; nothing has changed.
         """
         request_id, class_index, deadline = incoming.request_id, incoming.class_index, incoming.deadline
         self.settings.check_request(incoming)
         if request_id in self.requests:
-            raise InvalidValueError(field="request_id", problem=f"{request_id!r} is open already")
+            raise InvalidValueError(field="request_id", problem=f"{request_id!r} is already open")
         request_class, limits = self.settings.classes[class_index], self.settings.limits
         if deadline is None:
             deadline = now + request_class.deadline
-        until = self.client_timeouts.useful_until(now, class_index, deadline, is_retry=incoming.is_retry)
-        pool, budget = self.assignment.by_class[class_index], self.admission.wait_budgets[class_index]
-        cost = incoming.cost or UNKNOWN_COST
+        useful_until = self.client_timeouts.useful_until(
+            now, class_index, deadline, is_retry=incoming.is_retry
+        )
+        pool, wait_budget = self.assignment.by_class[class_index], self.admission.wait_budgets[class_index]
+        cost = incoming.cost or DEFAULT_COST
         request = RequestState(
-            request_id, class_index, request_class, limits, pool, budget, deadline, until, cost
+            request_id, class_index, request_class, limits, pool, wait_budget, deadline, useful_until, cost
         )
         self.requests[request_id] = request
         self.retry_budgets.record_request(now)
@@ -169,14 +174,17 @@
         rejection = self._rejection(now, request, incoming.tenant)
         if rejection is not None:
             return self._respond(now, request, rejection)
-        # Where the subset is dead, all endpoints but the warming ones may serve: the instances whose subsets
-        # hold a warming endpoint use up all that it can do.
+        # If no endpoint of the subset can be used, all ready endpoints may be, except warming ones: the
+        # instances that have a warming endpoint in their subset already use all of its capacity.
         start = self.dispatch.start
         actions = start(now, request, pool.subset) or start(now, request, pool.ready)
         return actions or self._respond(now, request, RejectReason.NO_ENDPOINT)
 
     def _rejection(self, now: float, request: RequestState, tenant: int) -> RejectReason | None:
-        """Return why not to admit a request: heavy work, or with little time left, may not end in time."""
+        """Return why a request is rejected; None to admit it.
+
+        A request is rejected with NO_TIME if work of its cost needs more time than it has left.
+        """
         in_time = now + self.statistics.min_latency(request.cost) < request.useful_until
         if not in_time:
             self.statistics.record_rejection()
@@ -190,8 +198,9 @@
     ) -> SendRejection | None:
         """Return why an attempt may not be written to its endpoint now; None if it may.
 
-        Call this just before the first byte, after the attempt has waited for a connection, and report a
-        rejected attempt as finished with `Outcome.NOT_SENT`. Attempts of a request are numbered from 0.
+        The caller asks just before it writes the first byte, after the attempt has waited for a connection,
+        and reports a rejected attempt as finished with `Outcome.NOT_SENT`. The attempts of a request are
+        numbered from 0.
         """
         if client_disconnected:
             return SendRejection.CLIENT_DISCONNECTED
@@ -199,7 +208,7 @@
         return SendRejection.REQUEST_ENDED if request is None else send_rejection(now, request, number)
 
     def on_response_started(self, _now: float, request_id: RequestId, number: int) -> list[Action]:
-        """Bind a request of a streamed class to the attempt whose response has begun."""
+        """Bind a request to the attempt whose streamed response has started; cancel its other attempts."""
         request = self.requests.get(request_id)
         if request is None or request.responded:
             return []
@@ -207,7 +216,7 @@
         return request.cancel_open_attempts(number)
 
     def on_timer(self, now: float, token: int) -> list[Action]:
-        """Poll discovery or hedge a request, as the timer fires; stale timers are ignored."""
+        """Poll discovery or hedge a request when its timer fires; outdated timers are ignored."""
         if token == POLL_TOKEN:
             return self.polling.on_timer()
         request = self.hedging.request_to_hedge(token)
@@ -223,10 +232,10 @@
         *,
         last: bool = False,
     ) -> list[Action]:
-        """Record the end of an attempt, then retry, answer, or wait for the other attempts.
+        """Record the end of an attempt, then retry, respond, or wait for the other attempts.
 
-        The end of an unknown attempt is ignored. `latency` is how long the attempt was open, in seconds,
-        and `last` is whether the request is over, by this outcome or before it.
+        The end of an unknown attempt is ignored. `latency` is how long the attempt was open, in seconds.
+        `last` is whether the request is over, because of this outcome or something earlier.
         """
         request = self.requests.get(request_id)
         if request is None or not 0 <= number < len(request.attempts):
@@ -252,29 +261,30 @@
     ) -> None:
         attempt.is_open = False
         attempt.may_have_run = outcome not in NOT_EXECUTED_OUTCOMES
-        # An error that took longer than the wait budget indicates a timeout at a lower tier.
+        # An error after more than the wait budget indicates a timeout at a lower tier.
         attempt.indicates_overload = outcome in OVERLOAD_OUTCOMES or latency > request.wait_budget
         request.open_attempts -= 1
         objective, tier_latency = request.request_class.latency_objective, self.statistics.tier_latency
-        learned = attempt.target.finish_attempt(now, attempt, outcome, latency, objective, tier_latency)
+        is_sample = attempt.target.finish_attempt(now, attempt, outcome, latency, objective, tier_latency)
         if outcome is Outcome.SUCCESS:
-            if learned:
+            if is_sample:
                 self.statistics.record_attempt(latency)
             if request.class_index >= 0:
                 self.statistics.record_response(request.class_index, latency, request.cost)
 
     def on_client_disconnected(self, _now: float, request_id: RequestId) -> list[Action]:
-        """Finish the request of a client that has disconnected; no answer is pending any more."""
+        """Finish the request of a client that has disconnected; no response is pending any more."""
         request = self.requests.get(request_id)
         return [] if request is None or request.responded else self._finish(request)
 
     def _respond(
         self, now: float, request: RequestState, reason: RejectReason = RejectReason.ATTEMPTS_FAILED
     ) -> list[Action]:
-        """Give the final answer: rejected where it may be repeated without harm, else failed."""
-        # Only failures caused by load reduce admission, not malformed answers or an endpoint's own faults:
-        # rejecting work does not cure those. It can do harm where an overloaded tier fails fast, as the
-        # rejections of its own proxies make it do: that shows in the number of pending requests alone.
+        """Give the final response: rejected if the client may safely retry the request, otherwise failed."""
+        # Only failures caused by load reduce admission: rejecting work does not help against malformed
+        # responses or faults of one endpoint. Limitation: the errors of an overloaded tier that fails fast,
+        # for example because its own proxies reject requests, do not count; such an overload shows only in
+        # the number of pending requests.
         if any(attempt.indicates_overload for attempt in request.attempts):
             request.pool.breaker.record_failure(now)
         if request.is_safe_to_retry():
@@ -282,7 +292,7 @@
         return [Fail(request.id), *self._finish(request)]
 
     def _finish(self, request: RequestState) -> list[Action]:
-        """Mark a request as responded to, and cancel its open attempts unless one is being streamed."""
+        """Mark a request as responded to; cancel its open attempts unless a response is being streamed."""
         request.responded = True
         request.pool.pending -= 1
         if not request.open_attempts:
--- a/balancer/send_rejection.py
+++ b/balancer/send_rejection.py
@@ -1,9 +1,9 @@
-"""Send rejection: why an attempt may no longer be written to its endpoint, asked just before its first byte.
+"""Send rejection: why an attempt may no longer be written to its endpoint, checked before its first byte.
 
-An attempt may wait for a connection after it was started, and the conditions for it may have changed by
-then. All of them are checked here once more. Without that, a retry that waited for its connection ran after
-its deduplication window, or after a reload that forbade it (docs/postmortems.md, "A retry was allowed when
-it was decided, and no longer when it was sent").
+After it was started, an attempt may wait for a connection, and the conditions that allowed it may change.
+This module checks them again. Without this check, a retry that had waited for its connection was executed
+after its deduplication window, or after a reload that forbade it (see docs/postmortems.md, "A retry was
+allowed when it was decided, and no longer when it was sent").
 """
 
 from balancer.attempts import RequestState
@@ -17,7 +17,7 @@
 
     Args:
         now: The time in seconds.
-        request: The request, narrowed by all reloads since it was admitted.
+        request: The request, restricted by all reloads since it was admitted.
         number: The number of the attempt among those of the request.
     """
     attempt = request.attempts[number]
@@ -30,8 +30,8 @@
         return rejection
     if request.has_other_open_attempt(number) and not request.limits.hedging:
         return SendRejection.HEDGING_FORBIDDEN
-    may_repeat = request.allows_retry(now, attempt.target.endpoint, number)
-    return None if may_repeat else SendRejection.REPEAT_FORBIDDEN
+    may_retry = request.allows_retry(now, attempt.target.endpoint, number)
+    return None if may_retry else SendRejection.REPEAT_FORBIDDEN
 
 
 def _endpoint_rejection(request: RequestState, attempt: AttemptState) -> SendRejection | None:
