--- a/balancer/endpoint_list.py
+++ b/balancer/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as last delivered; a pool holds which of the endpoints are ready for its classes."""
+"""The endpoint list as discovery last sent it; each pool selects the ready endpoints that it may use."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
@@ -10,10 +10,10 @@
 
 @dataclass
 class EndpointList:
-    """Every endpoint that may still get calls, has some in flight, or may return while it is warming up.
+    """The endpoints that are listed, have attempts in flight, or may be listed again while warming up.
 
     Attributes:
-        slow_start: When an endpoint has warmed up.
+        slow_start: Knows when an endpoint has warmed up.
         states: The endpoints by their ids, in the order in which they were first listed.
     """
 
@@ -25,7 +25,7 @@
 
         Args:
             now: The time in seconds.
-            kind: Whether `endpoints` is a complete list or a change.
+            kind: Whether `endpoints` is a complete list or a change; not `UpdateKind.FAILED`.
             endpoints: The entries, each the complete state of its endpoint.
         """
         if kind is not UpdateKind.DELTA:
@@ -41,19 +41,19 @@
         self._forget_removed(now)
 
     def _remove_unlisted(self, listed: set[EndpointId]) -> None:
-        """Mark the endpoints that a complete list does not name as removed.
+        """Mark the endpoints that are not in a complete list as removed.
 
-        They stay in `states`, as an endpoint may return as the same process, still warming up.
+        They stay in `states`: the same process may be listed again while it is still warming up.
         """
         for state in self.states.values():
             if state.endpoint.id not in listed:
                 state.endpoint = replace(state.endpoint, status=EndpointStatus.REMOVED)
 
     def _forget_removed(self, now: float) -> None:
-        """Forget removed endpoints, as new ids come for as long as the program runs.
+        """Delete removed endpoints, because new ids would otherwise use up the memory over time.
 
-        An endpoint stays while attempts at it are in flight, and while it may return as the same process,
-        still warming up.
+        An endpoint is retained while attempts at it are in flight, and until it has warmed up: the same
+        process may be listed again before that.
         """
         for endpoint_id, state in tuple(self.states.items()):
             is_removed = state.endpoint.status is EndpointStatus.REMOVED
--- a/balancer/endpoint_pool.py
+++ b/balancer/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""Endpoint pools; `pool_assignment` gives a class its pool, and `subsetting` gives a pool its subset."""
+"""Endpoint pools; `pool_assignment` assigns a pool to each class, `subsetting` a subset to each pool."""
 
 from dataclasses import dataclass, field
 
@@ -8,36 +8,37 @@
 from balancer.rate_estimators import SmoothedRate, WarmRate
 from balancer.settings import DeduplicationScope, Placement
 
-Groups = dict[tuple[DeduplicationScope, int], list[EndpointState]]
+#: Endpoints by a deduplication scope and the index of the zone or cell.
+DeduplicationGroups = dict[tuple[DeduplicationScope, int], list[EndpointState]]
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class EndpointPool:
-    """The endpoints of one placement, and the load of the classes that draw from them.
+    """The endpoints that one placement allows, and the load of the classes that use them.
 
-    Each selection, for a first attempt or a retry, draws from one of the pool's lists of endpoints.
+    Each selection of an endpoint, for a first attempt or a retry, draws from one of the pool's lists.
 
     Attributes:
         placement: The machine types and zones that the pool's classes are restricted to.
         ready: The endpoints that are up, in the order of the ring (see `subsetting`).
-        subset: Those of them that selections ordinarily draw from.
-        cumulative_weights: For each endpoint of the subset, where its stretch of the ring ends.
-        ring_start: Where the subset's stretch of the ring begins, in units of endpoint size.
-        ring_span: The length of that stretch.
-        fallback_subset: The endpoints that are selected where the subset is busy.
-        deduplication_groups: The ready endpoints that discard each other's repeats, by scope and zone or
-            cell.
-        offered_rate: Requests a second.
-        sent_rate: Attempts a second.
-        served_rate: Answered requests a second.
-        warm_rate: Attempts a second while all endpoints of the subset were warm.
-        first_request_at: When the first request came, in seconds.
-        pending: Requests whose final answer is still to be given.
+        subset: The ready endpoints that selections normally draw from.
+        cumulative_weights: For each endpoint of the subset, the position on the ring where its segment ends.
+        ring_start: The position on the ring where the subset's segment starts, in units of endpoint size.
+        ring_span: The length of the subset's segment, in the same unit.
+        fallback_subset: The endpoints to draw from if the subset is busy.
+        deduplication_groups: The ready endpoints that discard each other's duplicates, by deduplication
+            scope and zone or cell.
+        offered_rate: Requests per second, rejected ones included.
+        sent_rate: Attempts per second.
+        served_rate: Requests per second whose final response came from an endpoint.
+        warm_rate: Attempts per second while all endpoints of the subset were warm.
+        first_request_at: When the first request arrived, in seconds.
+        pending: The number of requests whose final response has not been given.
         smoothed_pending: The mean of `pending` over `admission_control.PENDING_SMOOTHING_SPAN`.
         smoothed_at: When that mean was last updated, in seconds.
-        breaker: The circuit breaker over all requests of the pool, at whichever endpoint.
-        next_warm_at: When the next of the subset's warming endpoints is warm, in seconds.
-        warm_fraction: The share of the subset's endpoints that is warm, from 0 to 1.
+        breaker: The circuit breaker that counts the requests of the pool at all endpoints.
+        next_warm_at: When the next warming endpoint of the subset becomes warm, in seconds.
+        warm_fraction: The fraction of the subset's endpoints that are warm, from 0 to 1.
     """
 
     placement: Placement
@@ -47,7 +48,7 @@
     ring_start: float = 0.0
     ring_span: float = 0.0
     fallback_subset: list[EndpointState] = field(default_factory=list)
-    deduplication_groups: Groups = field(default_factory=dict)
+    deduplication_groups: DeduplicationGroups = field(default_factory=dict)
     offered_rate: SmoothedRate = field(default_factory=SmoothedRate)
     sent_rate: SmoothedRate = field(default_factory=SmoothedRate)
     served_rate: SmoothedRate = field(default_factory=SmoothedRate)
@@ -61,32 +62,32 @@
     warm_fraction: float = 1.0
 
     def allows(self, endpoint: Endpoint) -> bool:
-        """Whether the classes of this pool may use this endpoint."""
+        """Whether the placement allows this endpoint."""
         types, zones = self.placement.machine_types, self.placement.zones
         return (types is None or endpoint.machine_type in types) and (zones is None or endpoint.zone in zones)
 
     def set_ready(self, ready: list[EndpointState]) -> None:
-        """Replace the endpoints by those of `ready` that the placement allows."""
+        """Set the ready endpoints to those of `ready` that the placement allows."""
         self.ready = [state for state in ready if self.allows(state.endpoint)]
-        groups: Groups = {}
+        groups: DeduplicationGroups = {}
         for state in self.ready:
             groups.setdefault((DeduplicationScope.ZONE, state.endpoint.zone), []).append(state)
             groups.setdefault((DeduplicationScope.CELL, state.endpoint.cell), []).append(state)
         self.deduplication_groups = groups
 
     def record_request(self, now: float) -> None:
-        """Count a request whose final answer is pending from now on."""
+        """Count a new request, whose final response is pending from now on."""
         self.offered_rate.add(now)
         self.pending += 1
         self.first_request_at = min(self.first_request_at, now)
 
     def rate_per_endpoint(self, now: float) -> float:
-        """Return the calls a second that each endpoint of the subset gets from this pool.
+        """Return the attempts per second that each endpoint of the subset gets from this pool.
 
-        This is the rate of calls sent, as rejected clients come back and are offered again. Where endpoints
-        are warming up, what is sent follows from this very figure: for their part the rate of calls offered
-        counts, but not beyond the rate sent while all were warm (docs/postmortems.md, "Retries of rejected
-        clients were counted again in the slow-start budgets").
+        The sent rate is used, not the offered rate, because the retries of rejected clients are offered
+        again. While endpoints are warming up, the sent rate depends on this result. So the offered rate is
+        used for their fraction of the subset, limited to the rate that was sent while all were warm (see
+        docs/postmortems.md, "Retries of rejected clients were counted again in the slow-start budgets").
         """
         offered = min(self.offered_rate.read(now), self.warm_rate.read())
         rate = self.warm_fraction * self.sent_rate.read(now) + (1.0 - self.warm_fraction) * offered
--- a/balancer/endpoint_selection.py
+++ b/balancer/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection by the power of two choices; `attempt_dispatch` then asks each candidate's breaker."""
+"""Endpoint selection by the power of two choices; `attempt_dispatch` then checks the circuit breakers."""
 
 from bisect import bisect_right
 from dataclasses import dataclass
@@ -12,12 +12,12 @@
 from balancer.settings import Idempotency
 from balancer.slow_start import SlowStart
 
-#: Random endpoints that are compared by their scores, from the operator's DESIGN page ("of two random ready
-#: servers"). Three were tried: a day of the score fell from 0.945 to 0.676 and 0.715 (docs/postmortems.md,
-#: "Three random candidates instead of two").
-CANDIDATES = 2
-#: Random draws to find them: where most endpoints were tried already or are deferred, a selection must end.
-#: Chosen: it came with the program, and no derivation is known.
+#: Number of random endpoints whose scores are compared (power of two choices). Three lowered the score of a
+#: simulated day from 0.945 to 0.676 and 0.715 (see docs/postmortems.md, "Three random candidates instead of
+#: two").
+CANDIDATE_COUNT = 2
+#: Upper limit of the random draws in one selection, so that it also ends if most endpoints were already tried
+#: or are not accepted as candidates because they are warming up.
 MAX_DRAWS = 8
 
 
@@ -27,9 +27,9 @@
 
     Attributes:
         rng: The balancer's source of randomness.
-        statistics: The latencies measured.
-        slow_start: Which endpoints are warming up, and when they are deferred.
-        assignment: The pools, all of which use the tokens of a warming endpoint.
+        statistics: The measured latencies.
+        slow_start: Limits the attempts at endpoints that are warming up.
+        assignment: The pools; the attempts of all of them spend the tokens of a warming endpoint.
     """
 
     rng: Random
@@ -40,71 +40,74 @@
     def rank(self, now: float, request: RequestState, endpoints: list[EndpointState]) -> list[EndpointState]:
         """Return candidates for an attempt, the best first.
 
-        A request must not wait behind others in the subset while endpoints outside it are idle, which
-        matters most where the subset is narrow or an endpoint of it is slow or dead. So where all
-        candidates are busy or outliers, two more are drawn from outside the subset. This instance sees none
-        of the calls that other instances have in flight there: they are estimated by what it has in flight
-        at its own subset on average. It can do harm where others have far more traffic, as their endpoints
-        are busier than that.
+        A request must not wait behind others in the subset while endpoints outside it are idle. This matters
+        most if the subset is small, or one of its endpoints is slow or dead. So if all candidates are busy
+        or outliers, two more are drawn from outside the subset. This instance cannot see the attempts that
+        other instances have in flight there. It assumes as many as it has in flight itself at an endpoint of
+        its own subset, on average. Limitation: if other instances have far more traffic, their endpoints are
+        busier than this estimate.
 
         Args:
             now: The time in seconds.
-            request: The request to send; endpoints that it was sent to are no candidates.
+            request: The request to send; endpoints of its earlier attempts are excluded.
             endpoints: The list of the request's pool to draw from.
         """
         pool = request.pool
-        # Before the first answer all endpoints count as equally fast.
+        # Before the first response, all endpoints count as equally fast.
         latency = self.statistics.tier_latency or request.request_class.latency_objective
-        drawn = self._draw(now, request, endpoints)
-        scores = {state: state.score(now, latency) for state in drawn}
-        if endpoints is pool.subset and all(state.in_flight or state.is_outlier(now) for state in drawn):
-            unseen = pool.sent_rate.read(now) * self.statistics.tier_latency / max(1, len(pool.subset))
-            for state in self._draw(now, request, _outside_subset(now, pool, drawn)):
+        candidates = self._draw(now, request, endpoints)
+        scores = {state: state.score(now, latency) for state in candidates}
+        if endpoints is pool.subset and all(state.in_flight or state.is_outlier(now) for state in candidates):
+            # Little's law: the attempts in flight at the subset are their rate times their latency.
+            in_flight = pool.sent_rate.read(now) * self.statistics.tier_latency / max(1, len(pool.subset))
+            for state in self._draw(now, request, _fallback_endpoints(now, pool, candidates)):
                 if state not in pool.subset:
-                    scores[state] = state.score(now, latency, unseen)
+                    scores[state] = state.score(now, latency, in_flight)
         if request.request_class.idempotency is Idempotency.NON_IDEMPOTENT:
-            # What can not be retried avoids outliers: a breaker admits calls until it has seen enough
-            # failures, and one a second from then on. What can be retried finds out whether they have
-            # recovered. It can do harm where the requests themselves cause the failures: their endpoint is
-            # avoided for a window.
+            # Non-idempotent requests avoid outliers because they cannot be retried after a failure there: a
+            # breaker admits attempts until it has counted enough failures, and then one a second. Requests
+            # that can be retried detect whether an outlier has recovered. Limitation: if the requests
+            # themselves cause the failures, their endpoint is avoided for the breaker's window.
             return sorted(scores, key=lambda state: (state.is_outlier(now), scores[state]))
         return sorted(scores, key=scores.__getitem__)
 
     def _draw(self, now: float, request: RequestState, endpoints: list[EndpointState]) -> list[EndpointState]:
-        """Draw up to CANDIDATES endpoints that the request was not sent to.
+        """Draw up to CANDIDATE_COUNT endpoints that the request was not sent to yet.
 
-        From the subset, an endpoint is drawn with a probability in proportion to its part of the subset's
-        stretch of the ring. Warming endpoints come from the subset alone, and `slow_start` may defer them.
+        In the subset, the probability of an endpoint is proportional to its fraction of the subset's segment
+        of the ring. Warming endpoints are drawn only from the subset, and only if `slow_start` accepts them.
         """
-        found: list[EndpointState] = []
-        pool, pools, count = request.pool, self.assignment.pools, len(endpoints)
-        from_subset = endpoints is pool.subset
+        candidates: list[EndpointState] = []
+        pool, pools, endpoint_count = request.pool, self.assignment.pools, len(endpoints)
+        is_subset = endpoints is pool.subset
         if now >= pool.next_warm_at:
             self.slow_start.update_warm_fraction(now, pool)
         tried = [attempt.target for attempt in request.attempts]
         for _ in range(MAX_DRAWS if endpoints else 0):
-            if from_subset:
+            if is_subset:
                 position = pool.ring_start + pool.ring_span * self.rng.random()
-                state = endpoints[min(bisect_right(pool.cumulative_weights, position), count - 1)]
+                state = endpoints[min(bisect_right(pool.cumulative_weights, position), endpoint_count - 1)]
             else:
-                state = endpoints[int(self.rng.random() * count)]
-            if state in found or state in tried:
+                state = endpoints[int(self.rng.random() * endpoint_count)]
+            if state in candidates or state in tried:
                 continue
             warming = self.slow_start.warm_at(state.endpoint) > now
-            if warming and (not from_subset or self.slow_start.should_skip(now, state, pool, pools)):
+            if warming and (not is_subset or self.slow_start.should_skip(now, state, pool, pools)):
                 continue
-            found.append(state)
-            if len(found) == CANDIDATES:
+            candidates.append(state)
+            if len(candidates) == CANDIDATE_COUNT:
                 break
-        return found
+        return candidates
 
 
-def _outside_subset(now: float, pool: EndpointPool, drawn: list[EndpointState]) -> list[EndpointState]:
-    """Return the list to draw from where the candidates from the subset are all busy or outliers.
+def _fallback_endpoints(
+    now: float, pool: EndpointPool, candidates: list[EndpointState]
+) -> list[EndpointState]:
+    """Return the list to draw from if all candidates from the subset are busy or outliers.
 
-    That is the few endpoints of the fallback subset, and all ready ones only where the subset is dead or
-    covers all of the list.
+    This is the fallback subset, which has few endpoints. It is the list of all ready endpoints only if all
+    candidates are outliers, or if the subset already contains all ready endpoints.
     """
-    if pool.fallback_subset and not all(state.is_outlier(now) for state in drawn):
+    if pool.fallback_subset and not all(state.is_outlier(now) for state in candidates):
         return pool.fallback_subset
     return pool.ready
--- a/balancer/endpoints.py
+++ b/balancer/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the balancer takes it: one entry for each endpoint of the next tier."""
+"""The types of the endpoint list that the balancer gets: one entry for each endpoint of the next tier."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 class EndpointStatus(Enum):
     """Whether an endpoint may get new requests.
 
-    UP endpoints may. DRAINING ones finish the requests that they have. REMOVED ones are out of service; they
-    appear in changes to a list, and a complete list leaves them out.
+    UP endpoints may. DRAINING endpoints finish the requests that they already have. REMOVED endpoints are out
+    of service; only changes to a list contain them, a complete list does not.
     """
 
     UP = "up"
@@ -21,11 +21,11 @@
 
 
 class UpdateKind(Enum):
-    """What an update of the endpoint list is.
+    """What an update of the endpoint list contains.
 
     CACHED is the list that a process was started with, which may be out of date. SNAPSHOT is the complete
-    list: an endpoint that it does not name has been removed. DELTA holds only the entries that changed.
-    FAILED is no update: a poll failed.
+    list: endpoints that it does not contain have been removed. DELTA contains only the entries that changed.
+    FAILED reports that a poll failed, and contains no entries.
     """
 
     CACHED = "cached"
@@ -39,14 +39,15 @@
     """One entry of the endpoint list.
 
     Attributes:
-        id: Its id, the same for as long as it is listed.
+        id: Its id, which does not change while it is listed.
         status: Whether it may get new requests.
-        zone: Its zone, as an index that the settings' zones share.
-        cell: The group of endpoints that discard each other's repeats of a keyed request.
-        size: Its capacity relative to the others.
+        zone: The index of its zone; the settings use the same indices.
+        cell: The index of its cell. The endpoints of a cell discard each other's duplicates of a keyed
+            request.
+        size: Its capacity relative to other endpoints; 0: not known.
         started: When its process was started, in seconds on the caller's clock; 0: long ago. A recently
             started process is warming up.
-        machine_type: Its machine type, as an index that the settings' machine types share.
+        machine_type: The index of its machine type; the settings use the same indices.
     """
 
     id: EndpointId
--- a/balancer/pool_assignment.py
+++ b/balancer/pool_assignment.py
@@ -1,4 +1,4 @@
-"""Pool assignment: which endpoint pool the requests of each class draw from, before and after a reload."""
+"""Pool assignment: which endpoint pool each class and each request in flight uses, also after a reload."""
 
 from collections.abc import Iterable
 
@@ -8,46 +8,48 @@
 
 
 class PoolAssignment:
-    """The pools of an instance; classes with the same placement share one.
+    """The pools of an instance; classes with the same placement share a pool.
 
     Attributes:
-        pools: All pools, those included that only requests in flight still draw from.
-        by_class: By class index, the pool of the class.
+        pools: All pools, including those that only requests in flight still use.
+        by_class: The pool of each class, by class index.
     """
 
     def __init__(self) -> None:
         self.pools: list[EndpointPool] = []
         self.by_class: list[EndpointPool] = []
 
-    def configure(self, settings: Settings, previous: list[int], requests: Iterable[RequestState]) -> None:
-        """Assign a pool to each class, then to the requests in flight.
+    def configure(
+        self, settings: Settings, previous_indices: list[int], requests: Iterable[RequestState]
+    ) -> None:
+        """Assign a pool to each class and to each request in flight.
 
         Args:
             settings: The new settings.
-            previous: The index of each of their classes in the previous settings, -1 for a new class. A class
-                that keeps its placement keeps its pool, with what it has learned.
-            requests: The requests in flight, their classes narrowed by the new settings. A request whose
-                class is restricted further moves to the pool of its own placement.
+            previous_indices: The index of each of their classes in the previous settings, -1 for a new class.
+                A class with an unchanged placement retains its pool and the pool's learned state.
+            requests: The requests in flight, with their classes already restricted to what the new settings
+                also allow. A request whose placement has changed moves to the pool of that placement.
         """
         placements = [request_class.placement for request_class in settings.classes]
-        assigned: dict[Placement, EndpointPool] = {}
-        for placement, index in zip(placements, previous, strict=True):
+        class_pools: dict[Placement, EndpointPool] = {}
+        for placement, index in zip(placements, previous_indices, strict=True):
             if index >= 0 and self.by_class[index].placement == placement:
-                assigned[placement] = self.by_class[index]
+                class_pools[placement] = self.by_class[index]
         for placement in placements:
-            assigned.setdefault(placement, EndpointPool(placement))
-        self.by_class = [assigned[placement] for placement in placements]
-        narrowed: dict[Placement, EndpointPool] = {}
+            class_pools.setdefault(placement, EndpointPool(placement))
+        self.by_class = [class_pools[placement] for placement in placements]
+        restricted_pools: dict[Placement, EndpointPool] = {}
         for request in requests:
             placement = request.request_class.placement
             if request.class_index < 0 or request.pool.placement == placement:
-                continue  # a request whose class was removed is finished as it was admitted
+                continue  # a request of a removed class is finished in the pool that it was admitted to
             pool = self.by_class[request.class_index]
             if pool.placement != placement:
-                pool = narrowed.setdefault(placement, EndpointPool(placement))
+                pool = restricted_pools.setdefault(placement, EndpointPool(placement))
             request.pool.pending -= not request.responded
             pool.pending += not request.responded
             request.pool = pool
-        # Requests in flight may draw from pools that no class uses any more.
-        needed = [pool for pool in self.pools if pool.pending and pool not in self.by_class]
-        self.pools = [*assigned.values(), *narrowed.values(), *needed]
+        # Requests in flight may use pools that no class uses any more.
+        unassigned_pools = [pool for pool in self.pools if pool.pending and pool not in self.by_class]
+        self.pools = [*class_pools.values(), *restricted_pools.values(), *unassigned_pools]
