--- a/balancer/errors.py
+++ b/balancer/errors.py
@@ -1,18 +1,18 @@
-"""The errors that this project raises on purpose; their common base distinguishes them from defects."""
+"""The errors for invalid input; their common base class distinguishes them from defects of the program."""
 
 from __future__ import annotations
 
 
 class RowandealError(Exception):
-    """Base of every error that reports wrong input, not a defect of the program."""
+    """Base of all errors that report invalid input, not a defect of the program."""
 
 
 class InvalidValueError(RowandealError, ValueError):
-    """A setting or an argument that makes no sense.
+    """A setting or an argument has an invalid value.
 
     Attributes:
-        field: Its path in the settings, or the argument's name.
-        problem: The value, and what is wanted instead.
+        field: The path of the setting, or the name of the argument.
+        problem: The value, and what is expected instead.
     """
 
     def __init__(self, field: str, problem: str) -> None:
--- a/balancer/events.py
+++ b/balancer/events.py
@@ -1,7 +1,7 @@
-"""The types of the balancer's events and actions: requests, outcomes of attempts, and what to do about them.
+"""The types of the balancer's events and actions.
 
-Times are seconds on the caller's clock, timeouts are durations in seconds. The attempts of a request are
-numbered from 0, in the order of their `StartAttempt`.
+Times are in seconds on the caller's clock, timeouts are durations in seconds. The attempts of a request are
+numbered from 0, in the order of their `StartAttempt` actions.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 class Outcome(Enum):
     """How an attempt ended.
 
-    OVERLOADED is an answer by which the endpoint rejected the request unprocessed. UNREACHABLE means that
-    no connection was established, CONNECTION_LOST that one broke while the request was open. CANCELLED and
-    NOT_SENT are no failure of the endpoint: the attempt was cancelled, or never written.
+    OVERLOADED means that the endpoint rejected the request and did not process it. UNREACHABLE means that no
+    connection was established, CONNECTION_LOST that the connection broke while the request was open.
+    CANCELLED and NOT_SENT are not failures of the endpoint: the attempt was cancelled, or never written.
     """
 
     SUCCESS = "success"
@@ -33,20 +33,21 @@
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
 
-    # Members are singletons. Enum's own hash is a Python function, which each attempt would call twice.
+    # Members are singletons. The hash of Enum is a slow Python function, and each attempt needs it twice.
     __hash__ = object.__hash__
 
 
-#: Outcomes that prove that the endpoint did no work for the attempt.
+#: Outcomes that prove that the endpoint did not execute the request.
 NOT_EXECUTED_OUTCOMES = frozenset({Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NOT_SENT})
 
 
 class SendRejection(Enum):
     """Why an attempt that was started may not be written to its endpoint any more.
 
-    ENDPOINT_NOT_IN_SERVICE: it drains or was removed. ENDPOINT_RESTARTED: another process runs there now.
-    MISPLACED: the settings no longer allow the class that endpoint. HEDGING_FORBIDDEN and REPEAT_FORBIDDEN: a
-    second attempt at the same time, or after one that may have run, is no longer allowed.
+    ENDPOINT_NOT_IN_SERVICE: the endpoint is draining or removed. ENDPOINT_RESTARTED: another process runs
+    there now. MISPLACED: the settings no longer allow this endpoint for the class. HEDGING_FORBIDDEN: a
+    second open attempt is no longer allowed. REPEAT_FORBIDDEN: a retry is no longer allowed, because an
+    earlier attempt may have been executed.
     """
 
     CLIENT_DISCONNECTED = "client_disconnected"
@@ -62,26 +63,27 @@
 class RejectReason(Enum):
     """Why a request is rejected."""
 
-    NO_TIME = "no_time"  # it can not be served in the time that is left
+    NO_TIME = "no_time"  # its work needs more time than it has left
     PENDING = "pending"  # too many requests are pending for the rate at which they are served
-    LATENCY = "latency"  # shed by chance, as latency has left its baseline
-    THROTTLED = "throttled"  # shed by chance, as requests fail (adaptive throttling)
-    NO_ENDPOINT = "no_endpoint"  # no endpoint is ready, or the breakers of the candidates reject
-    ATTEMPTS_FAILED = "attempts_failed"  # each attempt failed, and none may follow
+    LATENCY = "latency"  # shed at random, because latency is far above its baseline
+    THROTTLED = "throttled"  # shed at random, because requests fail (adaptive throttling)
+    NO_ENDPOINT = "no_endpoint"  # no endpoint is ready, or the breakers of all candidates reject it
+    ATTEMPTS_FAILED = "attempts_failed"  # all attempts failed, and no further retry is allowed
 
 
 @dataclass(slots=True)
 class IncomingRequest:
     """A new request, as the caller of `Balancer.on_request` describes it; the balancer never changes it.
 
-    Not frozen: a frozen dataclass takes more than twice as long to create, and each request needs one.
+    It is not frozen because a frozen dataclass takes more than twice as long to create, for each request.
 
     Attributes:
-        request_id: Its id, which no open request has.
+        request_id: Its id, unique among the open requests.
         class_index: Its class, as an index into `Settings.classes`.
         tenant: Its tenant, as an index into `Settings.tenants`; 0 where there are none.
-        deadline: When its client gives up, in seconds on the caller's clock; None: a class deadline from now.
-        cost: The work that it is expected to need, in any unit that all requests share; 0: not known.
+        deadline: When its client gives up, in seconds on the caller's clock; None: the class's deadline,
+            counted from now.
+        cost: The work that it is expected to need, in a unit that all requests share; 0: not known.
         is_retry: Whether the client has marked it as a retry.
     """
 
@@ -95,7 +97,7 @@
 
 @dataclass(slots=True)
 class MisplacedAttempt:
-    """An open attempt at an endpoint that new settings do not allow its request; see `Balancer.reconfigure`.
+    """An open attempt at an endpoint that new settings no longer allow for its request.
 
     Attributes:
         request: The id of its request.
@@ -113,7 +115,7 @@
     Attributes:
         request: The id of the request.
         endpoint: The id of the endpoint.
-        timeout: When to give the attempt up, in seconds from now; 0: when the client gives up.
+        timeout: How long to wait for the response, in seconds from now; 0: until the client gives up.
     """
 
     request: RequestId
@@ -123,12 +125,12 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Give the final answer "rejected": the client may repeat the request without harm.
+    """Give the final response "rejected": the client may safely retry the request.
 
     Attributes:
         request: The id of the request.
-        retry_after: How many seconds the client should stay away; 0: no advice.
-        reason: Why it is rejected, for the log.
+        retry_after: How many seconds the client should wait before it retries; 0: no advice.
+        reason: Why the request is rejected, for the log.
     """
 
     request: RequestId
@@ -138,14 +140,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Give the final answer "failed", which promises nothing about whether the request ran."""
+    """Give the final response "failed"; the request may or may not have been executed."""
 
     request: RequestId
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt.
+    """Cancel one attempt.
 
     Attributes:
         request: The id of the request.
@@ -161,8 +163,8 @@
     """Call `Balancer.on_timer(now, token)` at `at` or soon after.
 
     Attributes:
-        at: When the timer is due.
-        token: What the balancer recognises the timer by.
+        at: When the timer is due, in seconds on the caller's clock.
+        token: Identifies the timer.
     """
 
     at: float
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from balancer.errors import InvalidValueError
-from balancer.validation import check_flag, check_index, check_number, check_text
+from balancer.validation import check_bool, check_index, check_number, check_string
 
 if TYPE_CHECKING:
     from balancer.events import IncomingRequest
@@ -101,8 +101,8 @@
 
     def check(self, path: str) -> None:
         """Raise InvalidValueError naming the first field, below `path`, that makes no sense."""
-        check_text(f"{path}.name", self.name)
-        check_flag(f"{path}.streaming", self.streaming)
+        check_string(f"{path}.name", self.name)
+        check_bool(f"{path}.streaming", self.streaming)
         for name in ("latency_objective", "deadline", "deduplication_window", "priority_weight"):
             check_number(f"{path}.{name}", getattr(self, name))
         check_number(f"{path}.late_weight", self.late_weight, 0.0, 1.0)
@@ -129,7 +129,7 @@
 
     def check(self, path: str) -> None:
         """Raise InvalidValueError naming the first field, below `path`, that makes no sense."""
-        check_text(f"{path}.name", self.name)
+        check_string(f"{path}.name", self.name)
         check_number(f"{path}.share", self.share, 0.0, 1.0)
         check_number(f"{path}.quota", self.quota)
 
@@ -155,7 +155,7 @@
     def check(self, path: str) -> None:
         """Raise InvalidValueError naming the first field, below `path`, that makes no sense."""
         for name in ("cancel", "hedging", "retry_after"):
-            check_flag(f"{path}.{name}", getattr(self, name))
+            check_bool(f"{path}.{name}", getattr(self, name))
         check_number(f"{path}.max_attempts", self.max_attempts, 1)
         check_number(f"{path}.max_retry_after", self.max_retry_after)
 
@@ -244,7 +244,7 @@
             check_number(count, getattr(self, count), 1, MAX_COUNT)
             check_index(name, getattr(self, name), getattr(self, count))
         for name in ("propagates_deadline", "clients_mark_retries"):
-            check_flag(name, getattr(self, name))
+            check_bool(name, getattr(self, name))
         check_number("over_quota_weight", self.over_quota_weight, 0.0, 1.0)
         self.limits.check("limits")
         self.rules.check("rules")
--- a/balancer/validation.py
+++ b/balancer/validation.py
@@ -8,25 +8,25 @@
 
 
 def check_number(field: str, value: float, low: float = 0.0, high: float = sys.float_info.max) -> None:
-    """Require a number from `low` to `high`; booleans, NaN and infinity are none."""
-    # Integers have no limit: the comparison also rejects those that no float holds; float() would overflow.
+    """Require a number from `low` to `high`; reject booleans, NaN and infinity."""
+    # The comparison also rejects integers that are too large for a float, where float() would overflow.
     if not isinstance(value, (int, float)) or isinstance(value, bool) or not low <= value <= high:
         raise InvalidValueError(field, f"{value!r} is not a number from {low} to {high}")
 
 
-def check_flag(field: str, value: object) -> None:
+def check_bool(field: str, value: object) -> None:
     """Require a boolean."""
     if not isinstance(value, bool):
-        raise InvalidValueError(field, f"{value!r} is neither true nor false")
+        raise InvalidValueError(field, f"{value!r} is not a boolean")
 
 
-def check_text(field: str, value: object) -> None:
+def check_string(field: str, value: object) -> None:
     """Require a string."""
     if not isinstance(value, str):
-        raise InvalidValueError(field, f"{value!r} is not a text")
+        raise InvalidValueError(field, f"{value!r} is not a string")
 
 
 def check_index(field: str, value: int, count: int) -> None:
     """Require an index into a sequence of `count` items."""
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < count:
-        raise InvalidValueError(field, f"{value!r} is not a whole number from 0 to {count - 1}")
+        raise InvalidValueError(field, f"{value!r} is not an integer from 0 to {count - 1}")
