--- a/balancer/reconfiguration.py
+++ b/balancer/reconfiguration.py
@@ -1,7 +1,7 @@
 """Reconfiguration: replaces the settings of a running balancer, also for the requests in flight.
 
-What was learned of a class or a tenant follows its name, not its index. A request in flight may do only what
-both the settings that admitted it and the new ones allow, so that nothing is repeated, sent or cancelled that
+The learned state of a class or a tenant follows its name, not its index. A request in flight may do only what
+both the settings that admitted it and the new ones allow, so that nothing is retried, sent or cancelled that
 either of them forbids.
 """
 
@@ -22,20 +22,20 @@
 from balancer.subsetting import Subsetting
 from balancer.tenant_quota import TenantQuotas
 
-NEW_CLASS = -1  # the previous index of a class that the previous settings did not have
-REMOVED_CLASS = -1  # the index of a class that the settings in force no longer have
+NEW_CLASS = -1  # the previous index of a class that the previous settings do not have
+REMOVED_CLASS = -1  # the current index of a class that the settings in force no longer have
 
 
 @dataclass(slots=True, kw_only=True, eq=False, repr=False)
 class Reconfiguration:
-    """Hands new settings to everything in a balancer that depends on them.
+    """Applies new settings to all parts of a balancer that depend on them.
 
     Attributes:
         requests: The requests in flight, by their ids.
-        assignment: The endpoint pools and the classes that draw from them.
+        assignment: The endpoint pools, and which pool each class uses.
         tenant_quotas: The token buckets of the tenants.
-        client_timeouts: The timeouts seen of each class's clients.
-        statistics: The latencies measured, in all and of each class.
+        client_timeouts: The observed client timeouts of each class.
+        statistics: The measured latencies, overall and of each class.
         admission: Admission control.
         retry_budgets: The budgets of retries and of hedged requests.
         slow_start: The rules for endpoints that are warming up.
@@ -57,15 +57,15 @@
     hedging: Hedging
 
     def apply(self, now: float, previous: Settings, settings: Settings) -> None:
-        """Put settings in force; nothing is known of a class or tenant that the previous ones do not name.
+        """Put settings in force; classes and tenants that are not in the previous ones have no learned state.
 
         Args:
             now: The time in seconds.
-            previous: The settings in force so far; those of a balancer that is being created have no class.
-            settings: The settings to put in force, which have been checked.
+            previous: The settings in force until now; for a new balancer, settings without classes.
+            settings: The settings to put in force, already checked.
         """
-        indices = _indices_by_name(previous)
-        previous_indices = [indices.get(each.name, NEW_CLASS) for each in settings.classes]
+        previous_index_by_name = _indices_by_name(previous)
+        previous_indices = [previous_index_by_name.get(each.name, NEW_CLASS) for each in settings.classes]
         self.tenant_quotas.configure(now, previous.tenants, settings)
         self.client_timeouts.configure(settings, previous_indices)
         self.statistics.configure(previous_indices)
@@ -78,11 +78,11 @@
 
     def _restrict_requests(self, settings: Settings) -> None:
         """Restrict the requests in flight to what both their own and the new settings allow."""
-        indices = _indices_by_name(settings)
+        index_by_name = _indices_by_name(settings)
         for request in self.requests.values():
             request.limits = restrict_limits(request.limits, settings.limits)
-            request.class_index = index = indices.get(request.request_class.name, REMOVED_CLASS)
-            if index != REMOVED_CLASS:  # a request of a removed class is finished as it was admitted
+            request.class_index = index = index_by_name.get(request.request_class.name, REMOVED_CLASS)
+            if index != REMOVED_CLASS:  # a request of a removed class retains the class it was admitted with
                 request.request_class = restrict_class(request.request_class, settings.classes[index])
 
     def misplaced_attempts(self) -> list[MisplacedAttempt]:
@@ -100,20 +100,21 @@
 
 
 def restrict_class(admitted: RequestClass, current: RequestClass) -> RequestClass:
-    """Return the class of a request in flight after a reload: it may do only what both classes allow.
+    """Return the class of a request in flight after a reload, which allows only what both classes allow.
 
-    Where the two differ in how far it may be repeated, it is not repeated once it may have run.
+    If the two differ in idempotency or deduplication scope, the result is non-idempotent.
 
     Args:
-        admitted: The class as the request was admitted, narrowed by all reloads since.
+        admitted: The class that the request was admitted with, restricted by all reloads since then.
         current: The class of the same name in the settings in force.
     """
-    differ = admitted.idempotency is not current.idempotency
-    keyed = current.idempotency is Idempotency.KEYED
-    differ = differ or (keyed and admitted.deduplication_scope is not current.deduplication_scope)
+    idempotency_differs = admitted.idempotency is not current.idempotency
+    is_keyed = current.idempotency is Idempotency.KEYED
+    scope_differs = is_keyed and admitted.deduplication_scope is not current.deduplication_scope
+    is_non_idempotent = idempotency_differs or scope_differs
     return replace(
         admitted,
-        idempotency=Idempotency.NON_IDEMPOTENT if differ else admitted.idempotency,
+        idempotency=Idempotency.NON_IDEMPOTENT if is_non_idempotent else admitted.idempotency,
         deduplication_window=min(admitted.deduplication_window, current.deduplication_window),
         streaming=admitted.streaming or current.streaming,
         allowed_machine_types=_intersection(admitted.allowed_machine_types, current.allowed_machine_types),
@@ -122,10 +123,10 @@
 
 
 def restrict_limits(admitted: Limits, current: Limits) -> Limits:
-    """Return what a request in flight is permitted after a reload: what both limits permit.
+    """Return the limits of a request in flight after a reload, which permit only what both limits permit.
 
     Args:
-        admitted: The limits under which the request was admitted, narrowed by all reloads since.
+        admitted: The limits that the request was admitted with, restricted by all reloads since then.
         current: The limits in force.
     """
     return replace(
@@ -136,8 +137,8 @@
     )
 
 
-def _intersection(one: tuple[int, ...] | None, other: tuple[int, ...] | None) -> tuple[int, ...] | None:
-    """Return the indices that both restrictions allow; None is no restriction."""
-    if one is None or other is None:
-        return other if one is None else one
-    return tuple(index for index in one if index in other)
+def _intersection(first: tuple[int, ...] | None, second: tuple[int, ...] | None) -> tuple[int, ...] | None:
+    """Return the indices that both restrictions allow; None means no restriction."""
+    if first is None or second is None:
+        return second if first is None else first
+    return tuple(index for index in first if index in second)
