--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -1,7 +1,7 @@
 """The settings of one balancer as typed values, and their checks.
 
-Nothing here decides anything, and nothing here depends on a wire format (see `settings_reader`). Durations
-are in seconds, rates in requests a second.
+This module does not depend on a file or wire format (see `settings_reader`). Durations are in seconds, rates
+in requests per second.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 if TYPE_CHECKING:
     from balancer.events import IncomingRequest
 
-#: Instances, tiers or zones at most: far more than any deployment has, and one part of so many is still a
-#: number that a sum over all of them does not round away.
+#: Upper limit of the number of instances, tiers or zones: far above any deployment, and small enough that a
+#: sum over 1 / count for each of them does not lose a term to rounding.
 MAX_COUNT = 1 << 20
 
 
 class Idempotency(Enum):
-    """How far a class of requests may be repeated once it may have run.
+    """Whether a request may be retried after an attempt that may have been executed.
 
-    IDEMPOTENT ones may be repeated at will. KEYED ones carry an idempotency key, by which the endpoints of a
-    deduplication scope discard a repeat. NON_IDEMPOTENT ones must never run twice.
+    IDEMPOTENT requests may always be retried. KEYED requests carry an idempotency key, by which the endpoints
+    of a deduplication scope discard duplicates. NON_IDEMPOTENT requests must never be executed twice.
     """
 
     IDEMPOTENT = "idempotent"
@@ -36,7 +36,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints discard the repeat of a keyed request: all, or those of the same zone or cell."""
+    """Which endpoints discard a duplicate of a keyed request: all, or those of the same zone or cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -44,7 +44,7 @@
 
 
 class DiscoveryMode(Enum):
-    """Whether discovery pushes the endpoint list, or it has to be polled."""
+    """Whether discovery pushes the endpoint list, or the instance polls it."""
 
     PUSHED = "pushed"
     POLLED = "polled"
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Placement:
-    """What the endpoints of a class are restricted to.
+    """Which endpoints the requests of a class may use.
 
     Attributes:
         machine_types: The allowed machine types, by index; None: no restriction.
@@ -68,16 +68,18 @@
     """One class of requests.
 
     Attributes:
-        name: Its name; after a reload, what was learned of a class belongs to the class of the same name.
-        latency_objective: The time in which an answer earns its full weight, in seconds.
+        name: Its name; in a reload, the class of the same name takes over its learned state.
+        latency_objective: The latency within which a response earns its full weight, in seconds.
         deadline: When a client gives up, in seconds from its first attempt.
-        idempotency: How far its requests may be repeated.
-        deduplication_scope: Which endpoints discard the repeat of a keyed request.
-        deduplication_window: For how long they do, in seconds from the first attempt that may have run.
-        priority_weight: What an answer within the latency objective is worth, in any unit that all classes
+        idempotency: Whether its requests may be retried after they may have been executed.
+        deduplication_scope: Which endpoints discard a duplicate of a keyed request.
+        deduplication_window: For how long they do so, in seconds from the first attempt that may have been
+            executed.
+        priority_weight: The value of a response within the latency objective, in a unit that all classes
             share.
-        late_weight: The part of that weight that an answer earns between objective and deadline, from 0 to 1.
-        streaming: Whether the response is a stream, which belongs to one attempt once it has begun.
+        late_weight: The fraction of that weight that a response earns between the objective and the deadline,
+            from 0 to 1.
+        streaming: Whether the response is a stream, which is bound to one attempt after it has started.
         allowed_machine_types: The machine types that may serve it, by index; None: no restriction.
         allowed_zones: The zones that may serve it, by index; None: no restriction.
     """
@@ -96,11 +98,11 @@
 
     @property
     def placement(self) -> Placement:
-        """What the class's endpoints are restricted to; classes with the same placement share a pool."""
+        """Which endpoints the class may use; classes with the same placement share a pool."""
         return Placement(self.allowed_machine_types, self.allowed_zones)
 
     def check(self, path: str) -> None:
-        """Raise InvalidValueError naming the first field, below `path`, that makes no sense."""
+        """Raise InvalidValueError with the path of the first invalid field, below `path`."""
         check_string(f"{path}.name", self.name)
         check_bool(f"{path}.streaming", self.streaming)
         for name in ("latency_objective", "deadline", "deduplication_window", "priority_weight"):
@@ -109,8 +111,8 @@
         if not self.latency_objective or not self.deadline:
             raise InvalidValueError(path, "latency_objective and deadline must be above 0")
         for name in ("allowed_machine_types", "allowed_zones"):
-            for i, place in enumerate(getattr(self, name) or ()):
-                check_index(f"{path}.{name}[{i}]", place, sys.maxsize)
+            for i, index in enumerate(getattr(self, name) or ()):
+                check_index(f"{path}.{name}[{i}]", index, sys.maxsize)
 
 
 @dataclass(slots=True, frozen=True)
@@ -118,9 +120,9 @@
     """One tenant.
 
     Attributes:
-        name: Its name; after a reload, the tokens of a tenant belong to the tenant of the same name.
-        share: Its part of the service, from 0 to 1.
-        quota: Requests a second over all instances; 0: no quota.
+        name: Its name; in a reload, the tenant of the same name takes over its quota tokens.
+        share: Its fraction of the service, from 0 to 1.
+        quota: The requests per second that it may send to all instances together; 0: no quota.
     """
 
     name: str = "tenant"
@@ -128,7 +130,7 @@
     quota: float = 0.0
 
     def check(self, path: str) -> None:
-        """Raise InvalidValueError naming the first field, below `path`, that makes no sense."""
+        """Raise InvalidValueError with the path of the first invalid field, below `path`."""
         check_string(f"{path}.name", self.name)
         check_number(f"{path}.share", self.share, 0.0, 1.0)
         check_number(f"{path}.quota", self.quota)
@@ -141,9 +143,9 @@
     Attributes:
         cancel: Whether attempts may be cancelled.
         hedging: Whether a request may have two open attempts.
-        max_attempts: Attempts of one request at most.
-        retry_after: Whether clients follow the advice when to come back.
-        max_retry_after: The longest such wait that they follow, in seconds; 0: none is stated.
+        max_attempts: The largest number of attempts of one request.
+        retry_after: Whether clients follow the advice of a rejection when to retry.
+        max_retry_after: The longest advised delay that they follow, in seconds; 0: no limit is stated.
     """
 
     cancel: bool = False
@@ -153,7 +155,7 @@
     max_retry_after: float = 0.0
 
     def check(self, path: str) -> None:
-        """Raise InvalidValueError naming the first field, below `path`, that makes no sense."""
+        """Raise InvalidValueError with the path of the first invalid field, below `path`."""
         for name in ("cancel", "hedging", "retry_after"):
             check_bool(f"{path}.{name}", getattr(self, name))
         check_number(f"{path}.max_attempts", self.max_attempts, 1)
@@ -162,18 +164,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """The figures behind the deployment's rules; durations are in seconds.
+    """The parameters of the deployment's rules; durations are in seconds.
 
     Attributes:
-        drain_grace: How long new requests may still go to an endpoint after the list has it draining.
-        response_grace: How long after the client's deadline its final answer still counts.
-        poll_interval: How often discovery may be polled.
-        warmup_initial_capacity: The part of its full capacity that a new process has at least, from 0 to 1.
-        warmup_duration: After how long it has all of it at the latest.
-        overload_multiple: The multiple of its present capacity at which a warming endpoint falls over.
-        overload_interval: How long it has to get that much work to fall over.
-        retry_budget_floor: Retries that are allowed in any window.
-        retry_budget_ratio: Further retries for each request in the window.
+        drain_grace: How long after the list shows an endpoint as draining it may still get new requests.
+        response_grace: How long after the client's deadline the final response still counts.
+        poll_interval: The interval at which discovery may be polled.
+        warmup_initial_capacity: The fraction of its full capacity that a new process has at the start, from 0
+            to 1.
+        warmup_duration: After how long a new process has its full capacity at the latest.
+        overload_multiple: The multiple of its current capacity at which a warming endpoint fails.
+        overload_interval: How long it has to get that much work before it fails.
+        retry_budget_floor: The number of retries that are allowed in any window.
+        retry_budget_ratio: The number of further retries that are allowed for each request in the window.
         retry_budget_window: The length of the window; 0: no retry budget is stated.
     """
 
@@ -189,7 +192,7 @@
     retry_budget_window: float = 0.0
 
     def check(self, path: str) -> None:
-        """Raise InvalidValueError naming the first field, below `path`, that makes no sense."""
+        """Raise InvalidValueError with the path of the first invalid field, below `path`."""
         check_number(f"{path}.warmup_initial_capacity", self.warmup_initial_capacity, 0.0, 1.0)
         for item in fields(self):
             check_number(f"{path}.{item.name}", getattr(self, item.name))
@@ -197,24 +200,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything that one instance is configured with; the balancer calls `check()`.
+    """The complete settings of one instance; the balancer calls `check()`.
 
     Attributes:
-        classes: The classes of requests; requests name theirs by its index.
-        tenants: The tenants; requests name theirs by its index.
-        fleet_size: How many instances share the tier.
+        classes: The classes of requests; a request refers to its class by index.
+        tenants: The tenants; a request refers to its tenant by index.
+        fleet_size: The number of instances that share the tier.
         ordinal: The number of this instance among them, counted from 0.
-        tier: The tier that this instance sends to, counted from 0; 0 is the one that clients call.
-        tier_count: How many tiers there are.
+        tier: The tier that this instance sends to, counted from 0; clients call tier 0.
+        tier_count: The number of tiers.
         zone: The zone of this instance, by index.
-        zone_count: How many zones there are.
-        discovery: How this instance learns the endpoint list.
-        over_quota_weight: The part of its weight that a request beyond its tenant's quota has, from 0 to 1.
-        propagates_deadline: Whether callers of lower tiers state the time that their own request has left.
+        zone_count: The number of zones.
+        discovery: How this instance gets the endpoint list.
+        over_quota_weight: The fraction of its weight that a request beyond its tenant's quota has, from 0 to
+            1.
+        propagates_deadline: Whether callers of lower tiers send the time that their own request has left.
         clients_mark_retries: Whether clients mark their retries, so that an unmarked request is a first
             attempt.
         limits: What the deployment permits.
-        rules: The figures behind its rules.
+        rules: The parameters of the deployment's rules.
     """
 
     classes: tuple[RequestClass, ...] = (RequestClass(),)
@@ -233,9 +237,9 @@
     rules: Rules = field(default_factory=Rules)
 
     def check(self) -> None:
-        """Raise InvalidValueError naming the first field that makes no sense."""
+        """Raise InvalidValueError with the first invalid field."""
         if not self.classes:
-            raise InvalidValueError(field="classes", problem="at least one is needed")
+            raise InvalidValueError(field="classes", problem="at least one class is required")
         for i, request_class in enumerate(self.classes):
             request_class.check(f"classes[{i}]")
         for i, tenant in enumerate(self.tenants):
@@ -250,23 +254,23 @@
         self.rules.check("rules")
 
     def check_reload(self, proposed: Settings) -> None:
-        """Raise InvalidValueError where a running instance can't replace these settings by the proposed ones.
+        """Raise InvalidValueError if a running instance cannot replace these settings by the proposed ones.
 
-        What was learned follows the names of classes and tenants, so these need distinct names. The tier
-        and the discovery mode determine which endpoints an instance has and how it learns of them: to
-        change those takes a new instance.
+        Learned state follows the names of classes and tenants, so their names must be distinct. The tier and
+        the discovery mode determine which endpoints an instance has and how it gets their list: changing
+        them needs a new instance.
         """
         proposed.check()
         for name in ("tier", "discovery"):
             if getattr(proposed, name) != getattr(self, name):
-                raise InvalidValueError(name, "a change of it needs a restart")
+                raise InvalidValueError(name, "a change needs a restart")
         for name in ("classes", "tenants"):
             names = [item.name for item in getattr(proposed, name)]
             if len(set(names)) < len(names):
-                raise InvalidValueError(name, "two have the same name")
+                raise InvalidValueError(name, "two entries have the same name")
 
     def check_request(self, request: IncomingRequest) -> None:
-        """Raise InvalidValueError naming the first field of a request that makes no sense."""
+        """Raise InvalidValueError with the first invalid field of a request."""
         check_index("class_index", request.class_index, len(self.classes))
         check_index("tenant", request.tenant, max(1, len(self.tenants)))
         if request.deadline is not None:
