--- a/tests/balancer/test_admission_control.py
+++ b/tests/balancer/test_admission_control.py
@@ -1,4 +1,4 @@
-"""Admission control: which requests are rejected before they cost work, and when clients may come back."""
+"""Admission control: which requests are rejected on arrival, and which retry delay is advised."""
 
 from __future__ import annotations
 
@@ -21,18 +21,20 @@
 )
 from tests.support.rules_checker import RulesChecker
 
-PATIENT_CLASSES = tuple(replace(row, latency_objective=4.0) for row in (IDEMPOTENT, NON_IDEMPOTENT))
+CLASSES_WITH_LONG_OBJECTIVE = tuple(
+    replace(each, latency_objective=4.0) for each in (IDEMPOTENT, NON_IDEMPOTENT)
+)
 
 
 def test_overload_rejects_the_class_with_the_lowest_priority_first() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT, NON_IDEMPOTENT)))
     now = 100.0
-    for n in range(400):  # 100 a second, each served at once
+    for n in range(400):  # 100 requests per second, each served immediately
         now += 0.01
         balancer.on_request(now, IncomingRequest(f"w{n}", class_index=1, deadline=now + 4.0))
         balancer.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS, 0.1, last=True)
     rejected = {0: 0, 1: 0}
-    for n in range(120):  # then nothing comes back any more
+    for n in range(120):  # from here on, no attempt ends
         now += 0.001
         for class_index in (0, 1):
             if isinstance(
@@ -48,20 +50,20 @@
 
 
 @pytest.mark.parametrize("fleet_size", [2, 4, 7])
-def test_latency_far_over_its_baseline_sheds_load_where_many_share_a_tier(fleet_size: int) -> None:
-    """The latency objective alone allows seven times the baseline, at which endpoints hold far too much."""
-    balancer = make_balancer(Settings(classes=PATIENT_CLASSES, fleet_size=fleet_size))
+def test_latency_far_above_its_baseline_sheds_load_only_in_larger_fleets(fleet_size: int) -> None:
+    """By the latency objective alone, a wait of seven baselines is admitted, which overloads endpoints."""
+    balancer = make_balancer(Settings(classes=CLASSES_WITH_LONG_OBJECTIVE, fleet_size=fleet_size))
     now, in_flight = 100.0, list[tuple[float, str]]()
 
-    def play(latency: float, seconds: float) -> list[int]:
-        """Send forty a second, half of each class, each served after so long; count those rejected."""
+    def rejections_by_class(latency: float, seconds: float) -> list[int]:
+        """Send 40 requests per second, alternating classes, each served after `latency` seconds."""
         nonlocal now
         rejected = [0, 0]
         for _ in range(int(40 * seconds)):
             now += 1 / 40
             while in_flight and in_flight[0][0] <= now:
-                end, request_id = in_flight.pop(0)
-                balancer.on_attempt_finished(end, request_id, 0, Outcome.SUCCESS, latency, last=True)
+                finished_at, request_id = in_flight.pop(0)
+                balancer.on_attempt_finished(finished_at, request_id, 0, Outcome.SUCCESS, latency, last=True)
             request_id = f"r{round(40 * now)}"
             class_index = round(40 * now) % 2
             if isinstance(
@@ -75,28 +77,28 @@
                 rejected[class_index] += 1
         return rejected
 
-    assert sum(play(0.2, 10.0)) == 0
-    low_priority, high_priority = play(0.8, 2.0)
+    assert sum(rejections_by_class(0.2, 10.0)) == 0
+    low_priority, high_priority = rejections_by_class(0.8, 2.0)
     assert (low_priority > high_priority) is (fleet_size > 2), (
-        "two see it by themselves, and a burst is soon over"
+        "two proxies must not shed load by latency, larger fleets must"
     )
-    play(0.2, 5.0)
-    assert sum(play(0.2, 10.0)) == 0, "it goes on rejecting once the endpoints are quick again"
+    rejections_by_class(0.2, 5.0)
+    assert sum(rejections_by_class(0.2, 10.0)) == 0, "still rejects after the endpoints have recovered"
 
 
-def test_work_that_varies_much_sheds_no_load() -> None:
-    """Single latencies go far below their mean where work varies: their baseline is no measure of a mean."""
-    balancer = make_balancer(Settings(classes=PATIENT_CLASSES, fleet_size=7))
+def test_varying_work_is_not_mistaken_for_overload() -> None:
+    """A baseline of single latencies would be far below their mean where work varies, and shed load."""
+    balancer = make_balancer(Settings(classes=CLASSES_WITH_LONG_OBJECTIVE, fleet_size=7))
     work = Random(5)
     requests = TimedRequests(balancer)
     rejected = 0
-    for n in range(2000):  # forty a second; a tenth of them takes half of all time
+    for n in range(2000):  # 40 per second; a tenth of them takes half of the time
         latency = 1.0 if work.random() < 0.1 else 0.2 * work.random()
         rejected += not requests.send(100.0 + n / 40, f"r{n}", n % 2, 4.0, latency)
     assert rejected < 40, rejected
 
 
-def test_long_work_of_one_class_takes_no_capacity_from_short_work() -> None:
+def test_long_work_of_one_class_does_not_reject_short_work_of_another() -> None:
     short, long = (
         replace(IDEMPOTENT, latency_objective=0.75, priority_weight=5.0),
         replace(NON_IDEMPOTENT, latency_objective=3.0, deadline=8.0, priority_weight=8.0),
@@ -104,50 +106,50 @@
     balancer = make_balancer(Settings(classes=(short, long), fleet_size=2))
     requests = TimedRequests(balancer)
     rejected = [0, 0]
-    for n in range(1200):  # forty a second, three quarters of them short; each ends well within its objective
+    for n in range(1200):  # 40 per second, three quarters short; all within their objectives
         class_index = int(n % 4 == 0)
         time_left, latency = (8.0, 2.4) if class_index else (2.0, 0.1)
         admitted = requests.send(100.0 + n / 40, f"r{n}", class_index, time_left, latency)
-        if not admitted and n > 200:  # by then each class has been served for a while
+        if not admitted and n > 200:  # by then there are enough samples of each class
             rejected[class_index] += 1
     assert sum(rejected) < 12, rejected
 
 
 def test_lower_tiers_never_reject_for_overload() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT, NON_IDEMPOTENT), tier=1, tier_count=2))
-    answers = [
+    actions = [
         balancer.on_request(100.0 + n / 1000, IncomingRequest(f"x{n}", deadline=104.0))[0] for n in range(200)
     ]
-    assert all(isinstance(a, StartAttempt) for a in answers)
+    assert all(isinstance(action, StartAttempt) for action in actions)
 
 
-def test_nothing_served_yet_is_no_overload() -> None:
+def test_requests_are_admitted_before_any_was_served() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)))
-    answers = [
+    actions = [
         balancer.on_request(100.0 + n / 100, IncomingRequest(f"x{n}", deadline=110.0))[0] for n in range(30)
     ]
-    assert sum(isinstance(a, StartAttempt) for a in answers) >= 27
+    assert sum(isinstance(action, StartAttempt) for action in actions) >= 27
 
 
-def test_a_proxy_with_few_calls_sheds_by_the_requests_it_lost() -> None:
+def test_a_proxy_with_few_requests_rejects_some_after_timeouts() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT, NON_IDEMPOTENT)))
     now = 100.0
-    for n in range(8):  # one call a second, all lost
+    for n in range(8):  # one request per second, all time out
         now += 1.0
         if isinstance(
             balancer.on_request(now, IncomingRequest(f"r{n}", class_index=1, deadline=now + 4.0))[0],
             StartAttempt,
         ):
             balancer.on_attempt_finished(now + 0.98, f"r{n}", 0, Outcome.TIMEOUT, 0.98)
-    answers = [
+    actions = [
         balancer.on_request(now + 1.0, IncomingRequest(f"s{n}", deadline=now + 5.0))[0] for n in range(2)
     ]
-    later = balancer.on_request(now + 60.0, IncomingRequest("t", deadline=now + 64.0))[0]
-    assert any(isinstance(a, Reject) for a in answers)
-    assert isinstance(later, StartAttempt), "a loss long ago still counts"
+    action_later = balancer.on_request(now + 60.0, IncomingRequest("t", deadline=now + 64.0))[0]
+    assert any(isinstance(action, Reject) for action in actions)
+    assert isinstance(action_later, StartAttempt), "timeouts of a minute ago still count"
 
 
-def test_congestion_of_a_restricted_class_takes_no_capacity_from_the_others() -> None:
+def test_congestion_of_a_restricted_class_takes_no_capacity_from_other_classes() -> None:
     restricted = RequestClass(
         "restricted",
         latency_objective=1.0,
@@ -159,7 +161,7 @@
         Settings(classes=(IDEMPOTENT, restricted)), [*ENDPOINTS, Endpoint(9, machine_type=1)]
     )
     now = 100.0
-    for n in range(100):  # the only endpoint open to the restricted class answers nothing
+    for n in range(100):  # the only endpoint of the restricted class never responds
         now += 0.02
         balancer.on_request(now, IncomingRequest(f"b{n}", class_index=1, deadline=now + 4.0))
         balancer.on_request(now, IncomingRequest(f"f{n}", deadline=now + 4.0))
@@ -171,25 +173,28 @@
 
 
 @pytest.mark.parametrize(
-    ("fifth", "answer"),
+    ("outcome_of_each_fifth", "expected_action"),
     [(Outcome.SUCCESS, StartAttempt), (Outcome.ERROR, StartAttempt), (Outcome.TIMEOUT, Reject)],
 )
-def test_the_wait_budget_shrinks_where_load_makes_requests_fail(fifth: Outcome, answer: type) -> None:
+def test_the_wait_budget_shrinks_while_requests_fail_from_overload(
+    outcome_of_each_fifth: Outcome, expected_action: type
+) -> None:
     balancer = make_balancer(Settings(classes=(NON_IDEMPOTENT,)))
-    now = serve_with_failures(balancer, 0, fifth)
-    for n in range(27):  # the wait budget allows 0.7 x 50, or 0.4 x 40
+    now = serve_with_failures(balancer, 0, outcome_of_each_fifth)
+    for n in range(27):  # the wait budget allows 0.7 x 50 pending requests; 0.4 x 40 after timeouts
         balancer.on_request(now, IncomingRequest(f"x{n}", deadline=now + 4.0))
-    assert isinstance(balancer.on_request(now, IncomingRequest("y", deadline=now + 4.0))[0], answer)
+    action = balancer.on_request(now, IncomingRequest("y", deadline=now + 4.0))[0]
+    assert isinstance(action, expected_action)
 
 
 @pytest.mark.parametrize("protection", [1.0, 1000.0])
-def test_requests_are_throttled_by_pool_where_each_endpoint_is_seldom_called(
+def test_failures_spread_over_many_endpoints_throttle_the_pool(
     protection: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("balancer.admission_control.POOL_PROTECTED_REQUESTS", protection)
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,), fleet_size=40), [Endpoint(i) for i in range(40)])
     sent = 0
-    for n in range(20):  # four a second, each at another endpoint, none answered
+    for n in range(20):  # 4 per second, each at another endpoint, all time out
         now = 100.0 + n / 4.0
         actions = balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0))
         if isinstance(actions[0], StartAttempt):
@@ -197,11 +202,11 @@
             balancer.on_attempt_finished(now + 0.2, f"r{n}", 0, Outcome.TIMEOUT, 0.2)
             balancer.on_client_disconnected(now + 0.2, f"r{n}")
         for state in balancer.endpoints.states.values():
-            state.breaker = None  # as if it had not been called before
+            state.breaker = None  # as if no attempt had been sent there
     assert (sent < 14) is (protection == 1.0)
 
 
-def test_a_request_too_heavy_for_its_time_is_rejected() -> None:
+def test_a_request_whose_work_takes_longer_than_its_time_left_is_rejected() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)))
     now = 100.0
     for n in range(50):
@@ -217,9 +222,9 @@
     )
 
 
-def test_unfair_first_samples_reject_nothing() -> None:
+def test_slow_first_responses_do_not_reject_later_requests() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)))
-    for n in range(3):  # 90 times their cost: they stood in a queue
+    for n in range(3):  # they waited in a queue for 90 times their cost
         balancer.on_request(100.0 + n, IncomingRequest(f"r{n}", deadline=104.0 + n, cost=0.01))
         balancer.on_attempt_finished(100.9 + n, f"r{n}", 0, Outcome.SUCCESS, 0.9, last=True)
     assert isinstance(
@@ -227,44 +232,44 @@
     )
 
 
-def test_an_unfair_cost_baseline_does_not_reject_for_good() -> None:
+def test_a_cost_baseline_that_is_too_high_does_not_reject_permanently() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)))
     balancer.statistics.latency_per_cost, balancer.statistics.sample_count = 90.0, 100
-    answers = [
+    actions = [
         balancer.on_request(110.0 + n, IncomingRequest(f"s{n}", deadline=114.0 + n, cost=0.1))[0]
         for n in range(60)
     ]
-    assert isinstance(answers[0], Reject)
-    assert any(isinstance(a, StartAttempt) for a in answers)
+    assert isinstance(actions[0], Reject)
+    assert any(isinstance(action, StartAttempt) for action in actions)
 
 
-def test_requests_stuck_at_dead_endpoints_do_not_take_all_capacity() -> None:
+def test_requests_stuck_at_dead_endpoints_do_not_block_all_others() -> None:
     balancer = make_balancer(Settings(classes=(NON_IDEMPOTENT,)))
     now = 100.0
     for n in range(250):
         now += 0.02
         balancer.on_request(now, IncomingRequest(f"w{n}", deadline=now + 4.0))
         balancer.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS, 0.1, last=True)
-    sent: dict[str, float] = {}
-    for n in range(500):  # ten seconds in which every attempt ends by its timeout alone
+    in_flight: dict[str, float] = {}  # when each request times out
+    for n in range(500):  # for 10 s, every attempt times out
         now += 0.02
-        for request_id, ends_by in list(sent.items()):
-            if ends_by <= now:
-                del sent[request_id]
+        for request_id, times_out_at in list(in_flight.items()):
+            if times_out_at <= now:
+                del in_flight[request_id]
                 balancer.on_attempt_finished(now, request_id, 0, Outcome.TIMEOUT, 0.98)
         if isinstance(
             balancer.on_request(now, IncomingRequest(f"x{n}", deadline=now + 4.0))[0], StartAttempt
         ):
-            sent[f"x{n}"] = now + 0.98
-    tried = sum(
+            in_flight[f"x{n}"] = now + 0.98
+    admitted = sum(
         isinstance(balancer.on_request(now, IncomingRequest(f"y{n}", deadline=now + 4.0))[0], StartAttempt)
         for n in range(2)
     )
-    assert len(sent) + tried > 2, "only what is always admitted was sent"
+    assert len(in_flight) + admitted > 2, "no more than the allowance was admitted"
 
 
 @pytest.mark.parametrize(("fleet_size", "admitted"), [(2, 4), (3, 3)])
-def test_a_burst_at_a_proxy_alone_in_its_zone_is_no_overload(fleet_size: int, admitted: int) -> None:
+def test_the_only_proxy_of_a_zone_admits_a_short_burst(fleet_size: int, admitted: int) -> None:
     settings = Settings(
         classes=(NON_IDEMPOTENT,), fleet_size=fleet_size, zone_count=2, limits=Limits(cancel=True)
     )
@@ -281,13 +286,18 @@
 @pytest.mark.parametrize(
     ("tier", "limits", "shortest", "longest"),
     [
-        (0, Limits(retry_after=True, max_retry_after=2.5), 0.05, 0.5),  # answers take about a third of one
+        (
+            0,
+            Limits(retry_after=True, max_retry_after=2.5),
+            0.05,
+            0.5,
+        ),  # responses take about a third of a second
         (0, Limits(retry_after=True, max_retry_after=0.01), 0.01, 0.01),
         (0, Limits(), 0.0, 0.0),
         (1, Limits(retry_after=True, max_retry_after=2.5), 0.0, 0.0),
     ],
 )
-def test_rejected_clients_are_advised_when_to_come_back(
+def test_a_rejection_advises_a_retry_delay_within_the_limits(
     tier: int, limits: Limits, shortest: float, longest: float
 ) -> None:
     checker = RulesChecker(
@@ -295,7 +305,7 @@
     )
     send_steadily(checker, 4.0, 10.0)
     balancer = checker.balancer
-    # No endpoint is left: rejected, at any capacity.
+    # Without any endpoint, every request is rejected.
     balancer.on_endpoints_updated(checker.now, UpdateKind.SNAPSHOT, [])
     [rejection] = balancer.on_request(checker.now, IncomingRequest("r", deadline=checker.now + 4.0))
     assert isinstance(rejection, Reject)
