--- a/tests/balancer/test_retry_budget.py
+++ b/tests/balancer/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets: how many retries may be sent, and what a reload leaves of the budget."""
+"""Retry budgets: the number of retries stays within the budget, also across reloads."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from tests.support.rules_checker import RulesChecker
 
 MANY_ENDPOINTS = [Endpoint(i) for i in range(40)]
-#: A lower tier admits every request.
+#: Settings of a lower tier, which admits every request.
 LOWER_TIER = Settings(classes=(IDEMPOTENT,), tier=1, tier_count=2)
 
 
 def retries_in_20_seconds(rules: Rules) -> int:
-    """Return how many retries are sent while no attempt can be delivered."""
+    """Return the number of retries in 20 s in which every attempt fails to connect."""
     checker = RulesChecker(Settings(classes=CLASSES, rules=rules), 1, MANY_ENDPOINTS)
     for _ in range(200):
         fail_attempts(checker, 0, 3)
@@ -28,24 +28,24 @@
     return sum(max(0, len(request.attempts) - 1) for request in checker.requests.values())
 
 
-def count_retries(checker: RulesChecker, requests: int) -> int:
-    """Return how many retries so many requests get whose attempts cannot be delivered."""
-    before = len(checker.retry_times)
-    for _ in range(requests):
+def count_retries(checker: RulesChecker, request_count: int) -> int:
+    """Send requests whose attempts all fail to connect, and return the number of retries."""
+    retries_before = len(checker.retry_times)
+    for _ in range(request_count):
         fail_attempts(checker, 0, 3)
-    return len(checker.retry_times) - before
+    return len(checker.retry_times) - retries_before
 
 
 def lower_tier_checker(rules: Rules) -> RulesChecker:
     return RulesChecker(replace(LOWER_TIER, rules=rules), 1, MANY_ENDPOINTS)
 
 
-@pytest.mark.parametrize(("rules", "low", "high"), [(WITH_RETRY_BUDGET, 8, 77), (RULES, 8, 50)])
-def test_retries_stay_within_the_budget(rules: Rules, low: int, high: int) -> None:
-    assert low <= retries_in_20_seconds(rules) <= high
+@pytest.mark.parametrize(("rules", "fewest", "most"), [(WITH_RETRY_BUDGET, 8, 77), (RULES, 8, 50)])
+def test_retries_stay_within_the_budget(rules: Rules, fewest: int, most: int) -> None:
+    assert fewest <= retries_in_20_seconds(rules) <= most
 
 
-def test_a_balancer_that_ignores_the_budget_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checker_detects_a_balancer_that_ignores_the_budget(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(RetryBudget, "allows", lambda _self, _now: True)
     with pytest.raises(AssertionError, match="beyond the retry budget"):
         retries_in_20_seconds(WITH_RETRY_BUDGET)
@@ -64,20 +64,20 @@
     assert count_retries(checker, 5) == 2
 
 
-def test_a_newly_stated_budget_counts_the_retries_from_before() -> None:
+def test_a_budget_added_by_a_reload_counts_earlier_retries() -> None:
     checker = lower_tier_checker(RULES)
-    spent = count_retries(checker, 20)
-    assert spent > 5
-    stated = replace(RULES, retry_budget_floor=spent + 1.0, retry_budget_window=9.0)
-    checker.reconfigure(replace(LOWER_TIER, rules=stated))
+    earlier_retries = count_retries(checker, 20)
+    assert earlier_retries > 5
+    with_budget = replace(RULES, retry_budget_floor=earlier_retries + 1.0, retry_budget_window=9.0)
+    checker.reconfigure(replace(LOWER_TIER, rules=with_budget))
     assert count_retries(checker, 5) == 1
-    checker.reconfigure(replace(LOWER_TIER, rules=RULES))  # stated no more
+    checker.reconfigure(replace(LOWER_TIER, rules=RULES))  # without a stated budget again
     budgets = checker.balancer.retry_budgets
     assert budgets.hedges is not budgets.retries
     assert not budgets.hedges.allows(checker.now)
 
 
-def test_a_newly_stated_budget_counts_the_hedged_requests_from_before() -> None:
+def test_a_budget_added_by_a_reload_counts_earlier_hedged_requests() -> None:
     balancer, timer = hedge_due(Settings(classes=(IDEMPOTENT,), limits=Limits(hedging=True)))
     [hedge] = balancer.on_timer(timer.at, timer.token)
     assert isinstance(hedge, StartAttempt)
@@ -86,7 +86,7 @@
     assert not balancer.retry_budgets.retries.allows(timer.at)
 
 
-def test_a_longer_window_counts_the_retries_that_a_shorter_one_has_dropped() -> None:
+def test_a_longer_window_counts_retries_that_have_left_the_shorter_one() -> None:
     short = replace(RULES, retry_budget_floor=2.0, retry_budget_window=1.0)
     checker = lower_tier_checker(short)
     assert count_retries(checker, 5) == 2
