--- a/tests/balancer/test_reconfigure_requests.py
+++ b/tests/balancer/test_reconfigure_requests.py
@@ -14,7 +14,7 @@
     Limits,
     RequestClass,
 )
-from tests.support.balancer_helpers import hedge_due
+from tests.support.balancer_helpers import balancer_with_due_hedge
 from tests.support.reconfiguration import (
     BASE,
     ENDPOINTS,
@@ -139,7 +139,7 @@
 
 @pytest.mark.parametrize("forbids", ["limits", "class", "nothing"])
 def test_a_due_hedged_request_is_not_sent_where_the_new_settings_forbid_it(forbids: str) -> None:
-    balancer, timer = hedge_due(replace(BASE, limits=Limits(hedging=True)))
+    balancer, timer = balancer_with_due_hedge(replace(BASE, limits=Limits(hedging=True)))
     allowed = balancer.settings
     if forbids == "limits":
         balancer.reconfigure(130.1, BASE)
--- a/tests/balancer/test_reconfigure_rules.py
+++ b/tests/balancer/test_reconfigure_rules.py
@@ -14,12 +14,12 @@
     Limits,
 )
 from tests.support.random_events import (
+    ANY_STEP,
     RULES,
-    STEPS,
     Step,
-    play_step,
+    endpoints_in_two_zones,
     random_settings,
-    spread_endpoints,
+    run_step,
 )
 from tests.support.reconfiguration import (
     BASE,
@@ -34,7 +34,7 @@
 
 @settings(derandomize=True, max_examples=250, deadline=None, suppress_health_check=list(HealthCheck))
 @given(
-    steps=st.lists(st.one_of(STEPS, STEPS, STEPS, CHANGES), min_size=20, max_size=120),
+    steps=st.lists(st.one_of(ANY_STEP, ANY_STEP, ANY_STEP, CHANGES), min_size=20, max_size=120),
     seed=st.integers(0, 2**32),
     is_polled=st.booleans(),
     endpoint_count=st.integers(0, 14),
@@ -44,12 +44,12 @@
 ) -> None:
     limits = Limits(cancel=True, hedging=True, max_attempts=4)
     stated = random_settings(RULES, limits, seed % 3, seed % 2, is_polled=is_polled)
-    checker = RulesChecker(stated, seed, spread_endpoints(endpoint_count))
+    checker = RulesChecker(stated, seed, endpoints_in_two_zones(endpoint_count))
     for step in steps:
         if isinstance(step, SettingsChange):
             checker.reconfigure(change_settings(checker.settings, step))
         else:
-            play_step(checker, step)
+            run_step(checker, step)
     checker.advance(10.0)
     unfinished = checker.balancer.requests.values()
     assert all(request.response_started for request in unfinished)  # started streams have no deadline
--- a/tests/balancer/test_retry_budget.py
+++ b/tests/balancer/test_retry_budget.py
@@ -10,8 +10,8 @@
 from balancer.events import StartAttempt
 from balancer.retry_budget import RetryBudget
 from balancer.settings import Limits, Rules, Settings
-from tests.support.balancer_helpers import IDEMPOTENT, hedge_due
-from tests.support.random_events import CLASSES, RULES, WITH_RETRY_BUDGET, fail_attempts
+from tests.support.balancer_helpers import IDEMPOTENT, balancer_with_due_hedge
+from tests.support.random_events import CLASSES, RULES, RULES_WITH_RETRY_BUDGET, fail_attempts
 from tests.support.rules_checker import RulesChecker
 
 MANY_ENDPOINTS = [Endpoint(i) for i in range(40)]
@@ -40,7 +40,7 @@
     return RulesChecker(replace(LOWER_TIER, rules=rules), 1, MANY_ENDPOINTS)
 
 
-@pytest.mark.parametrize(("rules", "fewest", "most"), [(WITH_RETRY_BUDGET, 8, 77), (RULES, 8, 50)])
+@pytest.mark.parametrize(("rules", "fewest", "most"), [(RULES_WITH_RETRY_BUDGET, 8, 77), (RULES, 8, 50)])
 def test_retries_stay_within_the_budget(rules: Rules, fewest: int, most: int) -> None:
     assert fewest <= retries_in_20_seconds(rules) <= most
 
@@ -48,12 +48,12 @@
 def test_the_checker_detects_a_balancer_that_ignores_the_budget(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(RetryBudget, "allows", lambda _self, _now: True)
     with pytest.raises(AssertionError, match="beyond the retry budget"):
-        retries_in_20_seconds(WITH_RETRY_BUDGET)
+        retries_in_20_seconds(RULES_WITH_RETRY_BUDGET)
 
 
 def test_a_reload_does_not_refill_the_budget() -> None:
     rules = replace(
-        WITH_RETRY_BUDGET, retry_budget_floor=6.0, retry_budget_ratio=0.0, retry_budget_window=5.0
+        RULES_WITH_RETRY_BUDGET, retry_budget_floor=6.0, retry_budget_ratio=0.0, retry_budget_window=5.0
     )
     checker = lower_tier_checker(rules)
     assert count_retries(checker, 20) == 6
@@ -78,7 +78,7 @@
 
 
 def test_a_budget_added_by_a_reload_counts_earlier_hedged_requests() -> None:
-    balancer, timer = hedge_due(Settings(classes=(IDEMPOTENT,), limits=Limits(hedging=True)))
+    balancer, timer = balancer_with_due_hedge(Settings(classes=(IDEMPOTENT,), limits=Limits(hedging=True)))
     [hedge] = balancer.on_timer(timer.at, timer.token)
     assert isinstance(hedge, StartAttempt)
     rules = replace(RULES, retry_budget_floor=1.0, retry_budget_window=9.0)
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -15,22 +15,22 @@
 from balancer.events import StartAttempt
 from balancer.settings import Limits, Settings, Tenant
 from tests.support.random_events import (
+    ANY_STEP,
     CLASSES,
     RULES,
-    STEPS,
-    WITH_RETRY_BUDGET,
+    RULES_WITH_RETRY_BUDGET,
     Step,
+    endpoints_in_two_zones,
     fail_attempts,
-    play,
     random_settings,
-    spread_endpoints,
+    run_steps,
 )
 from tests.support.rules_checker import RulesChecker
 
 
 @settings(derandomize=True, max_examples=250, deadline=None, suppress_health_check=list(HealthCheck))
 @given(
-    steps=st.lists(STEPS, min_size=20, max_size=120),
+    steps=st.lists(ANY_STEP, min_size=20, max_size=120),
     seed=st.integers(0, 2**32),
     limits=st.builds(Limits, st.booleans(), st.booleans(), st.integers(1, 6)),
     is_polled=st.booleans(),
@@ -46,9 +46,9 @@
     has_retry_budget: bool,
     endpoint_count: int,
 ) -> None:
-    rules = WITH_RETRY_BUDGET if has_retry_budget else RULES
+    rules = RULES_WITH_RETRY_BUDGET if has_retry_budget else RULES
     config = random_settings(rules, limits, seed % 3, seed % 2, is_polled=is_polled)
-    play(RulesChecker(config, seed, spread_endpoints(endpoint_count)), steps)
+    run_steps(RulesChecker(config, seed, endpoints_in_two_zones(endpoint_count)), steps)
 
 
 def test_a_balancer_that_ignores_drains_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -84,9 +84,9 @@
             checker.advance(0.5)
         none_open = [replace(e, status=EndpointStatus.REMOVED) for e in endpoints if e.machine_type == 1]
         checker.update_endpoints(UpdateKind.DELTA, none_open)
-        before = sum(len(starts) for starts in checker.starts_by_endpoint.values())
+        before = sum(len(starts) for starts in checker.start_times_by_endpoint.values())
         checker.request(5, 3.0)
-        assert sum(len(starts) for starts in checker.starts_by_endpoint.values()) == before
+        assert sum(len(starts) for starts in checker.start_times_by_endpoint.values()) == before
         return before
 
     assert send_to_restricted_classes() > 15
@@ -115,12 +115,12 @@
     tenants = (Tenant("a"), Tenant("b"))
     limits = Limits(max_attempts=4)
     config = Settings(classes=CLASSES, zone_count=2, rules=RULES, limits=limits, tenants=tenants)
-    play(RulesChecker(config, 1, endpoints), steps)
+    run_steps(RulesChecker(config, 1, endpoints), steps)
     with monkeypatch.context() as patch:
         patch.setattr(RequestState, "retry_endpoints", lambda self, _now: self.pool.ready)
         with pytest.raises(AssertionError, match=r"sent twice|another"):
-            play(RulesChecker(config, 1, endpoints), steps)
+            run_steps(RulesChecker(config, 1, endpoints), steps)
     with monkeypatch.context() as patch:
         patch.setattr(Balancer, "_respond", lambda _self, *_args: [])
         with pytest.raises(AssertionError, match="final responses"):
-            play(RulesChecker(config, 1, endpoints), steps)
+            run_steps(RulesChecker(config, 1, endpoints), steps)
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -129,10 +129,10 @@
     serve_steadily(checker, 5.0, 100.0, rng)
     checker.update_endpoints(UpdateKind.DELTA, [Endpoint(3, started=checker.now)])
     restarted_at = checker.now
-    checker.starts_by_endpoint.clear()
+    checker.start_times_by_endpoint.clear()
     serve_steadily(checker, 4.0, 100.0, rng)
-    starts_at_warming = [at for at in checker.starts_by_endpoint.get(3, []) if at >= restarted_at]
-    starts_at_others = [starts for key, starts in checker.starts_by_endpoint.items() if key != 3]
+    starts_at_warming = [at for at in checker.start_times_by_endpoint.get(3, []) if at >= restarted_at]
+    starts_at_others = [starts for key, starts in checker.start_times_by_endpoint.items() if key != 3]
     mean_of_others = sum(len(starts) for starts in starts_at_others) / 9
     # After 4 s its guaranteed capacity is 0.14 + 0.86 * 4 / 20 = 0.31; it fails at three times as much load.
     assert len(starts_at_warming) <= 0.31 * 2 * mean_of_others, "a warming endpoint was overloaded"
@@ -156,6 +156,6 @@
     endpoints = [Endpoint(i, started=100.0) for i in range(10)]
     checker = RulesChecker(Settings(classes=CLASSES, rules=RULES), seed, endpoints)
     serve_steadily(checker, 3.0, 200.0, Random(seed))
-    sent = sum(len(starts) for starts in checker.starts_by_endpoint.values())
+    sent = sum(len(starts) for starts in checker.start_times_by_endpoint.values())
     # Without warm endpoints, about the guaranteed capacity of all endpoints is used.
     assert 0 < sent <= 600 * (0.14 + 0.86 * 3 / 20) * 2
--- a/tests/support/balancer_helpers.py
+++ b/tests/support/balancer_helpers.py
@@ -89,7 +89,7 @@
     timer: SetTimer
 
 
-def hedge_due(settings: Settings) -> DueHedge:
+def balancer_with_due_hedge(settings: Settings) -> DueHedge:
     """Return a balancer with a late request of class 0 in flight since 130 s, and the timer of its hedge."""
     balancer = make_balancer(settings)
     for n in range(20):
--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -32,7 +32,9 @@
     overload_multiple=3.0,
     overload_interval=1.0,
 )
-WITH_RETRY_BUDGET = replace(RULES, retry_budget_floor=1.0, retry_budget_ratio=0.3, retry_budget_window=1.5)
+RULES_WITH_RETRY_BUDGET = replace(
+    RULES, retry_budget_floor=1.0, retry_budget_ratio=0.3, retry_budget_window=1.5
+)
 CLASSES = (
     RequestClass("idempotent", 1.0, 3.0, Idempotency.IDEMPOTENT, DeduplicationScope.CELL, 1.5, 1.0, 0.3),
     RequestClass("non-idempotent", 0.5, 3.0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 1.5, 5.0),
@@ -58,7 +60,7 @@
     """One event of a random sequence.
 
     Attributes:
-        kind: Which event, from 0 to 9: see `play_step`.
+        kind: Which event, from 0 to 9: see `run_step`.
         first: Chooses what the event is about; its meaning depends on the kind.
         second: Chooses how it turns out; likewise.
     """
@@ -69,7 +71,7 @@
 
 
 #: Any step.
-STEPS = st.builds(Step, st.integers(0, 9), st.integers(0, 10_000), st.integers(0, 10_000))
+ANY_STEP = st.builds(Step, st.integers(0, 9), st.integers(0, 10_000), st.integers(0, 10_000))
 
 
 def random_settings(rules: Rules, limits: Limits, ordinal: int, tier: int, *, is_polled: bool) -> Settings:
@@ -89,19 +91,19 @@
     )
 
 
-def spread_endpoints(count: int) -> list[Endpoint]:
+def endpoints_in_two_zones(count: int) -> list[Endpoint]:
     """Return endpoints in two zones, three to a cell, of three machine types."""
     return [Endpoint(1000 + i, EndpointStatus.UP, i % 2, i // 3, machine_type=i % 3) for i in range(count)]
 
 
-def play(checker: RulesChecker, steps: Sequence[Step], settle: float = 10.0) -> None:
+def run_steps(checker: RulesChecker, steps: Sequence[Step], settle: float = 10.0) -> None:
     """Play the steps, then let so many seconds pass."""
     for step in steps:
-        play_step(checker, step)
+        run_step(checker, step)
     checker.advance(settle)
 
 
-def play_step(checker: RulesChecker, step: Step) -> None:
+def run_step(checker: RulesChecker, step: Step) -> None:
     """Play one step.
 
     Kinds 0 to 3 are a request, 4 to 6 the end of an attempt, 7 an update of the endpoint list, 8 the start
--- a/tests/support/rules_checker.py
+++ b/tests/support/rules_checker.py
@@ -94,8 +94,8 @@
         endpoints: The endpoint list as last delivered, by id.
         requests: All requests, by id.
         timers: The timers that are set: when each is due, and its token.
-        starts_by_endpoint: When attempts were started at each endpoint, by its id.
-        polls: How often the balancer has polled discovery.
+        start_times_by_endpoint: When attempts were started at each endpoint, by its id.
+        poll_count: How often the balancer has polled discovery.
         request_times: When the requests came.
         retry_times: When retries and hedged requests were started.
     """
@@ -107,8 +107,8 @@
         self.endpoints: dict[int, Endpoint] = {}
         self.requests: dict[str, CheckedRequest] = {}
         self.timers: list[tuple[float, int]] = []
-        self.starts_by_endpoint: dict[int, list[float]] = {}
-        self.polls = 0
+        self.start_times_by_endpoint: dict[int, list[float]] = {}
+        self.poll_count = 0
         self.request_times: list[float] = []
         self.retry_times: list[float] = []
         self.update_endpoints(UpdateKind.CACHED, endpoints)
@@ -224,7 +224,7 @@
                 assert action.at >= self.now
                 self.timers.append((max(action.at, self.now + TIMER_RESOLUTION), action.token))
             elif isinstance(action, PollEndpoints):
-                self.polls += 1
+                self.poll_count += 1
             elif isinstance(action, StartAttempt):
                 self._check_start(action)
             elif isinstance(action, CancelAttempt):
@@ -251,7 +251,7 @@
         if action.timeout > 0.0:
             ends_by = min(ends_by, self.now + action.timeout)
         request.attempts.append(CheckedAttempt(replace(endpoint), self.now, ends_by))
-        self.starts_by_endpoint.setdefault(action.endpoint, []).append(self.now)
+        self.start_times_by_endpoint.setdefault(action.endpoint, []).append(self.now)
 
     def _check_retry_budget(self) -> None:
         """Count a retry, and check it against the stated budget."""
--- a/tests/support/settings_changes.py
+++ b/tests/support/settings_changes.py
@@ -18,7 +18,7 @@
 from tests.support.random_events import (
     CLASSES,
     RULES,
-    WITH_RETRY_BUDGET,
+    RULES_WITH_RETRY_BUDGET,
 )
 
 
@@ -41,9 +41,9 @@
 MACHINE_TYPES: tuple[tuple[int, ...] | None, ...] = (None, (0,), (1, 2), (9,))
 RULES_TO_SET = (
     RULES,
-    WITH_RETRY_BUDGET,
-    replace(WITH_RETRY_BUDGET, retry_budget_window=4.0),
-    replace(WITH_RETRY_BUDGET, retry_budget_floor=0.0),
+    RULES_WITH_RETRY_BUDGET,
+    replace(RULES_WITH_RETRY_BUDGET, retry_budget_window=4.0),
+    replace(RULES_WITH_RETRY_BUDGET, retry_budget_floor=0.0),
 )
 
 
