--- a/emulator/fleet/simulated_host.py
+++ b/emulator/fleet/simulated_host.py
@@ -16,7 +16,12 @@
 from emulator.fleet import topology
 from emulator.fleet.settings import proxy_settings
 from emulator.fleet.simulated_proxy import SimulatedProxy, endpoint_reader
-from emulator.measurement.change_ages import AgeReport, Publications, age_histogram, record_age
+from emulator.measurement.propagation_delay import (
+    DelayReport,
+    Publications,
+    new_delay_histogram,
+    record_delay,
+)
 from testbed import meter
 
 if TYPE_CHECKING:
@@ -166,14 +171,14 @@
         costs = (proxy.worst_list_cost(started, ended, window) for proxy in self.proxies)
         return max(costs, default=0.0)
 
-    def age_report(self, publications: Publications) -> AgeReport:
-        """Sum up the ages of versions when the proxies applied them."""
-        histogram, oldest, missing = age_histogram(), dict.fromkeys(publications, 0.0), 0
+    def delay_report(self, publications: Publications) -> DelayReport:
+        """Report the propagation delays of these publications at all proxies of this process."""
+        histogram, longest, missing = new_delay_histogram(), dict.fromkeys(publications, 0.0), 0
         for proxy in self.proxies:
-            ages = proxy.ages(publications)
-            expected = sum(publication.concerns(proxy.view) for publication in publications.values())
-            missing += expected - len(ages)
-            for version, age in ages.items():
-                record_age(histogram, age)
-                oldest[version] = max(oldest[version], age)
-        return AgeReport(histogram.encode(), oldest, missing)
+            delays = proxy.propagation_delays(publications)
+            expected = sum(publication.is_visible_to(proxy.view) for publication in publications.values())
+            missing += expected - len(delays)
+            for version, delay in delays.items():
+                record_delay(histogram, delay)
+                longest[version] = max(longest[version], delay)
+        return DelayReport(histogram.encode(), longest, missing)
--- a/emulator/fleet/simulated_proxy.py
+++ b/emulator/fleet/simulated_proxy.py
@@ -15,7 +15,7 @@
 from balancer.events import IncomingRequest, Outcome, StartAttempt
 from balancer.settings_reader import read_settings
 from emulator.fleet import topology
-from emulator.measurement.change_ages import AppliedUpdate, Publications, ages_when_applied
+from emulator.measurement.propagation_delay import AppliedUpdate, Publications, propagation_delays
 from proxy.address import Address
 from proxy.discovery.endpoint_reader import DiscoveredEndpoint, EndpointReader
 from proxy.discovery.watch import DiscoveryClient
@@ -54,7 +54,7 @@
     """The real watch, which records when it applied which versions and what that cost.
 
     Attributes:
-        applied: The messages applied, in order.
+        applied_updates: The messages applied, in order.
         cost_by_second: Processor time in seconds of reading and applying entries, by full second of the
             monotonic clock.
     """
@@ -66,7 +66,7 @@
         on_update: Callable[[UpdateKind, list[DiscoveredEndpoint]], None],
     ) -> None:
         super().__init__(address, reader, 0, on_update)
-        self.applied: list[AppliedUpdate] = []
+        self.applied_updates: list[AppliedUpdate] = []
         self.cost_by_second: dict[int, float] = {}
 
     def on_message(self, watch: WatchConnection, message: EndpointListMessage | None) -> None:
@@ -77,7 +77,7 @@
         started, previous_index = time.thread_time(), self._index
         super().on_message(watch, message)
         now = time.monotonic()
-        self.applied.append(AppliedUpdate(now, previous_index, self._index))
+        self.applied_updates.append(AppliedUpdate(now, previous_index, self._index))
         second = int(now)
         cost = time.thread_time() - started
         self.cost_by_second[second] = self.cost_by_second.get(second, 0.0) + cost
@@ -135,9 +135,9 @@
         names = latest.keys() if self.view is None else self.view & latest.keys()
         return self.discovery.index < max((latest[name] for name in names), default=0)
 
-    def ages(self, publications: Publications) -> dict[int, float]:
-        """Return the age in seconds of each version that concerns it, when it was applied."""
-        return ages_when_applied(self.discovery.applied, publications, self.view)
+    def propagation_delays(self, publications: Publications) -> dict[int, float]:
+        """Return the delay in seconds until this proxy applied each version that is visible to it."""
+        return propagation_delays(self.discovery.applied_updates, publications, self.view)
 
     def worst_list_cost(self, started: float, ended: float, window: float) -> float:
         """Return the most processor seconds that it spent on messages in any window between two times."""
--- a/emulator/runs/fleet.py
+++ b/emulator/runs/fleet.py
@@ -70,19 +70,23 @@
 
 
 def _report_event(plan: Plan, name: str, event: EventMeasurement) -> None:
+    delay = event.delays.last_proxy.worst or 0.0
     report_progress(
         "fleet",
-        f"{plan.name}: {name}: age at the last {event.ages.at_last.worst or 0.0:.3f} s; proxy's worst 10 s: "
+        f"{plan.name}: {name}: longest propagation delay {delay:.3f} s; cost of a proxy in the worst 10 s: "
         f"{event.proxy.processor_worst:.2f} % of a core, {event.proxy.bytes_worst:.0f} B/s",
     )
 
 
 def budget_figures(plans: list[PlanResult]) -> dict[str, float]:
-    """Return the budgets' figures: the worst of all plans and events, ages of ordinary changes alone."""
+    """Return the figures that have a budget: the worst of all plans and events.
+
+    The propagation delay covers only the event `changes`.
+    """
     costs = [event.proxy for plan in plans for event in plan.events.values()]
     return {
         # The busiest process's mean over its proxies, or what lists alone cost the busiest proxy.
         "processor_worst": max(max(cost.processor_worst, cost.lists_worst) for cost in costs),
         "bytes_worst": max(cost.bytes_worst for cost in costs),
-        "change_age": max(plan.events["changes"].ages.at_last.worst or 0.0 for plan in plans),
+        "change_age": max(plan.events["changes"].delays.last_proxy.worst or 0.0 for plan in plans),
     }
--- a/emulator/runs/fleet_figures.py
+++ b/emulator/runs/fleet_figures.py
@@ -8,7 +8,12 @@
 from dataclasses import asdict, dataclass
 from typing import TYPE_CHECKING
 
-from emulator.measurement.change_ages import MICROSECONDS, AgeReport, age_histogram, record_age
+from emulator.measurement.propagation_delay import (
+    MICROSECONDS_PER_SECOND,
+    DelayReport,
+    new_delay_histogram,
+    record_delay,
+)
 
 if TYPE_CHECKING:
     from hdrh.histogram import HdrHistogram
@@ -18,14 +23,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AgeSummary:
-    """A histogram of ages in seconds.
+class DelaySummary:
+    """Summary of propagation delays in seconds; the field names are keys of the result file.
 
     Attributes:
-        count: How many ages there are; without any, the other attributes are None.
-        median: The age that half of them don't exceed.
-        p99: The age that 99 in 100 don't exceed.
-        worst: The greatest age.
+        count: Number of delays; the other fields are None if it is 0.
+        median: The 50th percentile.
+        p99: The 99th percentile.
+        worst: The maximum.
         hdr: The encoded HDR histogram, in microseconds.
     """
 
@@ -36,58 +41,58 @@
     hdr: str | None = None
 
     @classmethod
-    def of(cls, histogram: HdrHistogram) -> AgeSummary:
+    def of(cls, histogram: HdrHistogram) -> DelaySummary:
         """Summarize a histogram of microseconds."""
         count = histogram.get_total_count()
         if not count:
             return cls(0)
         return cls(
             count=count,
-            median=histogram.get_value_at_percentile(50.0) / MICROSECONDS,
-            p99=histogram.get_value_at_percentile(99.0) / MICROSECONDS,
-            worst=histogram.get_max_value() / MICROSECONDS,
+            median=histogram.get_value_at_percentile(50.0) / MICROSECONDS_PER_SECOND,
+            p99=histogram.get_value_at_percentile(99.0) / MICROSECONDS_PER_SECOND,
+            worst=histogram.get_max_value() / MICROSECONDS_PER_SECOND,
             hdr=histogram.encode().decode(),
         )
 
     def as_dict(self) -> JsonObject:
-        """Return the summary as a result holds it, without the figures that an empty one lacks."""
+        """Return the summary as stored in the result file; fields without a value are left out."""
         return {name: value for name, value in asdict(self).items() if value is not None}
 
 
 @dataclass(slots=True, frozen=True)
-class EventAges:
-    """Ages of an event's versions.
+class EventDelays:
+    """Propagation delays of the versions that an event published.
 
     Attributes:
-        everywhere: At all proxies.
-        at_last: At the last proxy to apply each version.
-        missing: How many times a proxy hasn't applied a version that concerns it.
+        all_proxies: Delays at all proxies.
+        last_proxy: Delays until the last proxy applied each version.
+        missing: Number of pairs of a proxy and a version visible to it that the proxy has not applied.
     """
 
-    everywhere: AgeSummary
-    at_last: AgeSummary
+    all_proxies: DelaySummary
+    last_proxy: DelaySummary
     missing: int
 
     @classmethod
-    def of(cls, reports: list[AgeReport]) -> EventAges:
-        """Merge the reports of all hosts."""
-        everywhere, at_last = age_histogram(), age_histogram()
-        oldest: dict[int, float] = {}
+    def of(cls, reports: list[DelayReport]) -> EventDelays:
+        """Merge the reports of all host processes."""
+        all_proxies, last_proxy = new_delay_histogram(), new_delay_histogram()
+        longest: dict[int, float] = {}
         for report in reports:
-            everywhere.decode_and_add(report.histogram)
-            for version, age in report.oldest.items():
-                oldest[version] = max(oldest.get(version, 0.0), age)
-        for age in oldest.values():
-            if age > 0.0:  # a change that concerns no proxy has no last one
-                record_age(at_last, age)
+            all_proxies.decode_and_add(report.histogram)
+            for version, delay in report.longest.items():
+                longest[version] = max(longest.get(version, 0.0), delay)
+        for delay in longest.values():
+            if delay > 0.0:  # 0 means that no proxy applied the version
+                record_delay(last_proxy, delay)
         missing = sum(report.missing for report in reports)
-        return cls(AgeSummary.of(everywhere), AgeSummary.of(at_last), missing)
+        return cls(DelaySummary.of(all_proxies), DelaySummary.of(last_proxy), missing)
 
     def as_dict(self) -> JsonObject:
-        """Return the ages as a result holds them."""
+        """Return the delays as stored in the result file."""
         return {
-            "all": self.everywhere.as_dict(),
-            "last": self.at_last.as_dict(),
+            "all": self.all_proxies.as_dict(),
+            "last": self.last_proxy.as_dict(),
             "missing": self.missing,
         }
 
@@ -164,11 +169,11 @@
     """What an event cost.
 
     Attributes:
-        seconds: From its beginning until it was applied everywhere.
-        applied_after: Seconds from its end until it was applied everywhere.
+        seconds: From its beginning until it was applied at all proxies.
+        applied_after: Seconds from its end until it was applied at all proxies.
         versions: How many versions were published.
-        is_complete: Whether every proxy applied all that concerns it in time.
-        ages: The ages of its versions.
+        is_complete: Whether every proxy applied in time all versions that are visible to it.
+        delays: The propagation delays of its versions.
         proxy: What it cost a proxy.
         resident_mb: Peak resident memory, summed over all processes.
         machines: What it cost each control machine.
@@ -178,7 +183,7 @@
     applied_after: float
     versions: int
     is_complete: bool
-    ages: EventAges
+    delays: EventDelays
     proxy: ProxyFigures
     resident_mb: float
     machines: list[MachineCost]
@@ -190,7 +195,7 @@
             "taken_in_after": self.applied_after,
             "versions": self.versions,
             "whole": self.is_complete,
-            "age": self.ages.as_dict(),
+            "age": self.delays.as_dict(),
             "proxy": asdict(self.proxy),
             "resident_mb": self.resident_mb,
             "machines": [machine.as_dict() for machine in self.machines],
--- a/emulator/runs/fleet_measurement.py
+++ b/emulator/runs/fleet_measurement.py
@@ -1,4 +1,4 @@
-"""Measures what an event costs a simulated fleet, from its beginning until it is applied everywhere.
+"""Measures what an event costs a simulated fleet, from its beginning until it is applied at all proxies.
 
 It owns the readings and what is worked out from them; the typed results are in `fleet_figures`, the events in
 `fleet_events`. A proxy of a real fleet has a core of its own; here many share one, so an age includes the
@@ -14,7 +14,7 @@
 
 from emulator.errors import MemoryLimitError
 from emulator.measurement.usage_sampler import UsageSampler
-from emulator.runs.fleet_figures import EventAges, EventMeasurement, MachineCost, ProxyFigures
+from emulator.runs.fleet_figures import EventDelays, EventMeasurement, MachineCost, ProxyFigures
 from testbed.meter import MB, WORST_WINDOW
 
 if TYPE_CHECKING:
@@ -23,11 +23,13 @@
     from testbed.discovery.registry import RegistryUsage
 
 MAX_MEMORY_FRACTION = 0.5  # of this machine's memory; a run that takes more ends
-APPLY_TIMEOUT = 60.0  # seconds that a change may take to be applied everywhere before it counts as missing
+APPLY_TIMEOUT = (
+    60.0  # seconds that a change may take to be applied at all proxies before it counts as missing
+)
 
 
 def measure(fleet: SimulatedFleet, event: FleetEvent) -> EventMeasurement:
-    """Carry out an event, wait until it is applied everywhere, and measure its cost.
+    """Carry out an event, wait until it is applied at all proxies, and measure its cost.
 
     Raises:
         MemoryLimitError: The processes take too much of this machine's memory.
@@ -48,7 +50,7 @@
         applied_after=ended - happened,
         versions=len(fleet.publications),
         is_complete=is_complete,
-        ages=EventAges.of(fleet.age_reports()),
+        delays=EventDelays.of(fleet.delay_reports()),
         proxy=_proxy_figures(fleet, sampler, machines, ended - started, lists_worst),
         resident_mb=resident / MB,
         machines=machines,
--- a/emulator/runs/simulated_fleet.py
+++ b/emulator/runs/simulated_fleet.py
@@ -15,7 +15,7 @@
 
 from emulator.fleet import topology
 from emulator.fleet.simulated_host import ProxyPlacement, SimulatedHost, StartCost
-from emulator.measurement.change_ages import AgeReport, Publication
+from emulator.measurement.propagation_delay import DelayReport, Publication
 from emulator.runs.endpoint_changes import EndpointChanges
 from emulator.runs.fleet_layout import MACHINES, FleetEndpoint, FleetLayout, assign_proxies
 from testbed.child_process import ChildProcess, call_all
@@ -125,16 +125,16 @@
         call_all(machines, "publish", self._index, entries)
 
     def forget_publications(self) -> None:
-        """Forget the versions published so far: ages are reported for later ones."""
+        """Forget the versions published so far, so that delays are reported only for later ones."""
         self.publications = {}
 
     def wait_until_applied(self, timeout: float) -> bool:
-        """Wait until every proxy has applied what concerns it; False where that takes longer."""
+        """Wait until every proxy has applied the versions visible to it; return False after `timeout` s."""
         return all(call_all(self.hosts, "wait_until_applied", self._latest, timeout))
 
-    def age_reports(self) -> list[AgeReport]:
-        """Ask each host for the ages of the publications."""
-        return call_all(self.hosts, "age_report", self.publications)
+    def delay_reports(self) -> list[DelayReport]:
+        """Return the propagation delays of the publications, one report for each host process."""
+        return call_all(self.hosts, "delay_report", self.publications)
 
     # ---- control machines and networks -----------------------------------------------------
 
--- a/tests/emulator/test_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -38,15 +38,15 @@
 
 def test_every_proxy_applies_the_loss_of_a_zone(fleet: SimulatedFleet) -> None:
     measured = measure(fleet, lose_zone)
-    assert (measured.versions, measured.is_complete, measured.ages.missing) == (1, True, 0)
-    assert measured.ages.everywhere.count == PROXIES
-    assert measured.ages.at_last.count == 1
+    assert (measured.versions, measured.is_complete, measured.delays.missing) == (1, True, 0)
+    assert measured.delays.all_proxies.count == PROXIES
+    assert measured.delays.last_proxy.count == 1
     assert [machine.open_watches for machine in measured.machines] == [4, 4, 4]
 
 
 def test_a_lost_machines_watches_resume_at_the_other_two(fleet: SimulatedFleet) -> None:
     measured = measure(fleet, lose_machine)
-    assert (measured.is_complete, measured.ages.missing) == (True, 0)
+    assert (measured.is_complete, measured.delays.missing) == (True, 0)
     watches = [machine.open_watches for machine in measured.machines]
     assert watches[0] == 0
     assert sum(watches) == PROXIES
--- a/tests/emulator/test_simulated_host.py
+++ b/tests/emulator/test_simulated_host.py
@@ -7,7 +7,7 @@
 import pytest
 
 from emulator.fleet.simulated_host import ProxyPlacement, SimulatedHost
-from emulator.measurement.change_ages import Publication
+from emulator.measurement.propagation_delay import Publication
 from tests.support.loopback import ManualClock, wait_until, with_timeout
 from tests.support.small_fleet import BACKENDS, ENDPOINT, NAMES, SEED, SERVICES, changed, running_registry
 
@@ -27,19 +27,19 @@
             await clock.wait_until(starting.done)
             assert starting.result().proxies == 2
             before = {2: Publication(registry.publish(2, [changed(0)]), frozenset(NAMES[:1]))}
-            await clock.wait_until(lambda: host.age_report(before).missing == 0)
+            await clock.wait_until(lambda: host.delay_report(before).missing == 0)
             getattr(registry, failure)([ENDPOINT])
             registry.publish(3, [changed(1)])
             meanwhile = {3: Publication(0.0, frozenset(NAMES[1:2]))}
             await clock.advance(PARTITION_SECONDS)
-            assert host.age_report(meanwhile).missing == 2
+            assert host.delay_report(meanwhile).missing == 2
             if failure == "close_endpoints":
                 await registry.open_endpoint(ENDPOINT, port)
             else:
                 registry.heal([ENDPOINT])
             for _ in range(4):
                 await clock.advance(0.2)
-            await clock.wait_until(lambda: host.age_report(meanwhile).missing == 0)
+            await clock.wait_until(lambda: host.delay_report(meanwhile).missing == 0)
             assert registry.usage().traffic.snapshots == 2  # those of the start: a return gets a delta
 
     asyncio.run(scenario())
