--- a/emulator/errors.py
+++ b/emulator/errors.py
@@ -18,7 +18,7 @@
 
 
 class WatchTimeoutError(RuntimeError):
-    """A proxy does not watch its control machine in time."""
+    """A proxy does not watch its registry in time."""
 
     def __init__(self) -> None:
         super().__init__("a proxy does not watch")
--- a/emulator/fleet/placement.py
+++ b/emulator/fleet/placement.py
@@ -1,4 +1,4 @@
-"""Which processor cores each process of a trial runs on; nothing is started or moved here."""
+"""Assigns processor cores to the processes of a run with real proxies; starts no process itself."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-MIN_SEPARATE_CORES = 3  # fewer are shared by all
+MIN_SEPARATE_CORES = 3  # on fewer cores, all processes share all cores
 
 
 @dataclass(slots=True, frozen=True)
 class Placement:
-    """The cores of each role.
+    """The cores of each process.
 
     Attributes:
-        backend: Of the stub backend.
-        load_generator: Of the load generator.
-        proxies: Of each proxy.
-        exclusive: Whether no process shares its core with another one of the trial.
+        backend: Cores of the stub backend.
+        load_generator: Cores of the load generator.
+        proxies: Cores of each proxy.
+        exclusive: Whether each process has a core that no other process of the run uses.
     """
 
     backend: frozenset[int]
@@ -28,14 +28,15 @@
     exclusive: bool
 
 
-def place(cores: Sequence[int], proxies: int) -> Placement:
-    """Give each process a core where there are enough; else the proxies share the cores that are left."""
+def place_processes(cores: Sequence[int], proxy_count: int) -> Placement:
+    """Assign one core to each process if there are enough; otherwise the proxies share the other cores."""
     if len(cores) < MIN_SEPARATE_CORES:
         shared = frozenset(cores)
-        return Placement(shared, shared, [shared] * proxies, exclusive=False)
+        return Placement(shared, shared, [shared] * proxy_count, exclusive=False)
     remaining = cores[2:]
-    exclusive = len(remaining) >= proxies
+    exclusive = len(remaining) >= proxy_count
     proxy_cores = [
-        frozenset(remaining[n : n + 1]) if exclusive else frozenset(remaining) for n in range(proxies)
+        frozenset(remaining[index : index + 1]) if exclusive else frozenset(remaining)
+        for index in range(proxy_count)
     ]
     return Placement(frozenset(cores[:1]), frozenset(cores[1:2]), proxy_cores, exclusive=exclusive)
--- a/emulator/fleet/real_proxies.py
+++ b/emulator/fleet/real_proxies.py
@@ -1,6 +1,6 @@
-"""Real proxies of a simulated fleet, each in a process of its own, to compare simulated ones with.
+"""Runs real proxies of a simulated fleet, each in its own process, as a reference for simulated proxies.
 
-It owns their configuration files and processes, from start to end.
+This module writes their configuration files, and starts and ends their processes.
 """
 
 from __future__ import annotations
@@ -28,24 +28,24 @@
 
 @contextmanager
 def real_proxies(topology: Topology, ports: list[int], discovery_port: int) -> Iterator[list[int]]:
-    """Run one real proxy for each port; yields their process ids, and kills them after the block."""
+    """Run one real proxy on each port; yields their process ids, and kills the processes at the end."""
     program = ProxyProgram.of_tree(PROJECT_ROOT)
-    running: list[subprocess.Popen[bytes]] = []
+    processes: list[subprocess.Popen[bytes]] = []
     with TemporaryDirectory() as folder:
         try:
             for position, port in enumerate(ports):
-                file = Path(folder) / f"{position}.json"
-                _config(topology, position, port, discovery_port).write(file)
-                running.append(_start(program, file))
-            yield [process.pid for process in running]
+                config_path = Path(folder) / f"{position}.json"
+                _proxy_config(topology, position, port, discovery_port).write(config_path)
+                processes.append(_start_proxy(program, config_path))
+            yield [process.pid for process in processes]
         finally:
-            for process in running:
+            for process in processes:
                 process.kill()
                 process.wait()
 
 
-def _config(topology: Topology, position: int, port: int, discovery_port: int) -> ProxyConfig:
-    """Configure a backend's proxy, which knows no endpoint at its start."""
+def _proxy_config(topology: Topology, position: int, port: int, discovery_port: int) -> ProxyConfig:
+    """Build the configuration of a backend's proxy, whose cached endpoint list is empty at its start."""
     return ProxyConfig(
         name=topology.entries[position]["name"],
         port=port,
@@ -56,11 +56,11 @@
     )
 
 
-def _start(program: ProxyProgram, configuration: Path) -> subprocess.Popen[bytes]:
+def _start_proxy(program: ProxyProgram, config_path: Path) -> subprocess.Popen[bytes]:
     return subprocess.Popen(
         program.command,
         cwd=program.root,
-        env=inherited_environment() | {"RELAY_CONFIG": str(configuration)},
+        env=inherited_environment() | {"RELAY_CONFIG": str(config_path)},
         stdin=subprocess.DEVNULL,
         stdout=subprocess.DEVNULL,
         stderr=subprocess.DEVNULL,
--- a/emulator/fleet/settings.py
+++ b/emulator/fleet/settings.py
@@ -1,7 +1,7 @@
-"""The settings of a proxy of the simulated fleet, in the form of the configuration file.
+"""The settings of a proxy of the simulated fleet, in the format of the configuration file.
 
-The file itself is in `testbed.proxy_config`; proxies in front of the stub backend have the settings of
-`emulator.fleet.stub_fleet`.
+`testbed.proxy_config` writes the file. Proxies in front of the stub backend have other settings, which are
+in `emulator.fleet.stub_fleet`.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 
 
 def proxy_settings(topology: Topology, position: int, fleet_size: int | None = None) -> RawSettings:
-    """Build the settings of one backend's proxy.
+    """Build the settings of the proxy of one backend.
 
     Args:
         topology: The fleet.
-        position: The position of the backend in the topology.
-        fleet_size: How many proxies there are; None: one for each backend.
+        position: Position of the backend in the topology.
+        fleet_size: Number of proxies; None: one for each backend.
     """
     entry = topology.entries[position % len(topology.entries)]
     fleet_size = fleet_size or len(topology.entries)
--- a/emulator/fleet/simulated_host.py
+++ b/emulator/fleet/simulated_host.py
@@ -1,8 +1,7 @@
-"""A process of simulated proxies.
+"""A process that runs simulated proxies.
 
-It owns their start, the calls fed to them, the waits for them and the sums of what they measured. A run
-calls its methods by name from another process (`testbed.child_process`), so arguments and results are
-values that can be pickled.
+A run calls the methods of `SimulatedHost` by name from another process (`testbed.child_process`), so that
+their arguments and results must be picklable.
 """
 
 from __future__ import annotations
@@ -27,15 +26,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-FEEDING_INTERVAL = 0.02  # seconds between two feedings of calls
-START_BATCH = 8  # watches that are opened together: more would keep the open ones waiting past their timeout
-LIST_TIMEOUT = 30.0  # seconds in which a new watch has its list
-POLL_INTERVAL = 0.1  # seconds between two checks of all proxies, which cost processor time themselves
+FEEDING_INTERVAL = 0.02  # seconds between two batches of simulated requests
+START_BATCH = 8  # watches that are opened together; with more, open watches wait longer than their timeout
+LIST_TIMEOUT = 30.0  # seconds until a new watch must have received its endpoint list
+POLL_INTERVAL = 0.1  # seconds between two checks of all proxies; each check costs processor time
 
 
 @dataclass(slots=True, frozen=True)
 class ProxyPlacement:
-    """A proxy to start: the position of its backend in the topology, and the port that it watches."""
+    """A proxy to start: the position of its backend in the topology, and the registry port to watch."""
 
     position: int
     port: int
@@ -43,19 +42,19 @@
 
 @dataclass(slots=True, frozen=True)
 class StartCost:
-    """What starting proxies added to their process.
+    """Cost of starting the proxies of one process.
 
     Attributes:
-        processor: Processor time in seconds.
-        memory: Resident memory in bytes.
-        proxies: How many proxies were started.
-        resident: Resident memory of the process afterwards in bytes.
+        processor_seconds: Processor time.
+        added_memory: Resident memory that the start added to the process, in bytes.
+        proxies: Number of proxies started.
+        resident_memory: Resident memory of the process after the start, in bytes.
     """
 
-    processor: float
-    memory: int
+    processor_seconds: float
+    added_memory: int
     proxies: int
-    resident: int
+    resident_memory: int
 
 
 class SimulatedHost:
@@ -70,44 +69,50 @@
         self._seed = seed
         self._reader = endpoint_reader()
         self.proxies: list[SimulatedProxy] = []
-        self._feeding: asyncio.Task[None] | None = None
+        self._feeding_task: asyncio.Task[None] | None = None
 
     async def start_proxies(
-        self, placements: list[ProxyPlacement], fleet_size: int | None = None, *, narrow_view: bool = False
+        self,
+        placements: list[ProxyPlacement],
+        fleet_size: int | None = None,
+        *,
+        only_called_services: bool = False,
     ) -> StartCost:
-        """Start proxies and wait until they hold their lists.
+        """Start proxies and wait for their endpoint lists; TimeoutError if one is later than `LIST_TIMEOUT`.
 
         Args:
             placements: The proxies.
-            fleet_size: Proxies of the fleet in all, by the settings; None: one for each backend.
-            narrow_view: Whether their ports show only the backends of the services that each one calls.
-
-        Raises:
-            TimeoutError: A list does not arrive in time.
+            fleet_size: Number of proxies of the fleet in the settings; None: one for each backend.
+            only_called_services: Whether a proxy sees only the backends that its service calls.
         """
         gc.collect()
         before = meter.own_usage()
         for first in range(0, len(placements), START_BATCH):
             batch = placements[first : first + START_BATCH]
-            views = [self._called_names(each.position) if narrow_view else None for each in batch]
-            await self._start_batch(
-                [self._create(each, fleet_size, view) for each, view in zip(batch, views, strict=True)]
-            )
+            views = [
+                self._called_backend_names(placement.position) if only_called_services else None
+                for placement in batch
+            ]
+            proxies = [
+                self._create_proxy(placement, fleet_size, view)
+                for placement, view in zip(batch, views, strict=True)
+            ]
+            await self._start_batch(proxies)
         gc.collect()
         after = meter.own_usage()
         return StartCost(
-            processor=after.processor - before.processor,
-            memory=after.memory - before.memory,
+            processor_seconds=after.processor - before.processor,
+            added_memory=after.memory - before.memory,
             proxies=len(placements),
-            resident=after.memory,
+            resident_memory=after.memory,
         )
 
-    def _called_names(self, position: int) -> frozenset[str]:
-        """Return the names of the backends that the service of a backend calls."""
-        called = self._topology.called_backends(self._topology.service_of[position])
-        return frozenset(self._topology.entries[backend]["name"] for backend in called)
+    def _called_backend_names(self, position: int) -> frozenset[str]:
+        """Return the names of the backends of all services that a backend's service calls."""
+        called_positions = self._topology.called_backends(self._topology.service_of[position])
+        return frozenset(self._topology.entries[called]["name"] for called in called_positions)
 
-    def _create(
+    def _create_proxy(
         self, placement: ProxyPlacement, fleet_size: int | None, view: frozenset[str] | None
     ) -> SimulatedProxy:
         position = placement.position
@@ -123,16 +128,20 @@
         self.proxies += proxies
 
     def freeze(self) -> None:
-        """Exempt all present objects from garbage collection, as the real proxy does once it has its list."""
+        """Exempt all current objects from garbage collection, as a real proxy does after its first list."""
         gc.collect()
         gc.freeze()
 
-    async def wait_until_applied(self, latest: dict[str, int], max_wait: float) -> bool:
-        """Wait until no proxy is behind the latest versions, by name; False after `max_wait` seconds."""
-        return await self._wait_for_all(lambda proxy: not proxy.is_behind(latest), max_wait)
+    async def wait_until_applied(self, latest_versions: dict[str, int], max_wait: float) -> bool:
+        """Wait until all proxies have applied the latest versions, which are given by backend name.
+
+        Returns:
+            False if a proxy has not applied them after `max_wait` seconds.
+        """
+        return await self._wait_for_all(lambda proxy: not proxy.is_behind(latest_versions), max_wait)
 
     async def wait_for_snapshots(self, count: int, max_wait: float) -> bool:
-        """Wait until every proxy has had `count` complete lists; False after `max_wait` seconds."""
+        """Wait until every proxy has applied `count` snapshots; return False after `max_wait` seconds."""
         return await self._wait_for_all(lambda proxy: proxy.snapshots >= count, max_wait)
 
     async def _wait_for_all(self, condition: Callable[[SimulatedProxy], bool], max_wait: float) -> bool:
@@ -143,31 +152,37 @@
             await asyncio.sleep(POLL_INTERVAL)
         return True
 
-    def set_call_rate(self, rate: float) -> None:
-        """Feed each proxy calls at a rate a second from now on; 0: none."""
-        if self._feeding is not None:
-            self._feeding.cancel()
-            self._feeding = None
+    def set_request_rate(self, rate: float) -> None:
+        """Simulate requests at each proxy at `rate` a second from now on; 0 stops them."""
+        if self._feeding_task is not None:
+            self._feeding_task.cancel()
+            self._feeding_task = None
         if rate > 0.0:
-            self._feeding = asyncio.get_running_loop().create_task(self._feed_calls(rate))
+            self._feeding_task = asyncio.get_running_loop().create_task(self._feed_requests(rate))
 
-    async def _feed_calls(self, rate: float) -> None:
+    async def _feed_requests(self, rate: float) -> None:
         loop = asyncio.get_running_loop()
-        started, fed = loop.time(), 0
+        started, fed_requests = loop.time(), 0
         while True:
             await asyncio.sleep(FEEDING_INTERVAL)
-            due = int((loop.time() - started) * rate)
+            due_requests = int((loop.time() - started) * rate)
             for proxy in self.proxies:
-                for _ in range(due - fed):
-                    proxy.call()
-            fed = due
+                for _ in range(due_requests - fed_requests):
+                    proxy.simulate_request()
+            fed_requests = due_requests
 
     def usage(self) -> meter.Usage:
-        """Read what this process has spent."""
+        """Return the resource usage of this process."""
         return meter.own_usage()
 
     def worst_list_cost(self, started: float, ended: float, window: float = meter.WORST_WINDOW) -> float:
-        """Return the most processor seconds that a proxy spent on lists in any `window` between two times."""
+        """Return the most processor time that one proxy spent on list updates in any window, in seconds.
+
+        Args:
+            started: Start of the measured time on the monotonic clock.
+            ended: End of the measured time.
+            window: Length of a window in seconds.
+        """
         costs = (proxy.worst_list_cost(started, ended, window) for proxy in self.proxies)
         return max(costs, default=0.0)
 
--- a/emulator/fleet/simulated_proxy.py
+++ b/emulator/fleet/simulated_proxy.py
@@ -1,7 +1,7 @@
-"""One simulated proxy: the real balancer and the real watch, without callers and backends.
+"""A simulated proxy: the real balancer and the real watch, without clients and backends.
 
-Calls are events that are fed to the balancer; nothing goes to a backend. What a proxy does for control is
-real: the socket, the parsing, the reading of entries and the balancer's endpoint list.
+Requests are events that are passed to the balancer; nothing is sent to a backend. The handling of endpoint
+updates is that of a real proxy: the socket, the parser, the endpoint reader and the balancer's list.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
     from proxy.discovery.messages import EndpointListMessage
     from proxy.discovery.watch_connection import WatchConnection
 
-CALL_LATENCY = 0.004  # seconds that a simulated call takes at its backend
-CLASSES = 2  # classes of requests in the settings of the fleet
+BACKEND_LATENCY = 0.004  # seconds until a backend responds to a simulated request
+CLASS_COUNT = 2  # request classes in the settings of the fleet
 
 
 def endpoint_reader() -> EndpointReader:
@@ -40,22 +40,22 @@
     )
 
 
-def simulate_call(balancer: Balancer, now: float, number: int) -> None:
-    """Feed one call to a balancer, from its arrival to its answer."""
+def simulate_request(balancer: Balancer, now: float, number: int) -> None:
+    """Pass the events of one request to a balancer, from its arrival to its response."""
     request_id = str(number)
-    actions = balancer.on_request(now, IncomingRequest(request_id, class_index=number % CLASSES))
+    actions = balancer.on_request(now, IncomingRequest(request_id, class_index=number % CLASS_COUNT))
     if any(isinstance(action, StartAttempt) for action in actions):
         balancer.on_attempt_finished(
-            now + CALL_LATENCY, request_id, 0, Outcome.SUCCESS, CALL_LATENCY, last=True
+            now + BACKEND_LATENCY, request_id, 0, Outcome.SUCCESS, BACKEND_LATENCY, last=True
         )
 
 
 class MeteredDiscovery(DiscoveryClient):
-    """The real watch, which records when it applied which versions and what that cost.
+    """The real discovery client, which also records each applied update and its processor time.
 
     Attributes:
-        applied_updates: The messages applied, in order.
-        cost_by_second: Processor time in seconds of reading and applying entries, by full second of the
+        applied_updates: The applied messages in order.
+        cost_by_second: Processor time in seconds for reading and applying entries, by full second of the
             monotonic clock.
     """
 
@@ -70,7 +70,7 @@
         self.cost_by_second: dict[int, float] = {}
 
     def on_message(self, watch: WatchConnection, message: EndpointListMessage | None) -> None:
-        """Handle one message of a watch; None: its end."""
+        """Handle one message of a watch; None: the watch has ended."""
         if message is None:
             super().on_message(watch, message)
             return
@@ -84,17 +84,19 @@
 
     @property
     def index(self) -> int:
-        """The version applied last."""
+        """The version that was applied last."""
         return self._index
 
 
 class SimulatedProxy:
-    """One proxy without callers and backends.
+    """One proxy without clients and backends.
 
     Attributes:
-        view: The names of the backends that it sees; None: all.
-        has_list: Set once the first message has been applied.
-        snapshots: How many complete lists it has applied.
+        balancer: The proxy's balancer.
+        view: Names of the backends that the proxy sees; None: all backends.
+        has_list: Set after the first update has been applied.
+        snapshots: Number of snapshots applied.
+        discovery: The proxy's discovery client.
     """
 
     def __init__(
@@ -112,7 +114,7 @@
         self.has_list = asyncio.Event()
         self.snapshots = 0
         self.discovery = MeteredDiscovery(Address(HOST, port), reader, self._on_update)
-        self._calls = 0
+        self._request_count = 0
 
     def _now(self) -> float:
         return self._loop.time() + self._epoch
@@ -125,22 +127,26 @@
             self.snapshots += kind is UpdateKind.SNAPSHOT
         self.has_list.set()
 
-    def call(self) -> None:
-        """Feed one call to the balancer."""
-        self._calls += 1
-        simulate_call(self.balancer, self._now(), self._calls)
+    def simulate_request(self) -> None:
+        """Pass the events of one request to the balancer."""
+        self._request_count += 1
+        simulate_request(self.balancer, self._now(), self._request_count)
 
-    def is_behind(self, latest: Mapping[str, int]) -> bool:
-        """Whether it has not applied the latest version, by name, of a backend that it sees."""
-        names = latest.keys() if self.view is None else self.view & latest.keys()
-        return self.discovery.index < max((latest[name] for name in names), default=0)
+    def is_behind(self, latest_versions: Mapping[str, int]) -> bool:
+        """Whether the proxy has not applied the latest version of a backend that it sees.
+
+        Args:
+            latest_versions: The last version that changed a backend, by the backend's name.
+        """
+        names = latest_versions.keys() if self.view is None else self.view & latest_versions.keys()
+        return self.discovery.index < max((latest_versions[name] for name in names), default=0)
 
     def propagation_delays(self, publications: Publications) -> dict[int, float]:
         """Return the delay in seconds until this proxy applied each version that is visible to it."""
         return propagation_delays(self.discovery.applied_updates, publications, self.view)
 
     def worst_list_cost(self, started: float, ended: float, window: float) -> float:
-        """Return the most processor seconds that it spent on messages in any window between two times."""
+        """Return the most processor time spent on updates in any window between two times, in seconds."""
         costs = {
             second: cost
             for second, cost in self.discovery.cost_by_second.items()
@@ -148,8 +154,8 @@
         }
         return max(
             (
-                sum(cost for second, cost in costs.items() if first <= second < first + window)
-                for first in costs
+                sum(cost for second, cost in costs.items() if window_start <= second < window_start + window)
+                for window_start in costs
             ),
             default=0.0,
         )
--- a/emulator/fleet/stub_fleet.py
+++ b/emulator/fleet/stub_fleet.py
@@ -1,6 +1,6 @@
-"""Proxies in front of the stub backend: their endpoint list and their settings.
+"""The endpoint list and the settings of proxies in front of the stub backend.
 
-The proxies of a simulated fleet, with services and zones, are configured in `emulator.fleet.settings`.
+The settings of a simulated fleet, with services and zones, are in `emulator.fleet.settings`.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
     from testbed.discovery.entry import EndpointEntry, EndpointUpdate
 
 
-def endpoint_snapshot(rows: int, ports: Sequence[int]) -> EndpointUpdate:
-    """Build an endpoint list in discovery's form; where it has more rows than ports, they take turns."""
-    return {"index": 1, "snapshot": True, "endpoints": endpoint_entries(rows, ports)}
+def endpoint_snapshot(endpoint_count: int, ports: Sequence[int]) -> EndpointUpdate:
+    """Build a snapshot in the format of discovery; the entries use the ports round-robin."""
+    return {"index": 1, "snapshot": True, "endpoints": endpoint_entries(endpoint_count, ports)}
 
 
-def endpoint_entries(rows: int, ports: Sequence[int]) -> list[EndpointEntry]:
-    """Build the entries of such a list."""
+def endpoint_entries(endpoint_count: int, ports: Sequence[int]) -> list[EndpointEntry]:
+    """Build the entries of an endpoint list; the entries use the ports round-robin."""
     return [
         {
-            "name": f"s-{n}",
-            "address": f"{HOST}:{ports[n % len(ports)]}",
+            "name": f"s-{number}",
+            "address": f"{HOST}:{ports[number % len(ports)]}",
             "zone": "here",
             "type": "k",
             "group": 0,
@@ -34,12 +34,12 @@
             "weight": 1.0,
             "since_ms": 0,
         }
-        for n in range(rows)
+        for number in range(endpoint_count)
     ]
 
 
 def stub_proxy_settings(fleet_size: int, ordinal: int) -> RawSettings:
-    """Build the settings of one proxy of a fleet, in the form of the configuration file."""
+    """Build the settings of one proxy of a fleet, in the format of the configuration file."""
     return {
         "Instances": fleet_size,
         "Ordinal": ordinal,
--- a/emulator/load/watches.py
+++ b/emulator/load/watches.py
@@ -1,6 +1,6 @@
-"""Watches that read and discard, to load a control machine at next to no cost of their own.
+"""Watches that read and discard, to load a registry at next to no cost of their own.
 
-It owns the connections; what the control machine spends on them is measured there.
+It owns the connections; what the registry spends on them is measured there.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 
 
 class WatchLoad:
-    """Many watches on one control machine."""
+    """Many watches on one registry."""
 
     def __init__(self) -> None:
         self._watches: list[DiscardingWatch] = []
 
     async def open(self, port: int, count: int) -> None:
-        """Open `count` more; OSError where the control machine rejects a connection."""
+        """Open `count` more; OSError where the registry rejects a connection."""
         loop = asyncio.get_running_loop()
         for _ in range(count):
             _, watch = await loop.create_connection(DiscardingWatch, HOST, port)
--- a/emulator/measurement/budgets.py
+++ b/emulator/measurement/budgets.py
@@ -73,7 +73,7 @@
         limit=4096.0,
         unit="B/s",
         enforced=False,
-        reason="a control machine that has lost its log sends the full list",
+        reason="a registry that has lost its log sends the full list",
     ),
     Budget(
         figure="change_age",
--- a/emulator/measurement/control_cost.py
+++ b/emulator/measurement/control_cost.py
@@ -19,7 +19,7 @@
 
     Attributes:
         processor: Processor time in seconds.
-        sent_bytes: Bytes that the control machine sent to it.
+        sent_bytes: Bytes that the registry sent to it.
         processor_net: The processor time beyond what as much idle time costs; None where not worked out.
     """
 
--- a/emulator/measurement/usage_sampler.py
+++ b/emulator/measurement/usage_sampler.py
@@ -24,7 +24,7 @@
     """Reads processes from outside, without their help, for as long as the block lasts.
 
     Attributes:
-        processor: The processor time of each process, in their order.
+        processor_time: Processor time of each process, in their order.
         peak_memory: The peak resident memory of each process in bytes.
     """
 
@@ -32,7 +32,7 @@
         self._children = children
         self._stop_requested = threading.Event()
         self._thread = threading.Thread(target=self._sample_until_stopped, daemon=True)
-        self.processor = [Series() for _ in children]
+        self.processor_time = [Series() for _ in children]
         self.peak_memory = [0] * len(children)
 
     def __enter__(self) -> UsageSampler:
@@ -57,5 +57,5 @@
     def _sample(self) -> None:
         for number, child in enumerate(self._children):
             usage = child.usage()
-            self.processor[number].add(time.monotonic(), usage.processor)
+            self.processor_time[number].add(time.monotonic(), usage.processor)
             self.peak_memory[number] = max(self.peak_memory[number], usage.memory)
--- a/emulator/runs/added_latency.py
+++ b/emulator/runs/added_latency.py
@@ -18,7 +18,7 @@
 import click
 import numpy as np
 
-from emulator.fleet.placement import Placement, place
+from emulator.fleet.placement import Placement, place_processes
 from emulator.fleet.role_processes import MAX_BACKEND_PORTS, BackendProcess, LoadGeneratorProcess
 from emulator.fleet.stub_fleet import endpoint_snapshot, stub_proxy_settings
 from emulator.load.plan import LoadPlan, Stream
@@ -80,7 +80,7 @@
 
 async def _measure(trial: Trial, cores: Sequence[int], seed: int) -> TrialReport:
     """Run one trial on these cores."""
-    placement = place(cores, len(trial.rates))
+    placement = place_processes(cores, len(trial.rates))
     async with AsyncExitStack() as stack:
         backend = await BackendProcess.start(
             stack,
--- a/emulator/runs/fleet.py
+++ b/emulator/runs/fleet.py
@@ -1,7 +1,7 @@
-"""The run `fleet`: the target's size on one machine, through changes and failures.
+"""The run `fleet`: cost of changes and failures in a fleet of the target size, simulated on one machine.
 
-Up to 910 simulated proxies watch three control machines. The run goes through the plans (`fleet_plans`) and
-their events (`fleet_events`) in order and writes the result; `fleet_measurement` measures.
+Up to 910 simulated proxies watch three registries. The run carries out all plans (`fleet_plans`) and their
+events (`fleet_events`) in order, measures them (`fleet_measurement`) and writes the result.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 
 @dataclass(slots=True, frozen=True)
 class PlanResult:
-    """What was measured for one plan: its start, and its events by name."""
+    """Measurements of one plan: the cost of its start, and its events by name."""
 
     plan: Plan
     start: FleetStart
     events: dict[str, EventMeasurement]
 
     def as_dict(self) -> JsonObject:
-        """Return the plan as a result holds it."""
+        """Return the measurements as stored in the result file."""
         return {
             "proxies": self.plan.proxies,
-            "narrow": self.plan.narrow_view,
-            "speed": self.plan.speed,
+            "narrow": self.plan.only_called_services,
+            "speed": self.plan.change_rate_factor,
             "rows": self.plan.backends,
             "start": asdict(self.start),
             "events": {name: event.as_dict() for name, event in self.events.items()},
@@ -44,13 +44,13 @@
 
 
 def run(options: RunOptions) -> RunResult:
-    """All plans, one after the other; writes fleet.json."""
+    """Measure changes and failures in simulated fleets of the target size; writes fleet.json."""
     started = time.monotonic()
-    plans = [run_plan(plan, options.seed) for plan in (QUICK_PLANS if options.quick else PLANS)]
-    figures = budget_figures(plans)
+    results = [run_plan(plan, options.seed) for plan in (QUICK_PLANS if options.quick else PLANS)]
+    figures = budget_figures(results)
     body: JsonObject = {
         "quick": options.quick,
-        "plans": {each.plan.name: each.as_dict() for each in plans},
+        "plans": {result.plan.name: result.as_dict() for result in results},
         "figures": figures,
         "duration": time.monotonic() - started,
     }
@@ -58,11 +58,11 @@
 
 
 def run_plan(plan: Plan, seed: int) -> PlanResult:
-    """Start a plan's fleet and carry out its events, one after the other."""
+    """Start the fleet of a plan, and carry out and measure its events in order."""
     events: dict[str, EventMeasurement] = {}
     with ExitStack() as stack:
         fleet = SimulatedFleet(plan, seed, stack)
-        report_progress("fleet", f"{plan.name}: {plan.proxies} proxies hold their lists")
+        report_progress("fleet", f"{plan.name}: {plan.proxies} proxies have their endpoint lists")
         for name in plan.events:
             events[name] = measure(fleet, EVENTS[name])
             _report_event(plan, name, events[name])
@@ -78,15 +78,16 @@
     )
 
 
-def budget_figures(plans: list[PlanResult]) -> dict[str, float]:
+def budget_figures(results: list[PlanResult]) -> dict[str, float]:
     """Return the figures that have a budget: the worst of all plans and events.
 
     The propagation delay covers only the event `changes`.
     """
-    costs = [event.proxy for plan in plans for event in plan.events.values()]
+    costs = [event.proxy for result in results for event in result.events.values()]
     return {
-        # The busiest process's mean over its proxies, or what lists alone cost the busiest proxy.
+        # The greater of two costs: the mean over the proxies of the busiest process, and the list updates of
+        # the busiest proxy.
         "processor_worst": max(max(cost.processor_worst, cost.lists_worst) for cost in costs),
         "bytes_worst": max(cost.bytes_worst for cost in costs),
-        "change_age": max(plan.events["changes"].delays.last_proxy.worst or 0.0 for plan in plans),
+        "change_age": max(result.events["changes"].delays.last_proxy.worst or 0.0 for result in results),
     }
--- a/emulator/runs/fleet_events.py
+++ b/emulator/runs/fleet_events.py
@@ -1,6 +1,6 @@
-"""The events of the run `fleet`: what happens to a simulated fleet while its costs are measured.
+"""The events of the run `fleet`: changes and failures of a simulated fleet whose cost is measured.
 
-It owns the steps of each event; `EVENTS` maps the names that plans and results use to them.
+`EVENTS` maps the names of the events, as plans and results use them, to the functions that cause them.
 """
 
 from __future__ import annotations
@@ -12,82 +12,82 @@
 from emulator.runs.pacing import poisson_arrivals
 from emulator.runs.simulated_fleet import SimulatedFleet
 
-TAKEOVER_TIME = 0.3  # seconds after which the other two machines serve a lost one's addresses
+TAKEOVER_TIME = 0.3  # seconds until the other two registries serve the addresses of a failed registry
 REPLACED_BACKENDS = 110
-CHANGES_MEANWHILE = 5  # published while watches are disconnected
-LOST_ZONE = "b"
-PARTITIONED_REGION = 1  # the region that is cut off from the control machines
-LOST_MACHINE, RESTARTED_MACHINE = 0, 1
+MISSED_CHANGES = 5  # changes published while watches are disconnected
+FAILED_ZONE = "b"
+PARTITIONED_REGION = 1
+FAILED_REGISTRY, RESTARTED_REGISTRY = 0, 1  # numbers of the registries
 
 FleetEvent = Callable[[SimulatedFleet], None]
 
 
 def change_at_rate(fleet: SimulatedFleet) -> None:
-    """Change single backends at random moments."""
+    """Change single backends at random times, at the rate of the plan."""
     _publish_arrivals(fleet, fleet.plan.change_seconds)
 
 
 def _publish_arrivals(fleet: SimulatedFleet, seconds: float) -> None:
-    rate = fleet.plan.speed * CHANGES_PER_DAY / SECONDS_PER_DAY
+    rate = fleet.plan.change_rate_factor * CHANGES_PER_DAY / SECONDS_PER_DAY
     for _ in poisson_arrivals(fleet.rng, rate, seconds):
         fleet.publish([fleet.changes.change_any()])
 
 
 def replace_backends(fleet: SimulatedFleet) -> None:
-    """Replace 110 backends by ones on other machines, at once, with a version for each change."""
+    """Replace `REPLACED_BACKENDS` backends by new ones on other hosts, one version for each change."""
     for position in fleet.rng.permutation(fleet.plan.backends)[:REPLACED_BACKENDS]:
         fleet.publish([fleet.changes.terminate(int(position))])
         fleet.publish([fleet.changes.replace(int(position))])
 
 
-def lose_zone(fleet: SimulatedFleet) -> None:
-    """Terminate a zone's backends in one version."""
+def fail_zone(fleet: SimulatedFleet) -> None:
+    """Terminate all backends of a zone in one version."""
     fleet.publish(
-        [fleet.changes.terminate(position) for position in fleet.topology.backends_in_zone(LOST_ZONE)]
+        [fleet.changes.terminate(position) for position in fleet.topology.backends_in_zone(FAILED_ZONE)]
     )
 
 
 def restore_zone(fleet: SimulatedFleet) -> None:
-    """Restart a zone's backends in one version."""
+    """Restart all backends of a zone in one version."""
     fleet.publish(
-        [fleet.changes.restart(position) for position in fleet.topology.backends_in_zone(LOST_ZONE)]
+        [fleet.changes.restart(position) for position in fleet.topology.backends_in_zone(FAILED_ZONE)]
     )
 
 
-def lose_zone_by_rows(fleet: SimulatedFleet) -> None:
-    """Terminate a zone's backends at once, with a version for each."""
-    for position in fleet.topology.backends_in_zone(LOST_ZONE):
+def fail_zone_by_backend(fleet: SimulatedFleet) -> None:
+    """Terminate all backends of a zone without a pause, one version for each backend."""
+    for position in fleet.topology.backends_in_zone(FAILED_ZONE):
         fleet.publish([fleet.changes.terminate(position)])
 
 
-def restore_zone_by_rows(fleet: SimulatedFleet) -> None:
-    """Restart a zone's backends at once, with a version for each."""
-    for position in fleet.topology.backends_in_zone(LOST_ZONE):
+def restore_zone_by_backend(fleet: SimulatedFleet) -> None:
+    """Restart all backends of a zone without a pause, one version for each backend."""
+    for position in fleet.topology.backends_in_zone(FAILED_ZONE):
         fleet.publish([fleet.changes.restart(position)])
 
 
-def lose_machine(fleet: SimulatedFleet) -> None:
-    """Lose a control machine: its watches resume at the other two, after changes that they missed."""
-    lost = fleet.lose_machine(LOST_MACHINE)
-    _change_meanwhile(fleet)
+def fail_registry(fleet: SimulatedFleet) -> None:
+    """Fail a registry: its watches resume at the other two registries and catch up on missed changes."""
+    reassigned = fleet.fail_registry(FAILED_REGISTRY)
+    _publish_missed_changes(fleet)
     time.sleep(TAKEOVER_TIME)
-    fleet.open_endpoints(lost)
+    fleet.open_endpoints(reassigned)
 
 
-def lose_log(fleet: SimulatedFleet) -> None:
-    """Restart a control machine without its log: its watches return at once for the complete list."""
-    fleet.restart_without_log(RESTARTED_MACHINE)
-    _change_meanwhile(fleet)
+def lose_registry_log(fleet: SimulatedFleet) -> None:
+    """Restart a registry without its log: its watches reconnect and receive the complete list."""
+    fleet.restart_registry_without_log(RESTARTED_REGISTRY)
+    _publish_missed_changes(fleet)
 
 
-def _change_meanwhile(fleet: SimulatedFleet) -> None:
+def _publish_missed_changes(fleet: SimulatedFleet) -> None:
     """Publish changes while some watches are disconnected."""
-    for _ in range(CHANGES_MEANWHILE):
+    for _ in range(MISSED_CHANGES):
         fleet.publish([fleet.changes.change_any()])
 
 
 def partition_region(fleet: SimulatedFleet) -> None:
-    """Cut a region off while changes go on, so that it receives all of them at the end."""
+    """Partition a region while changes are published; it receives all of them after the partition."""
     fleet.partition_region(PARTITIONED_REGION)
     _publish_arrivals(fleet, fleet.plan.partition_seconds)
     fleet.heal_region(PARTITIONED_REGION)
@@ -96,11 +96,11 @@
 EVENTS: dict[str, FleetEvent] = {
     "changes": change_at_rate,
     "replaced": replace_backends,
-    "zone_lost": lose_zone,
+    "zone_lost": fail_zone,
     "zone_back": restore_zone,
-    "zone_lost_by_rows": lose_zone_by_rows,
-    "zone_back_by_rows": restore_zone_by_rows,
-    "machine_lost": lose_machine,
-    "log_lost": lose_log,
+    "zone_lost_by_rows": fail_zone_by_backend,
+    "zone_back_by_rows": restore_zone_by_backend,
+    "machine_lost": fail_registry,
+    "log_lost": lose_registry_log,
     "regions_cut": partition_region,
 }
--- a/emulator/runs/fleet_figures.py
+++ b/emulator/runs/fleet_figures.py
@@ -1,6 +1,6 @@
-"""The figures of one event of the run `fleet`, and their form in a result.
+"""The figures of one event of the run `fleet`, and their form in the result file.
 
-It owns typed values and how they are summed up; `fleet_measurement` takes the readings behind them.
+`fleet_measurement` takes the readings from which the figures are computed.
 """
 
 from __future__ import annotations
@@ -99,16 +99,17 @@
 
 @dataclass(slots=True, frozen=True)
 class ProxyFigures:
-    """What an event costs a proxy; the names are those of results.
+    """Cost of an event for one proxy; the field names are keys of the result file.
 
     Attributes:
-        processor_mean: Percent of a core on average over the event.
-        processor_worst: Percent of a core in the worst window, averaged over the busiest process.
-        lists_worst: Percent of a core that lists alone cost the busiest proxy in its worst window.
-        processor_each: Processor time in seconds for each version.
-        bytes_mean: Bytes a second on average over the event.
-        bytes_worst: Bytes a second in the worst window, from the machine that sent the most to a watch.
-        bytes_each: Bytes for each version.
+        processor_mean: Percent of a core, averaged over the event.
+        processor_worst: Percent of a core in the worst window, averaged over the proxies of the busiest
+            process.
+        lists_worst: Percent of a core that list updates took at the busiest proxy in its worst window.
+        processor_each: Processor time in seconds for one version.
+        bytes_mean: Bytes a second, averaged over the event.
+        bytes_worst: Bytes a second in the worst window, from the registry that sent most for each watch.
+        bytes_each: Bytes for one version.
     """
 
     processor_mean: float
@@ -121,19 +122,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class MachineCost:
-    """What an event costs a control machine.
+class RegistryCost:
+    """Cost of an event for one registry.
 
     Attributes:
-        processor: Processor time in seconds.
+        processor_seconds: Processor time.
         sent_bytes: Bytes sent.
-        open_watches: Watches open at its end.
-        started_watches: Watches opened during it.
+        open_watches: Watches open at the end of the event.
+        started_watches: Watches opened during the event.
         snapshots: Complete lists sent.
         processor_worst: Percent of a core in the worst window.
     """
 
-    processor: float
+    processor_seconds: float
     sent_bytes: int
     open_watches: int
     started_watches: int
@@ -141,10 +142,10 @@
     processor_worst: float
 
     @classmethod
-    def between(cls, before: RegistryUsage, after: RegistryUsage, processor_worst: float) -> MachineCost:
-        """Work out the cost between two readings."""
+    def between(cls, before: RegistryUsage, after: RegistryUsage, processor_worst: float) -> RegistryCost:
+        """Compute the cost between two readings."""
         return cls(
-            processor=after.processor - before.processor,
+            processor_seconds=after.processor - before.processor,
             sent_bytes=after.traffic.sent_bytes - before.traffic.sent_bytes,
             open_watches=after.open_watches,
             started_watches=after.traffic.watches - before.traffic.watches,
@@ -153,9 +154,9 @@
         )
 
     def as_dict(self) -> JsonObject:
-        """Return the cost as a result holds it."""
+        """Return the cost as stored in the result file."""
         return {
-            "processor": self.processor,
+            "processor": self.processor_seconds,
             "sent": self.sent_bytes,
             "watches": self.open_watches,
             "begun": self.started_watches,
@@ -166,17 +167,17 @@
 
 @dataclass(slots=True, frozen=True)
 class EventMeasurement:
-    """What an event cost.
+    """Measurements of one event.
 
     Attributes:
-        seconds: From its beginning until it was applied at all proxies.
-        applied_after: Seconds from its end until it was applied at all proxies.
-        versions: How many versions were published.
+        seconds: Time from the start of the event until all proxies had applied it.
+        applied_after: Seconds from the end of the event until all proxies had applied it.
+        versions: Number of versions published.
         is_complete: Whether every proxy applied in time all versions that are visible to it.
-        delays: The propagation delays of its versions.
-        proxy: What it cost a proxy.
+        delays: Propagation delays of the versions.
+        proxy: Cost for one proxy.
         resident_mb: Peak resident memory, summed over all processes.
-        machines: What it cost each control machine.
+        registries: Cost for each registry.
     """
 
     seconds: float
@@ -186,10 +187,10 @@
     delays: EventDelays
     proxy: ProxyFigures
     resident_mb: float
-    machines: list[MachineCost]
+    registries: list[RegistryCost]
 
     def as_dict(self) -> JsonObject:
-        """Return the measurement as a result holds it."""
+        """Return the measurements as stored in the result file."""
         return {
             "seconds": self.seconds,
             "taken_in_after": self.applied_after,
@@ -198,5 +199,5 @@
             "age": self.delays.as_dict(),
             "proxy": asdict(self.proxy),
             "resident_mb": self.resident_mb,
-            "machines": [machine.as_dict() for machine in self.machines],
+            "machines": [registry.as_dict() for registry in self.registries],
         }
--- a/emulator/runs/fleet_layout.py
+++ b/emulator/runs/fleet_layout.py
@@ -1,7 +1,4 @@
-"""Which proxy of a simulated fleet runs in which process and watches which control machine.
-
-It owns the assignment alone; `simulated_fleet` starts the processes.
-"""
+"""Assigns the proxies of a simulated fleet to processes and registries; `simulated_fleet` starts them."""
 
 from __future__ import annotations
 
@@ -13,26 +10,27 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-MACHINES = 3  # for control
-TAKEOVER_GROUPS = MACHINES - 1  # parts of a machine's watches, one for each machine that may replace it
+REGISTRY_COUNT = 3
+#: The watches of a registry are split into one group for each registry that may take them over.
+TAKEOVER_GROUPS = REGISTRY_COUNT - 1
 
 
 @dataclass(slots=True)
 class FleetEndpoint:
-    """A port of a control machine that proxies of one region, takeover group and view watch.
+    """A port of a registry, watched by the proxies of one region, takeover group and view.
 
     Attributes:
-        name: What control machines call it.
-        port: 0 until it is assigned.
-        machine: The control machine that serves it now.
+        name: The endpoint's name at the registries.
+        port: The TCP port; 0 until it is assigned.
+        registry_number: The registry that serves the endpoint now.
         region: The region of its proxies.
-        takeover_group: Which of the other machines serves it when its own is lost.
-        view: The names of the backends that it shows; None: all.
+        takeover_group: Selects the registry that takes the endpoint over when its own registry fails.
+        view: Names of the backends that the endpoint shows; None: all backends.
     """
 
     name: str
     port: int
-    machine: int
+    registry_number: int
     region: int
     takeover_group: int
     view: frozenset[str] | None
@@ -40,11 +38,11 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetLayout:
-    """Where the proxies of a fleet run and what they watch.
+    """Where the proxies of a fleet run and which endpoints they watch.
 
     Attributes:
-        endpoints: All endpoints.
-        processes: The proxies of each process: the position of the backend, and the endpoint watched.
+        endpoints: All registry endpoints.
+        processes: For each process, its proxies as pairs of backend position and watched endpoint.
     """
 
     endpoints: list[FleetEndpoint]
@@ -52,33 +50,35 @@
 
 
 def assign_proxies(
-    topology: Topology, positions: Sequence[int], process_count: int, *, narrow_view: bool
+    topology: Topology, positions: Sequence[int], process_count: int, *, only_called_services: bool
 ) -> FleetLayout:
-    """Assign the proxies of some backends to control machines and processes in turn.
+    """Assign the proxies of the backends at `positions` to registries and processes round-robin.
 
-    All proxies of a process watch the same control machine, so that the cost of its loss can be seen there.
+    All proxies of a process watch the same registry, so that the process shows the cost of its failure.
     """
     endpoints: dict[str, FleetEndpoint] = {}
     processes: list[list[tuple[int, FleetEndpoint]]] = [[] for _ in range(process_count)]
-    processes_per_machine = process_count // MACHINES
-    for number, position in enumerate(positions):
-        endpoint = _endpoint(topology, number, position, narrow_view=narrow_view)
+    processes_per_registry = process_count // REGISTRY_COUNT
+    for proxy_number, position in enumerate(positions):
+        endpoint = _endpoint(topology, proxy_number, position, only_called_services=only_called_services)
         endpoint = endpoints.setdefault(endpoint.name, endpoint)
-        round_number = number // MACHINES
-        process = endpoint.machine + MACHINES * (round_number % processes_per_machine)
+        round_number = proxy_number // REGISTRY_COUNT
+        process = endpoint.registry_number + REGISTRY_COUNT * (round_number % processes_per_registry)
         processes[process].append((position, endpoint))
     return FleetLayout(list(endpoints.values()), processes)
 
 
-def _endpoint(topology: Topology, number: int, position: int, *, narrow_view: bool) -> FleetEndpoint:
-    """Describe what the proxy with a number watches; equal names mean the same endpoint."""
-    machine = number % MACHINES
-    takeover_group = number // (2 * MACHINES) % TAKEOVER_GROUPS
+def _endpoint(
+    topology: Topology, proxy_number: int, position: int, *, only_called_services: bool
+) -> FleetEndpoint:
+    """Describe the endpoint that a proxy watches; endpoints with equal names are the same."""
+    registry_number = proxy_number % REGISTRY_COUNT
+    takeover_group = proxy_number // (2 * REGISTRY_COUNT) % TAKEOVER_GROUPS
     region = REGION_OF[topology.entries[position]["zone"]]
-    name, view = f"{machine}.{region}.{takeover_group}", None
-    if narrow_view:
+    name, view = f"{registry_number}.{region}.{takeover_group}", None
+    if only_called_services:
         service = topology.service_of[position]
         name += f".{service}"
         called = topology.called_backends(service)
         view = frozenset(topology.entries[backend]["name"] for backend in called)
-    return FleetEndpoint(name, 0, machine, region, takeover_group, view)
+    return FleetEndpoint(name, 0, registry_number, region, takeover_group, view)
--- a/emulator/runs/fleet_measurement.py
+++ b/emulator/runs/fleet_measurement.py
@@ -1,8 +1,7 @@
-"""Measures what an event costs a simulated fleet, from its beginning until it is applied at all proxies.
+"""Measures the cost of an event in a simulated fleet, from its start until all proxies have applied it.
 
-It owns the readings and what is worked out from them; the typed results are in `fleet_figures`, the events in
-`fleet_events`. A proxy of a real fleet has a core of its own; here many share one, so an age includes the
-wait for the other proxies of the same process.
+`fleet_events` defines the events, and `fleet_figures` the types of the results. Limitation: the proxies of
+one process share a core, so a propagation delay includes the wait for other proxies of the same process.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 
 from emulator.errors import MemoryLimitError
 from emulator.measurement.usage_sampler import UsageSampler
-from emulator.runs.fleet_figures import EventDelays, EventMeasurement, MachineCost, ProxyFigures
+from emulator.runs.fleet_figures import EventDelays, EventMeasurement, ProxyFigures, RegistryCost
 from testbed.meter import MB, WORST_WINDOW
 
 if TYPE_CHECKING:
@@ -22,38 +21,36 @@
     from emulator.runs.simulated_fleet import SimulatedFleet
     from testbed.discovery.registry import RegistryUsage
 
-MAX_MEMORY_FRACTION = 0.5  # of this machine's memory; a run that takes more ends
-APPLY_TIMEOUT = (
-    60.0  # seconds that a change may take to be applied at all proxies before it counts as missing
-)
+MAX_MEMORY_FRACTION = 0.5  # of this machine's memory; a run that uses more is aborted
+APPLY_TIMEOUT = 60.0  # seconds until a version that a proxy has not applied counts as missing
 
 
 def measure(fleet: SimulatedFleet, event: FleetEvent) -> EventMeasurement:
-    """Carry out an event, wait until it is applied at all proxies, and measure its cost.
+    """Carry out an event, wait until all proxies have applied it, and measure its cost.
 
     Raises:
-        MemoryLimitError: The processes take too much of this machine's memory.
+        MemoryLimitError: The processes use too much of this machine's memory.
     """
     fleet.forget_publications()
-    before, started = fleet.machine_usages(), time.monotonic()
-    with UsageSampler([*fleet.hosts, *fleet.machines]) as sampler:
+    before, started = fleet.registry_usages(), time.monotonic()
+    with UsageSampler([*fleet.hosts, *fleet.registries]) as sampler:
         event(fleet)
-        happened = time.monotonic()
+        event_ended = time.monotonic()
         is_complete = fleet.wait_until_applied(APPLY_TIMEOUT)
         ended = time.monotonic()
     resident = sum(sampler.peak_memory)
     _check_memory(resident)
     lists_worst = 100.0 * fleet.worst_list_cost(started, ended) / WORST_WINDOW
-    machines = _machine_costs(before, fleet.machine_usages(), sampler)
+    registries = _registry_costs(before, fleet.registry_usages(), sampler)
     return EventMeasurement(
         seconds=ended - started,
-        applied_after=ended - happened,
+        applied_after=ended - event_ended,
         versions=len(fleet.publications),
         is_complete=is_complete,
         delays=EventDelays.of(fleet.delay_reports()),
-        proxy=_proxy_figures(fleet, sampler, machines, ended - started, lists_worst),
+        proxy=_proxy_figures(fleet, sampler, registries, ended - started, lists_worst),
         resident_mb=resident / MB,
-        machines=machines,
+        registries=registries,
     )
 
 
@@ -62,36 +59,37 @@
         raise MemoryLimitError(resident)
 
 
-def _machine_costs(
+def _registry_costs(
     before: list[RegistryUsage], after: list[RegistryUsage], sampler: UsageSampler
-) -> list[MachineCost]:
-    series = sampler.processor[-len(after) :]  # the hosts' come first
+) -> list[RegistryCost]:
+    registry_series = sampler.processor_time[-len(after) :]  # the host processes come first
     return [
-        MachineCost.between(first, last, 100.0 * each.worst())
-        for first, last, each in zip(before, after, series, strict=True)
+        RegistryCost.between(usage_before, usage_after, 100.0 * series.worst())
+        for usage_before, usage_after, series in zip(before, after, registry_series, strict=True)
     ]
 
 
 def _proxy_figures(
     fleet: SimulatedFleet,
     sampler: UsageSampler,
-    machines: list[MachineCost],
+    registries: list[RegistryCost],
     seconds: float,
     lists_worst: float,
 ) -> ProxyFigures:
     proxies, versions = fleet.plan.proxies, max(1, len(fleet.publications))
-    hosts = sampler.processor[: len(fleet.hosts)]
-    processor = sum(series.growth() for series in hosts)
+    host_series = sampler.processor_time[: len(fleet.hosts)]
+    processor_seconds = sum(series.growth() for series in host_series)
     worst_shares = [
-        series.worst() / count for series, count in zip(hosts, fleet.proxies_per_host, strict=True)
+        series.worst() / proxy_count
+        for series, proxy_count in zip(host_series, fleet.proxies_per_host, strict=True)
     ]
-    sent_bytes = sum(machine.sent_bytes for machine in machines)
-    worst_bytes = max(machine.sent_bytes / max(1, machine.open_watches) for machine in machines)
+    sent_bytes = sum(registry.sent_bytes for registry in registries)
+    worst_bytes = max(registry.sent_bytes / max(1, registry.open_watches) for registry in registries)
     return ProxyFigures(
-        processor_mean=100.0 * processor / proxies / seconds,
+        processor_mean=100.0 * processor_seconds / proxies / seconds,
         processor_worst=100.0 * max(worst_shares),
         lists_worst=lists_worst,
-        processor_each=processor / proxies / versions,
+        processor_each=processor_seconds / proxies / versions,
         bytes_mean=sent_bytes / proxies / seconds,
         bytes_worst=worst_bytes / max(WORST_WINDOW, seconds),
         bytes_each=sent_bytes / proxies / versions,
--- a/emulator/runs/fleet_plans.py
+++ b/emulator/runs/fleet_plans.py
@@ -1,7 +1,7 @@
-"""The plans of the run `fleet`: how many proxies there are, what they see and what happens to them.
+"""The plans of the run `fleet`: the number of proxies, the backends that they see, and the events.
 
-A proxy of a real fleet has a core of its own; here many share one. So events that would overload one machine
-with all proxies happen to fewer of them.
+Each proxy of a real fleet has its own core, but simulated proxies share cores. Therefore events that would
+overload one machine with all proxies run with fewer proxies.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
     """One simulated fleet and its events.
 
     Attributes:
-        name: What results call it.
-        proxies: How many proxies there are.
-        narrow_view: Whether a proxy sees only the backends of the services that its own calls.
-        speed: How much faster than the target's rate changes come.
-        events: The names of the events, in order (`fleet_events.EVENTS`).
-        change_seconds: How long changes come at the rate, in the event `changes`.
-        partition_seconds: How long a region is cut off, in the event `regions_cut`.
-        backends: How many backends there are.
+        name: Key of the plan in the result file.
+        proxies: Number of proxies.
+        only_called_services: Whether a proxy sees only the backends of the services that its service calls.
+        change_rate_factor: Rate of changes as a multiple of the rate in the target deployment.
+        events: Names of the events in order (keys of `fleet_events.EVENTS`).
+        change_seconds: Duration of the event `changes`.
+        partition_seconds: Duration of the network partition in the event `regions_cut`.
+        backends: Number of backends.
     """
 
     name: str
     proxies: int
-    narrow_view: bool
-    speed: float
+    only_called_services: bool
+    change_rate_factor: float
     events: tuple[str, ...]
     change_seconds: float
     partition_seconds: float
@@ -37,15 +37,15 @@
 
 
 FAILURES = ("zone_lost", "zone_back", "machine_lost", "log_lost", "regions_cut")
-BY_ROWS = ("replaced", "zone_lost_by_rows", "zone_back_by_rows")
-# Where all 910 proxies see all rows, a change of one costs some 3 s of processor time: so changes come
-# slower there, and a zone goes in one delta.
+CHANGES_BY_BACKEND = ("replaced", "zone_lost_by_rows", "zone_back_by_rows")
+# If all 910 proxies see all backends, one change costs about 3 s of processor time. Therefore the plan
+# `all_rows` has a lower rate of changes, and its zone failures are one delta each.
 PLANS = (
     Plan(
         name="all_rows",
         proxies=910,
-        narrow_view=False,
-        speed=15.0,
+        only_called_services=False,
+        change_rate_factor=15.0,
         events=("changes", *FAILURES),
         change_seconds=15.0,
         partition_seconds=8.0,
@@ -53,18 +53,18 @@
     Plan(
         name="all_rows_by_row",
         proxies=48,
-        narrow_view=False,
-        speed=100.0,
-        events=("changes", *BY_ROWS),
+        only_called_services=False,
+        change_rate_factor=100.0,
+        events=("changes", *CHANGES_BY_BACKEND),
         change_seconds=12.0,
         partition_seconds=0.0,
     ),
     Plan(
         name="next_rows",
         proxies=910,
-        narrow_view=True,
-        speed=100.0,
-        events=("changes", *BY_ROWS, *FAILURES),
+        only_called_services=True,
+        change_rate_factor=100.0,
+        events=("changes", *CHANGES_BY_BACKEND, *FAILURES),
         change_seconds=15.0,
         partition_seconds=8.0,
     ),
@@ -73,8 +73,8 @@
     Plan(
         name="all_rows",
         proxies=12,
-        narrow_view=False,
-        speed=100.0,
+        only_called_services=False,
+        change_rate_factor=100.0,
         events=("changes", "zone_lost_by_rows", "zone_back", "log_lost"),
         change_seconds=1.5,
         partition_seconds=0.0,
@@ -82,8 +82,8 @@
     Plan(
         name="next_rows",
         proxies=240,
-        narrow_view=True,
-        speed=100.0,
+        only_called_services=True,
+        change_rate_factor=100.0,
         events=("changes", "replaced", "machine_lost"),
         change_seconds=1.5,
         partition_seconds=0.0,
--- a/emulator/runs/reloadable_proxy.py
+++ b/emulator/runs/reloadable_proxy.py
@@ -39,7 +39,7 @@
     ordinal: int
 
     def configure(self, changes: int, label: str | None = None) -> None:
-        """Put the file in place that holds the settings after so many changes, with this version label."""
+        """Write the configuration file with the settings after `changes` changes and this version label."""
         settings = settings_after(changes, self.fleet_size, self.ordinal)
         replace(self.config, settings=settings, version=label).write(self.path)
 
--- a/emulator/runs/settings_measurement.py
+++ b/emulator/runs/settings_measurement.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from emulator.fleet.placement import place
+from emulator.fleet.placement import place_processes
 from emulator.fleet.role_processes import LoadGeneratorProcess
 from emulator.fleet.topology import BACKENDS
 from emulator.load.plan import LoadPlan, Stream
@@ -147,7 +147,7 @@
     launcher: ProxyLauncher, stack: AsyncExitStack, seed: int, size: RunSize, cores: Sequence[int]
 ) -> LoadedChanges:
     """Make the changes while some of the proxies are called."""
-    placement = place(cores, size.proxies)
+    placement = place_processes(cores, size.proxies)
     proxies = await launcher.start_fleet(size.rows[-1], placement.proxies)
     streams = [Stream(f"n{n}", [proxy.config.port], RATE) for n, proxy in enumerate(proxies[: size.called])]
     plan = LoadPlan(seed, 0.0, size.series, streams)
--- a/emulator/runs/simulated_cost.py
+++ b/emulator/runs/simulated_cost.py
@@ -1,6 +1,6 @@
 """The run `simulated-cost`: what control costs a simulated proxy, compared with a real one.
 
-Four proxies of each kind watch one control machine and are given the same events at the same time. The run
+Four proxies of each kind watch one registry and are given the same events at the same time. The run
 owns the processes and the events; the comparison is worked out in `emulator.measurement.control_cost`. Its
 result file keeps its former name and keys, in which "hollow" is a simulated proxy, so that older results
 can be compared.
@@ -68,7 +68,7 @@
 
 
 class Comparison:
-    """The two groups of proxies at one control machine, the events that happen to them, and their costs."""
+    """The two groups of proxies at one registry, the events that happen to them, and their costs."""
 
     def __init__(
         self,
@@ -133,14 +133,14 @@
         """Read the resident memory in MB, as a result holds it."""
         return {
             "real_mb": total_usage(self._real_pids).memory / PROXIES / MB,
-            "hollow_mb": self._start_cost.memory / PROXIES / MB,
+            "hollow_mb": self._start_cost.added_memory / PROXIES / MB,
             "hollow_process_mb": process_usage(self._simulated.pid).memory / MB,
         }
 
 
 @contextmanager
 def running_comparison(seed: int) -> Iterator[Comparison]:
-    """Start the control machine and both groups, and wait until all of them watch.
+    """Start the registry and both groups, and wait until all of them watch.
 
     Raises:
         WatchTimeoutError: A proxy does not watch in time.
--- a/emulator/runs/slopes.py
+++ b/emulator/runs/slopes.py
@@ -1,4 +1,4 @@
-"""The run `slopes`: how the cost of control grows, for a proxy and for a control machine.
+"""The run `slopes`: how the cost of control grows, for a proxy and for a registry.
 
 It owns which slopes are measured and the budgets' figures that follow from them; the modules
 `slopes_balancer`, `slopes_proxy` and `slopes_registry` measure.
--- a/emulator/runs/slopes_balancer.py
+++ b/emulator/runs/slopes_balancer.py
@@ -17,7 +17,7 @@
 from balancer.settings_reader import read_settings
 from emulator.fleet import topology
 from emulator.fleet.settings import proxy_settings
-from emulator.fleet.simulated_proxy import endpoint_reader, simulate_call
+from emulator.fleet.simulated_proxy import endpoint_reader, simulate_request
 from emulator.runs.endpoint_changes import EndpointChanges
 from emulator.runs.pacing import mean_processor_time
 from emulator.runs.slope import Point, Slope
@@ -74,7 +74,7 @@
         """Serve one call."""
         self._now += 1.0 / CALL_RATE
         self._calls += 1
-        simulate_call(self._balancer, self._now, self._calls)
+        simulate_request(self._balancer, self._now, self._calls)
 
 
 def backend_counts(options: RunOptions) -> tuple[int, ...]:
--- a/emulator/runs/slopes_proxy.py
+++ b/emulator/runs/slopes_proxy.py
@@ -1,6 +1,6 @@
 """Slopes of a simulated proxy, from the socket to the balancer, in a process of its own.
 
-It owns a control machine with a few proxies, and what is measured at them.
+It owns a registry with a few proxies, and what is measured at them.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class WatchBench:
-    """A control machine and a process of simulated proxies that watch it; both end with the block."""
+    """A registry and a process of simulated proxies that watch it; both end with the block."""
 
     def __init__(self, seed: int, backends: int, proxies: int) -> None:
         fleet = topology.build(seed, backends)
@@ -55,7 +55,7 @@
         self._host.call("freeze")
 
     def publish_change(self) -> None:
-        """Change one entry at the control machine."""
+        """Change one entry at the registry."""
         self._index += 1
         entry = self._changes.change_any()
         self._registry.call("publish", self._index, [entry])
@@ -73,9 +73,9 @@
         if not self._host.call("wait_for_snapshots", self._snapshots, APPLY_TIMEOUT):
             raise ApplyTimeoutError(what="a snapshot", seconds=APPLY_TIMEOUT)
 
-    def set_call_rate(self, rate: float) -> None:
+    def set_request_rate(self, rate: float) -> None:
         """Feed each proxy calls at a rate a second from now on."""
-        self._host.call("set_call_rate", rate)
+        self._host.call("set_request_rate", rate)
 
     def host_usage(self) -> Usage:
         """Read what the proxies' process has spent, by its own clock."""
@@ -124,7 +124,7 @@
             "change_bytes": change.sent_bytes,
             "whole": snapshot.processor,
             "whole_bytes": snapshot.sent_bytes,
-            "memory_mb": bench.start_cost.memory / PROXIES / MB,
+            "memory_mb": bench.start_cost.added_memory / PROXIES / MB,
         }
 
 
@@ -170,7 +170,7 @@
 
 
 def _call_rate_point(bench: WatchBench, rate: float, seconds: float) -> Point:
-    bench.set_call_rate(rate)
+    bench.set_request_rate(rate)
     before, started = bench.reading(), time.monotonic()
     time.sleep(seconds)
     after, elapsed = bench.reading(), time.monotonic() - started
--- a/emulator/runs/slopes_registry.py
+++ b/emulator/runs/slopes_registry.py
@@ -1,6 +1,6 @@
-"""Slopes of a control machine (`testbed.discovery.registry`): what watches and changes cost it.
+"""Slopes of a registry (`testbed.discovery.registry`): what watches and changes cost it.
 
-It owns the load on one control machine; the watches discard what they receive.
+It owns the load on one registry; the watches discard what they receive.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class LoadedRegistry:
-    """A control machine in a process of its own, its changes, and the watches that load it."""
+    """A registry in a process of its own, its changes, and the watches that load it."""
 
     def __init__(self, registry: ChildProcess, load: ChildProcess, changes: EndpointChanges) -> None:
         self._registry, self._load, self._changes = registry, load, changes
@@ -47,7 +47,7 @@
         time.sleep(OPENING_TIME)
 
     def measure(self, rate: float, seconds: float) -> Point:
-        """Measure what the control machine spends while changes come at a rate."""
+        """Measure what the registry spends while changes come at a rate."""
         before, started = self._usage(), time.monotonic()
         for _ in evenly_spaced(rate, seconds):
             self._index += 1
@@ -81,12 +81,12 @@
 
 
 def by_watches(options: RunOptions) -> Slope:
-    """Measure a control machine against watches: processor share, bytes a second, memory."""
+    """Measure a registry against watches: processor share, bytes a second, memory."""
     points = _points(options, [(watches, RATE_AT_WATCHES) for watches in WATCHES])
     return Slope(points, "watches", ("processor", "bytes", "memory_mb"))
 
 
 def by_change_rate(options: RunOptions) -> Slope:
-    """Measure a control machine against changes a second: processor share, bytes a second."""
+    """Measure a registry against changes a second: processor share, bytes a second."""
     points = _points(options, [(WATCHES_AT_RATES, rate) for rate in CHANGE_RATES])
     return Slope(points, "changes", ("processor", "bytes"))
--- a/tests/emulator/test_added_latency.py
+++ b/tests/emulator/test_added_latency.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from emulator.fleet.placement import Placement, place
+from emulator.fleet.placement import Placement, place_processes
 from emulator.measurement.latency import Quantiles
 from emulator.runs.latency_report import budget_figures
 from emulator.runs.latency_trials import AVERAGE_RATE, SERVICE_ROWS, WARMUP, one_proxy, schedule
@@ -15,12 +15,12 @@
 
 
 def test_processes_get_cores_of_their_own_where_there_are_enough() -> None:
-    alone = place([4, 5, 6], 1)
+    alone = place_processes([4, 5, 6], 1)
     assert alone == Placement(frozenset([4]), frozenset([5]), [frozenset([6])], exclusive=True)
-    many = place([1, 2, 3, 4, 5], 24)
+    many = place_processes([1, 2, 3, 4, 5], 24)
     assert many.proxies == [frozenset([3, 4, 5])] * 24
     assert not many.exclusive
-    assert not place([0, 1], 1).exclusive
+    assert not place_processes([0, 1], 1).exclusive
 
 
 def test_the_full_run_is_planned_within_100_seconds() -> None:
--- a/tests/emulator/test_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -1,4 +1,4 @@
-"""A small simulated fleet over real processes and sockets: who watches which machine, and what is applied."""
+"""A small simulated fleet with real processes and sockets: propagation of changes, failure of a registry."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from emulator.runs.fleet_events import lose_machine, lose_zone
+from emulator.runs.fleet_events import fail_registry, fail_zone
 from emulator.runs.fleet_measurement import measure
 from emulator.runs.fleet_plans import Plan
 from emulator.runs.simulated_fleet import SimulatedFleet
@@ -20,8 +20,8 @@
 PLAN = Plan(
     name="small",
     proxies=PROXIES,
-    narrow_view=False,
-    speed=100.0,
+    only_called_services=False,
+    change_rate_factor=100.0,
     events=(),
     change_seconds=0.0,
     partition_seconds=0.0,
@@ -37,18 +37,18 @@
 
 
 def test_every_proxy_applies_the_loss_of_a_zone(fleet: SimulatedFleet) -> None:
-    measured = measure(fleet, lose_zone)
+    measured = measure(fleet, fail_zone)
     assert (measured.versions, measured.is_complete, measured.delays.missing) == (1, True, 0)
     assert measured.delays.all_proxies.count == PROXIES
     assert measured.delays.last_proxy.count == 1
-    assert [machine.open_watches for machine in measured.machines] == [4, 4, 4]
+    assert [registry.open_watches for registry in measured.registries] == [4, 4, 4]
 
 
 def test_a_lost_machines_watches_resume_at_the_other_two(fleet: SimulatedFleet) -> None:
-    measured = measure(fleet, lose_machine)
+    measured = measure(fleet, fail_registry)
     assert (measured.is_complete, measured.delays.missing) == (True, 0)
-    watches = [machine.open_watches for machine in measured.machines]
+    watches = [registry.open_watches for registry in measured.registries]
     assert watches[0] == 0
     assert sum(watches) == PROXIES
     assert min(watches[1:]) > 4
-    assert sum(machine.snapshots for machine in measured.machines) == 0
+    assert sum(registry.snapshots for registry in measured.registries) == 0
--- a/tests/emulator/test_simulated_host.py
+++ b/tests/emulator/test_simulated_host.py
@@ -1,4 +1,4 @@
-"""Simulated proxies before a control machine on loopback sockets."""
+"""Simulated proxies before a registry on loopback sockets."""
 
 from __future__ import annotations
 
@@ -51,10 +51,10 @@
             port = await registry.open_endpoint(ENDPOINT)
             host = SimulatedHost(SEED, BACKENDS, SERVICES)
             await with_timeout(host.start_proxies([ProxyPlacement(0, port)]))
-            host.set_call_rate(1000.0)
+            host.set_request_rate(1000.0)
             balancer = host.proxies[0].balancer
             await wait_until(lambda: balancer.statistics.sample_count >= 10)
-            host.set_call_rate(0.0)
+            host.set_request_rate(0.0)
             assert not balancer.requests
 
     asyncio.run(scenario())
