--- a/emulator/cli.py
+++ b/emulator/cli.py
@@ -16,7 +16,7 @@
 import psutil
 
 from emulator.measurement.budgets import check_budgets
-from emulator.measurement.result import RESULTS
+from emulator.measurement.result import DEFAULT_RESULTS_FOLDER
 from emulator.runs import added_latency, fleet, settings_reload, simulated_cost, slopes
 from emulator.runs.common import RunOptions, RunResult, report_progress, time_limit
 from testbed.paths import PROJECT_ROOT
@@ -46,7 +46,7 @@
         click.option(
             "--out",
             type=click.Path(file_okay=False, path_type=Path),
-            default=RESULTS,
+            default=DEFAULT_RESULTS_FOLDER,
             help="Folder for the result (default: results/ of this tree).",
         ),
         click.option(
--- a/emulator/fleet/settings.py
+++ b/emulator/fleet/settings.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from emulator.fleet.topology import TYPES, ZONES, Topology
+from emulator.fleet.topology import HOST_TYPES, ZONES, Topology
 
 if TYPE_CHECKING:
     from balancer.settings_reader import RawClass, RawLimits, RawRules, RawSettings
@@ -50,7 +50,7 @@
         "Tier": 1,
         "Zones": list(ZONES),
         "Zone": ZONES.index(entry["zone"]),
-        "HostTypes": list(TYPES),
+        "HostTypes": list(HOST_TYPES),
         "Bounds": LIMITS,
         "Rules": RULES,
     }
--- a/emulator/fleet/simulated_proxy.py
+++ b/emulator/fleet/simulated_proxy.py
@@ -36,7 +36,7 @@
     """Create a reader for the entries of a simulated fleet."""
     return EndpointReader(
         {name: number for number, name in enumerate(topology.ZONES)},
-        {name: number for number, name in enumerate(topology.TYPES)},
+        {name: number for number, name in enumerate(topology.HOST_TYPES)},
     )
 
 
--- a/emulator/measurement/__init__.py
+++ b/emulator/measurement/__init__.py
@@ -1,1 +1,1 @@
-"""Measurement: what is counted, the budgets for it, and the result files."""
+"""Measurement: costs, latencies and delays, their budgets, and the result files."""
--- a/emulator/measurement/budgets.py
+++ b/emulator/measurement/budgets.py
@@ -1,6 +1,6 @@
-"""The budgets of the target, which of them are met today, and the verdict on a set of figures.
+"""The budgets of the target deployment, and the check of measured figures against them.
 
-Figures come from the runs, by the names that the budgets have here.
+Each run returns its figures by the names that `Budget.figure` has here.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Budget:
-    """One limit.
+    """The limit of one figure.
 
     Attributes:
-        figure: The name that runs give their figure.
-        name: What is limited, in words.
-        limit: The most that the figure may be.
-        unit: Of the limit.
-        enforced: Whether the target is met today, so that a figure over the limit is a failure.
-        reason: Why the figure is what it is.
+        figure: Name of the figure in the results of the runs.
+        name: Description of the figure.
+        limit: The highest allowed value.
+        unit: Unit of the limit.
+        enforced: Whether a figure over the limit is a failure; False if the limit is not met yet.
+        reason: What determines the figure.
     """
 
     figure: str
@@ -33,7 +33,7 @@
     reason: str
 
 
-KEEPALIVE_PAUSE = "an upstream connection pauses after a response, and a call waits for that"
+KEEPALIVE_PAUSE = "a request waits while the upstream connection pauses after its previous response"
 BUDGETS = (
     Budget(
         figure="processor_mean",
@@ -41,7 +41,7 @@
         limit=4.7,
         unit="% of a core",
         enforced=True,
-        reason="2,900 changes a day are one in 30 s",
+        reason="2,900 changes a day are one change every 30 s",
     ),
     Budget(
         figure="processor_worst",
@@ -49,7 +49,7 @@
         limit=4.7,
         unit="% of a core",
         enforced=False,
-        reason="a zone that arrives row by row rebuilds the full list at each row",
+        reason="if the entries of a zone arrive one by one, the list is rebuilt for each entry",
     ),
     Budget(
         figure="memory",
@@ -57,7 +57,7 @@
         limit=64.0,
         unit="MB",
         enforced=True,
-        reason="one list and the interpreter",
+        reason="one endpoint list and the interpreter",
     ),
     Budget(
         figure="bytes_mean",
@@ -65,7 +65,7 @@
         limit=4096.0,
         unit="B/s",
         enforced=True,
-        reason="a change is sent by itself, not with the full list",
+        reason="a change is sent as a delta, not as the complete list",
     ),
     Budget(
         figure="bytes_worst",
@@ -73,7 +73,7 @@
         limit=4096.0,
         unit="B/s",
         enforced=False,
-        reason="a registry that has lost its log sends the full list",
+        reason="a registry that has lost its log sends the complete list",
     ),
     Budget(
         figure="change_age",
@@ -81,7 +81,7 @@
         limit=6.0,
         unit="s",
         enforced=True,
-        reason="changes at the rate of the run, no cut",
+        reason="changes at the rate of the run, without a network partition",
     ),
     Budget(
         figure="change_hold",
@@ -97,7 +97,7 @@
         limit=6.0,
         unit="s",
         enforced=True,
-        reason="a file is read and applied in one go",
+        reason="a configuration file is read and applied in one step",
     ),
     Budget(
         figure="settings_hold",
@@ -105,7 +105,7 @@
         limit=1.1,
         unit="ms",
         enforced=False,
-        reason="the list is arranged anew at each swap",
+        reason="the endpoint list is rebuilt each time that the settings are replaced",
     ),
     Budget(
         figure="added_p99",
@@ -136,30 +136,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    """Which budgets a set of figures meets.
+    """Result of checking a set of figures against the budgets.
 
     Attributes:
         checked: Figures that were compared with their budgets.
-        unchecked: Budgets that had no figure.
-        over: One text for each figure over its limit.
-        violated: Those figures over their limits whose budgets are enforced.
+        unchecked: Figures that have a budget but were not measured.
+        over_limit: A description of each figure over its limit.
+        violated: Figures over an enforced limit.
     """
 
     checked: tuple[str, ...]
     unchecked: tuple[str, ...]
-    over: tuple[str, ...]
+    over_limit: tuple[str, ...]
     violated: tuple[str, ...]
 
     def line(self) -> str:
-        """Return one line for people."""
-        over = "; ".join(self.over) or "none"
-        missing = f"; not checked: {', '.join(self.unchecked)}" if self.unchecked else ""
-        return f"checked {len(self.checked)} budgets ({', '.join(self.checked)}){missing}; over: {over}"
+        """Return a summary in one line."""
+        over_limit = "; ".join(self.over_limit) or "none"
+        not_checked = f"; not checked: {', '.join(self.unchecked)}" if self.unchecked else ""
+        checked = f"checked {len(self.checked)} budgets ({', '.join(self.checked)})"
+        return f"{checked}{not_checked}; over: {over_limit}"
 
 
 def check_budgets(figures: Mapping[str, float], budgets: Iterable[Budget] = BUDGETS) -> Verdict:
-    """Compare figures with the budgets that they belong to."""
-    checked, unchecked, over, violated = [], [], [], []
+    """Compare measured figures with their budgets."""
+    checked, unchecked, over_limit, violated = [], [], [], []
     for budget in budgets:
         if budget.figure not in figures:
             unchecked.append(budget.figure)
@@ -168,8 +169,8 @@
         figure = figures[budget.figure]
         if figure <= budget.limit:
             continue
-        standing = "said to be held" if budget.enforced else "known"
-        over.append(f"{budget.figure} {figure:.3g} of {budget.limit:g} {budget.unit} ({standing})")
+        severity = "violation" if budget.enforced else "known"
+        over_limit.append(f"{budget.figure} {figure:.3g} of {budget.limit:g} {budget.unit} ({severity})")
         if budget.enforced:
             violated.append(budget.figure)
-    return Verdict(tuple(checked), tuple(unchecked), tuple(over), tuple(violated))
+    return Verdict(tuple(checked), tuple(unchecked), tuple(over_limit), tuple(violated))
--- a/emulator/measurement/control_cost.py
+++ b/emulator/measurement/control_cost.py
@@ -1,7 +1,7 @@
-"""What control costs a proxy, and how a simulated proxy compares with a real one, for one kind of event.
+"""Control-plane cost of a proxy, and the comparison of a simulated proxy with a real one.
 
-It owns the arithmetic and the form of the comparison in a result; the events happen in
-`runs.simulated_cost`. Results call a simulated proxy "hollow", its former name.
+`runs.simulated_cost` causes the events and takes the readings. In result files, the key "hollow" stands for
+a simulated proxy; it is the former name.
 """
 
 from __future__ import annotations
@@ -15,45 +15,47 @@
 
 @dataclass(slots=True, frozen=True)
 class ProxyCost:
-    """What one event, or one second, costs one proxy.
+    """Cost of one event, or of one second, for one proxy.
 
     Attributes:
-        processor: Processor time in seconds.
-        sent_bytes: Bytes that the registry sent to it.
-        processor_net: The processor time beyond what as much idle time costs; None where not worked out.
+        processor_seconds: Processor time.
+        sent_bytes: Bytes that the registry sent to the proxy.
+        net_processor_seconds: Processor time minus that of an idle proxy in the same time; None if unknown.
     """
 
-    processor: float
+    processor_seconds: float
     sent_bytes: float
-    processor_net: float | None = None
+    net_processor_seconds: float | None = None
 
     def as_dict(self) -> dict[str, float]:
-        """Return the cost as a result holds it."""
-        figures = {"processor": self.processor, "bytes": self.sent_bytes}
-        if self.processor_net is not None:
-            figures["processor_net"] = self.processor_net
+        """Return the cost as stored in the result file."""
+        figures = {"processor": self.processor_seconds, "bytes": self.sent_bytes}
+        if self.net_processor_seconds is not None:
+            figures["processor_net"] = self.net_processor_seconds
         return figures
 
-    def net_of_idle(self, idle_seconds: float, idle: ProxyCost, seconds_each: float) -> ProxyCost:
-        """Return the cost with its net figure worked out.
+    def with_net_cost(self, idle_cost: ProxyCost, idle_seconds: float, event_seconds: float) -> ProxyCost:
+        """Return the cost with `net_processor_seconds` set.
 
         Args:
-            idle_seconds: How long the idle time lasted.
-            idle: What all of it cost.
-            seconds_each: How long one event takes.
+            idle_cost: Cost of an idle proxy during `idle_seconds`.
+            idle_seconds: Duration of the idle measurement.
+            event_seconds: Duration of one event.
         """
-        return replace(self, processor_net=self.processor - idle.processor / idle_seconds * seconds_each)
+        idle_processor_rate = idle_cost.processor_seconds / idle_seconds
+        net_processor_seconds = self.processor_seconds - idle_processor_rate * event_seconds
+        return replace(self, net_processor_seconds=net_processor_seconds)
 
 
 @dataclass(slots=True, frozen=True)
 class EventCost:
-    """What one kind of event costs a real and a simulated proxy.
+    """Cost of one kind of event for a real and for a simulated proxy.
 
     Attributes:
-        events: How many happened.
-        seconds: How long all of them took.
-        real: For a real proxy and one event.
-        simulated: For a simulated proxy and one event.
+        events: Number of events.
+        seconds: Duration of all events.
+        real: Cost of one event for a real proxy.
+        simulated: Cost of one event for a simulated proxy.
     """
 
     events: int
@@ -61,22 +63,22 @@
     real: ProxyCost
     simulated: ProxyCost
 
-    def net_of_idle(self, idle: EventCost) -> EventCost:
-        """Return the cost with the net figures worked out, given what idle time costs."""
-        seconds_each = self.seconds / self.events
+    def with_net_cost(self, idle: EventCost) -> EventCost:
+        """Return the cost with the net processor times set, given the cost of idle time."""
+        event_seconds = self.seconds / self.events
         return replace(
             self,
-            real=self.real.net_of_idle(idle.seconds, idle.real, seconds_each),
-            simulated=self.simulated.net_of_idle(idle.seconds, idle.simulated, seconds_each),
+            real=self.real.with_net_cost(idle.real, idle.seconds, event_seconds),
+            simulated=self.simulated.with_net_cost(idle.simulated, idle.seconds, event_seconds),
         )
 
     def difference_percent(self) -> dict[str, float | None]:
-        """Return by how many percent each simulated figure exceeds the real one; None where that is 0."""
+        """Return the excess of each simulated figure over the real one in percent; None if the real is 0."""
         real, simulated = self.real.as_dict(), self.simulated.as_dict()
         return {name: _difference_percent(simulated[name], real[name]) for name in simulated}
 
     def as_dict(self) -> JsonObject:
-        """Return the cost as a result holds it."""
+        """Return the cost as stored in the result file."""
         return {
             "events": self.events,
             "seconds": self.seconds,
@@ -92,14 +94,14 @@
 
 @dataclass(slots=True, frozen=True)
 class GroupReading:
-    """What a group of proxies has spent and been sent so far."""
+    """Total processor time of a group of proxies, and bytes sent to them, at one moment."""
 
-    processor: float
+    processor_seconds: float
     sent_bytes: int
 
-    def cost_since(self, before: GroupReading, divisor: float, proxies: int) -> ProxyCost:
-        """Return the cost of one of `divisor` events or seconds for one proxy, since an earlier reading."""
+    def cost_since(self, before: GroupReading, units: float, proxies: int) -> ProxyCost:
+        """Return the cost for one proxy since an earlier reading, divided by `units` (events or seconds)."""
         return ProxyCost(
-            (self.processor - before.processor) / divisor / proxies,
-            (self.sent_bytes - before.sent_bytes) / divisor / proxies,
+            (self.processor_seconds - before.processor_seconds) / units / proxies,
+            (self.sent_bytes - before.sent_bytes) / units / proxies,
         )
--- a/emulator/measurement/fit.py
+++ b/emulator/measurement/fit.py
@@ -1,7 +1,4 @@
-"""Least-squares fits of measured points, with the residuals they leave.
-
-It owns the two models that costs are compared with; which figure is fitted against which is a run's matter.
-"""
+"""Least-squares fits of measured points to two models: a straight line, and a line in x log x."""
 
 from __future__ import annotations
 
@@ -17,20 +14,20 @@
 
     from emulator.measurement.json_values import JsonObject
 
-MIN_POINTS = 4  # through fewer almost anything fits
-LINE, N_LOG_N = "line", "n log n"  # what results call the two models
+MIN_POINTS = 4  # with fewer points, the residuals do not distinguish the models
+LINE, N_LOG_N = "line", "n log n"  # names of the models in result files
 
 
 @dataclass(slots=True, frozen=True)
 class Fit:
-    """A fitted model: y = intercept + slope * f(x).
+    """A fitted model y = intercept + slope * f(x); the field names are keys of the result file.
 
     Attributes:
-        kind: `LINE` where f(x) is x, `N_LOG_N` where it is x * log2(x).
-        slope: In y's unit for each unit of f(x).
-        intercept: In y's unit.
-        residual: The root mean square of the residuals, in y's unit.
-        worst: The largest residual, in y's unit.
+        kind: `LINE` if f(x) is x, `N_LOG_N` if f(x) is x * log2(x).
+        slope: Slope in units of y for each unit of f(x).
+        intercept: Intercept in units of y.
+        residual: Root mean square of the residuals, in units of y.
+        worst: Largest absolute residual, in units of y.
     """
 
     kind: str
@@ -40,7 +37,7 @@
     worst: float
 
     def as_dict(self) -> JsonObject:
-        """Return the fit as a result holds it."""
+        """Return the fit as stored in the result file."""
         return asdict(self)
 
 
@@ -48,36 +45,38 @@
     """Fit a straight line.
 
     Raises:
-        FitPointsError: There are fewer than `MIN_POINTS` points, or unequal numbers of x and y.
+        FitPointsError: There are fewer than `MIN_POINTS` points, or different numbers of x and y values.
     """
-    return _solve(LINE, np.asarray(xs, float), ys)
+    return _fit(LINE, np.asarray(xs, float), ys)
 
 
 def fit_n_log_n(xs: Sequence[float], ys: Sequence[float]) -> Fit:
-    """Fit a line in x log2 x.
+    """Fit a line in x * log2(x).
 
     Raises:
-        FitPointsError: As `fit_line`.
-        FitRangeError: An x is not above 0.
+        FitPointsError: As for `fit_line`.
+        FitRangeError: A value of x is not greater than 0.
     """
-    x = np.asarray(xs, float)
-    if (x <= 0.0).any():
+    x_values = np.asarray(xs, float)
+    if (x_values <= 0.0).any():
         raise FitRangeError
-    return _solve(N_LOG_N, x * np.log2(x), ys)
+    return _fit(N_LOG_N, x_values * np.log2(x_values), ys)
 
 
-def _solve(kind: str, x: np.ndarray, ys: Sequence[float]) -> Fit:
-    y = np.asarray(ys, float)
-    if len(x) != len(y) or len(x) < MIN_POINTS:
-        raise FitPointsError(len(x), len(y), MIN_POINTS)
-    (intercept, slope), *_ = np.linalg.lstsq(np.column_stack([np.ones(len(x)), x]), y, rcond=None)
-    residuals = y - intercept - slope * x
+def _fit(kind: str, predictors: np.ndarray, ys: Sequence[float]) -> Fit:
+    """Fit y as a linear function of the predictors, which are the values of f(x)."""
+    y_values = np.asarray(ys, float)
+    if len(predictors) != len(y_values) or len(predictors) < MIN_POINTS:
+        raise FitPointsError(len(predictors), len(y_values), MIN_POINTS)
+    design_matrix = np.column_stack([np.ones(len(predictors)), predictors])
+    (intercept, slope), *_ = np.linalg.lstsq(design_matrix, y_values, rcond=None)
+    residuals = y_values - intercept - slope * predictors
     root_mean_square = float(np.sqrt(np.mean(residuals**2)))
     return Fit(kind, float(slope), float(intercept), root_mean_square, float(np.abs(residuals).max()))
 
 
 def fit_all(xs: Sequence[float], ys: Sequence[float]) -> list[Fit]:
-    """Fit every model, and sort by the residual; the line alone where an x is 0."""
+    """Fit both models, sorted by residual; only the straight line if a value of x is 0."""
     fits = [fit_line(xs, ys)]
     if min(xs) > 0.0:
         fits.append(fit_n_log_n(xs, ys))
--- a/emulator/measurement/json_values.py
+++ b/emulator/measurement/json_values.py
@@ -1,4 +1,4 @@
-"""The types of plain values that results are made of, as JSON holds them."""
+"""Type aliases for JSON values, as they are written to result files."""
 
 from __future__ import annotations
 
--- a/emulator/measurement/latency.py
+++ b/emulator/measurement/latency.py
@@ -1,7 +1,4 @@
-"""Latencies in microseconds: HDR histograms, their quantiles, and the form in which they go into a result.
-
-It measures nothing itself; a histogram is an `HdrHistogram`, which has no type hints.
-"""
+"""HDR histograms of latencies in microseconds, their quantiles, and their form in the result file."""
 
 from __future__ import annotations
 
@@ -15,22 +12,22 @@
 
     from emulator.measurement.json_values import JsonObject
 
-LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS = 1, 60_000_000, 3  # of every histogram
-TICKS_PER_HALF_DISTANCE = 10  # points of a percentile curve for each halving of the distance to 100
+LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS = 1, 60_000_000, 3  # range and precision of every histogram
+TICKS_PER_HALF_DISTANCE = 10  # points of a percentile curve for each halving of the distance to 100 %
 
 
 def new_histogram() -> HdrHistogram:
-    """Create an empty histogram of microseconds."""
+    """Create an empty histogram of latencies in microseconds."""
     return HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
 
 
 def to_microseconds(seconds: float) -> int:
-    """Round a latency to microseconds, within the range of a histogram."""
+    """Convert a latency to whole microseconds, limited to the range of a histogram."""
     return min(HIGHEST_US, max(LOWEST_US, round(seconds * 1e6)))
 
 
 def histogram_of(latencies_us: Iterable[int]) -> HdrHistogram:
-    """Record latencies, given in microseconds, in a new histogram."""
+    """Create a histogram of latencies that are given in microseconds."""
     histogram = new_histogram()
     for latency in latencies_us:
         histogram.record_value(latency)
@@ -52,7 +49,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Quantiles:
-    """The quantiles that results name, in microseconds: of latencies, or differences between such."""
+    """Quantiles of latencies, or differences of quantiles, in microseconds.
+
+    The field names are keys of the result file.
+    """
 
     median: int
     p99: int
@@ -67,25 +67,31 @@
         )
 
     def above(self, other: Quantiles) -> Quantiles:
-        """Return by how much each quantile lies above the other's; may be negative."""
+        """Return the difference of each quantile to that of `other`; it may be negative."""
         return Quantiles(
             self.median - other.median, self.p99 - other.p99, self.p999 - other.p999, self.max - other.max
         )
 
     def as_dict(self) -> dict[str, int]:
-        """Return plain values for a result."""
+        """Return the quantiles as stored in the result file."""
         return asdict(self)
 
 
 def percentile_curve(histogram: HdrHistogram) -> list[tuple[float, int]]:
-    """Return pairs of percentile and latency, ascending, closer together towards 100."""
+    """Return ascending pairs of percentile and latency, which are denser near 100 %."""
     points = histogram.get_percentile_iterator(TICKS_PER_HALF_DISTANCE)
-    return [(round(p.percentile_level_iterated_to, 6), int(p.value_iterated_to)) for p in points]
+    return [(round(point.percentile_level_iterated_to, 6), int(point.value_iterated_to)) for point in points]
 
 
 @dataclass(slots=True, frozen=True)
 class Distribution:
-    """A histogram as it goes into a result: number of latencies, their quantiles and percentile curve."""
+    """Summary of a histogram of latencies; the field names are keys of the result file.
+
+    Attributes:
+        count: Number of latencies.
+        us: Quantiles in microseconds.
+        curve_us: Pairs of percentile and latency in microseconds.
+    """
 
     count: int
     us: Quantiles
@@ -93,10 +99,10 @@
 
     @classmethod
     def of(cls, histogram: HdrHistogram) -> Distribution:
-        """Summarise a histogram."""
+        """Summarize a histogram."""
         count = int(histogram.get_total_count())
         return cls(count, Quantiles.of(histogram), percentile_curve(histogram))
 
     def as_dict(self) -> JsonObject:
-        """Return plain values for a result."""
+        """Return the distribution as stored in the result file."""
         return asdict(self)
--- a/emulator/measurement/result.py
+++ b/emulator/measurement/result.py
@@ -1,7 +1,4 @@
-"""A run's result file: what was measured, with the seed, machine and versions it was measured with.
-
-What a run measures, and its own part of the file, is in the run's modules.
-"""
+"""Writes the result file of a run: the measurements, and the seed, machine and versions behind them."""
 
 from __future__ import annotations
 
@@ -19,24 +16,24 @@
 if TYPE_CHECKING:
     from emulator.measurement.json_values import JsonObject
 
-RESULTS = PROJECT_ROOT / "results"  # where results go by default
+DEFAULT_RESULTS_FOLDER = PROJECT_ROOT / "results"
 GIT_TIMEOUT = 10  # seconds
 CPU_INFO = Path("/proc/cpuinfo")
 LIBRARIES = ("httptools", "orjson", "click", "hdrhistogram", "numpy", "psutil")
 
 
-def machine() -> JsonObject:
-    """Describe this machine: its processors (count, model), Python and kernel."""
+def describe_machine() -> JsonObject:
+    """Describe this machine: number and model of its processors, Python and kernel."""
     return {
         "cpus": os.cpu_count(),
-        "model": _processor(),
+        "model": _processor_model(),
         "python": platform.python_version(),
         "implementation": platform.python_implementation(),
         "kernel": platform.release(),
     }
 
 
-def _processor() -> str:
+def _processor_model() -> str:
     try:
         lines = CPU_INFO.read_text(encoding="utf-8").splitlines()
         names = [line.partition(":")[2].strip() for line in lines if line.startswith("model name")]
@@ -45,47 +42,50 @@
     return names[0] if names else platform.machine()
 
 
-def versions() -> dict[str, str]:
-    """Return the commit of this tree, as `commit` has it, and the versions of the libraries."""
-    found = {"commit": commit()}
+def collect_versions() -> dict[str, str]:
+    """Return the commit of this tree (see `tree_commit`) and the versions of the libraries."""
+    versions = {"commit": tree_commit()}
     for name in LIBRARIES:
         try:
-            found[name] = metadata.version(name)
+            versions[name] = metadata.version(name)
         except metadata.PackageNotFoundError:
-            found[name] = "none"
-    return found
+            versions[name] = "none"
+    return versions
 
 
-def _git(root: Path, *arguments: str) -> str:
+def _run_git(root: Path, *arguments: str) -> str:
     completed = subprocess.run(
         ["git", *arguments], cwd=root, capture_output=True, text=True, timeout=GIT_TIMEOUT, check=True
     )
     return completed.stdout.strip()
 
 
-def commit(root: Path = PROJECT_ROOT) -> str:
-    """Return the commit of a tree, followed by "+" where tracked files have uncommitted changes.
+def tree_commit(root: Path = PROJECT_ROOT) -> str:
+    """Return the checked-out commit of a tree, followed by "+" if tracked files have uncommitted changes.
 
-    It is "unknown" where there is no history; a folder within a tree has none of its own.
+    Returns:
+        "unknown" if `root` is not the top folder of a Git working tree.
     """
     try:
-        if _git(root, "rev-parse", "--show-prefix"):
+        if _run_git(root, "rev-parse", "--show-prefix"):
             return "unknown"
-        changed = _git(root, "status", "--porcelain", "--untracked-files=no", "--", ".", ":!results")
-        return _git(root, "rev-parse", "HEAD") + ("+" if changed else "")
+        changed_files = _run_git(
+            root, "status", "--porcelain", "--untracked-files=no", "--", ".", ":!results"
+        )
+        return _run_git(root, "rev-parse", "HEAD") + ("+" if changed_files else "")
     except (OSError, subprocess.SubprocessError):
         return "unknown"
 
 
 def write_result(name: str, seed: int, body: JsonObject, out: Path) -> Path:
-    """Write `out`/`name`.json and return its path.
+    """Write the file `out`/`name`.json and return its path.
 
     Args:
-        name: The run's name, as `RunOptions.result_name` has it.
-        seed: The run's seed.
-        body: What the run measured: plain values, lists and dicts. Its key `figures`, if any, maps the names
-            of budgets (`emulator.measurement.budgets`) to the figures measured.
-        out: The folder, which is created where it is missing.
+        name: Name of the result (`RunOptions.result_name`).
+        seed: Seed of the run.
+        body: The measurements. The key `figures`, if present, maps the figure names of the budgets
+            (`emulator.measurement.budgets`) to measured values.
+        out: The folder; it is created if it does not exist.
 
     Raises:
         OSError: The file can't be written.
@@ -96,8 +96,8 @@
         "run": name,
         "seed": seed,
         "written": datetime.now(UTC).isoformat(timespec="seconds"),
-        "machine": machine(),
-        "versions": versions(),
+        "machine": describe_machine(),
+        "versions": collect_versions(),
         **body,
     }
     path.write_text(json.dumps(result, indent=1) + "\n", encoding="utf-8")
--- a/emulator/measurement/usage_sampler.py
+++ b/emulator/measurement/usage_sampler.py
@@ -1,7 +1,4 @@
-"""Samples what child processes spend while something happens.
-
-It owns a thread and the readings that it takes; `meter` reads a single process.
-"""
+"""Samples the processor time and memory of child processes in a thread; `meter` reads a single process."""
 
 from __future__ import annotations
 
@@ -21,11 +18,13 @@
 
 
 class UsageSampler:
-    """Reads processes from outside, without their help, for as long as the block lasts.
+    """Context manager that samples child processes until the end of the block.
+
+    The readings are taken from outside; the children are not involved.
 
     Attributes:
-        processor_time: Processor time of each process, in their order.
-        peak_memory: The peak resident memory of each process in bytes.
+        processor_time: Processor time of each process, in the order of the children.
+        peak_memory: Peak resident memory of each process in bytes, in the same order.
     """
 
     def __init__(self, children: Sequence[ChildProcess]) -> None:
@@ -42,20 +41,20 @@
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Take a last reading and stop."""
+        """Take a last sample and stop the thread."""
         self._stop_requested.set()
         self._thread.join()
 
     def _sample_until_stopped(self) -> None:
         while True:
-            is_last = self._stop_requested.is_set()
-            self._sample()
-            if is_last:
+            is_last_sample = self._stop_requested.is_set()
+            self._take_sample()
+            if is_last_sample:
                 return
             self._stop_requested.wait(SAMPLING_INTERVAL)
 
-    def _sample(self) -> None:
-        for number, child in enumerate(self._children):
+    def _take_sample(self) -> None:
+        for index, child in enumerate(self._children):
             usage = child.usage()
-            self.processor_time[number].add(time.monotonic(), usage.processor)
-            self.peak_memory[number] = max(self.peak_memory[number], usage.memory)
+            self.processor_time[index].add(time.monotonic(), usage.processor)
+            self.peak_memory[index] = max(self.peak_memory[index], usage.memory)
--- a/emulator/runs/fleet_layout.py
+++ b/emulator/runs/fleet_layout.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from emulator.fleet.topology import REGION_OF, Topology
+from emulator.fleet.topology import REGION_BY_ZONE, Topology
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -74,7 +74,7 @@
     """Describe the endpoint that a proxy watches; endpoints with equal names are the same."""
     registry_number = proxy_number % REGISTRY_COUNT
     takeover_group = proxy_number // (2 * REGISTRY_COUNT) % TAKEOVER_GROUPS
-    region = REGION_OF[topology.entries[position]["zone"]]
+    region = REGION_BY_ZONE[topology.entries[position]["zone"]]
     name, view = f"{registry_number}.{region}.{takeover_group}", None
     if only_called_services:
         service = topology.service_of[position]
--- a/emulator/runs/settings_reload.py
+++ b/emulator/runs/settings_reload.py
@@ -17,7 +17,7 @@
 
 from emulator.fleet.role_processes import MAX_BACKEND_PORTS, BackendProcess
 from emulator.measurement.fit import MIN_POINTS, fit_all
-from emulator.measurement.result import commit, write_result
+from emulator.measurement.result import tree_commit, write_result
 from emulator.runs.common import (
     CHANGES_PER_DAY,
     SECONDS_PER_DAY,
@@ -138,7 +138,7 @@
         "proxies": size.proxies,
         "rows": size.rows[-1],
         "cores": len(cores),
-        "program": commit(options.program),
+        "program": tree_commit(options.program),
         "figures": figures,
         "note": NOTE,
         "duration": time.monotonic() - start,
--- a/emulator/runs/simulated_cost.py
+++ b/emulator/runs/simulated_cost.py
@@ -208,8 +208,8 @@
     snapshot = comparison.measure(lambda: comparison.send_snapshots(amounts.snapshots))
     idle = comparison.measure(lambda: comparison.stay_idle(amounts.idle_seconds))
     return {
-        "change": change.net_of_idle(idle),
-        "whole_list": snapshot.net_of_idle(idle),
+        "change": change.with_net_cost(idle),
+        "whole_list": snapshot.with_net_cost(idle),
         "idle": idle,
     }
 
@@ -217,5 +217,5 @@
 def _mean_processor_percent(events: dict[str, EventCost]) -> float:
     """Work out what percentage of a core control takes at a real proxy, averaged over the target's day."""
     idle = events["idle"]
-    idle_share = idle.real.processor / idle.seconds
-    return 100.0 * (idle_share + CHANGES_PER_DAY / SECONDS_PER_DAY * events["change"].real.processor)
+    idle_share = idle.real.processor_seconds / idle.seconds
+    return 100.0 * (idle_share + CHANGES_PER_DAY / SECONDS_PER_DAY * events["change"].real.processor_seconds)
--- a/emulator/runs/slopes_proxy.py
+++ b/emulator/runs/slopes_proxy.py
@@ -120,9 +120,9 @@
         snapshot = after.cost_since(between, snapshots, PROXIES)
         return {
             "rows": backends,
-            "change": change.processor,
+            "change": change.processor_seconds,
             "change_bytes": change.sent_bytes,
-            "whole": snapshot.processor,
+            "whole": snapshot.processor_seconds,
             "whole_bytes": snapshot.sent_bytes,
             "memory_mb": bench.start_cost.added_memory / PROXIES / MB,
         }
@@ -152,7 +152,7 @@
     return {
         "changes": changes
         / elapsed,  # the rate that was reached, not the one wanted: settling takes time too
-        "processor": cost.processor,
+        "processor": cost.processor_seconds,
         "bytes": cost.sent_bytes,
         "memory_mb": bench.host_usage().memory / MB,
     }
@@ -176,6 +176,6 @@
     after, elapsed = bench.reading(), time.monotonic() - started
     return {
         "calls": rate,
-        "processor": after.cost_since(before, elapsed, bench.proxies).processor,
+        "processor": after.cost_since(before, elapsed, bench.proxies).processor_seconds,
         "memory_mb": bench.host_usage().memory / MB,
     }
--- a/tests/emulator/test_control_cost.py
+++ b/tests/emulator/test_control_cost.py
@@ -9,7 +9,7 @@
 
 def test_the_cost_of_idle_time_is_taken_off_both_groups() -> None:
     idle = EventCost(1, 10.0, ProxyCost(1.0, 0.0), ProxyCost(0.0, 0.0))
-    event = EventCost(5, 5.0, ProxyCost(0.3, 0.0), ProxyCost(0.1, 0.0)).net_of_idle(idle).as_dict()
+    event = EventCost(5, 5.0, ProxyCost(0.3, 0.0), ProxyCost(0.1, 0.0)).with_net_cost(idle).as_dict()
     assert event["real"] == {"processor": 0.3, "bytes": 0.0, "processor_net": pytest.approx(0.2)}
     assert event["hollow"] == {"processor": 0.1, "bytes": 0.0, "processor_net": pytest.approx(0.1)}
     assert event["difference_percent"] == {
--- a/tests/emulator/test_result.py
+++ b/tests/emulator/test_result.py
@@ -5,7 +5,7 @@
 import json
 from typing import TYPE_CHECKING
 
-from emulator.measurement.result import commit, write_result
+from emulator.measurement.result import tree_commit, write_result
 from testbed.paths import PROJECT_ROOT
 
 if TYPE_CHECKING:
@@ -23,5 +23,5 @@
 
 
 def test_a_tree_without_a_history_of_its_own_has_no_commit(tmp_path: Path) -> None:
-    assert commit(tmp_path) == "unknown"
-    assert commit(PROJECT_ROOT / "tests") == "unknown"  # not that of the tree around it
+    assert tree_commit(tmp_path) == "unknown"
+    assert tree_commit(PROJECT_ROOT / "tests") == "unknown"  # not that of the tree around it
--- a/tests/emulator/test_topology.py
+++ b/tests/emulator/test_topology.py
@@ -27,7 +27,7 @@
     called = [len(fleet.called_backends(service)) for service in range(78)]
     assert min(called) >= topology.MIN_CALLED_BACKENDS
     assert max(called) <= topology.MAX_CALLED_BACKENDS
-    assert all(service not in services for service, services in enumerate(fleet.calls))
+    assert all(service not in services for service, services in enumerate(fleet.called_services))
 
 
 def test_a_seed_determines_a_fleet_of_any_size() -> None:
