--- a/emulator/__init__.py
+++ b/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""A simulated fleet on one machine: discovery, proxies, and runs that measure what its size costs."""
+"""Simulates a fleet on one machine, and measures how the cost of discovery and proxies grows with it."""
--- a/emulator/cli.py
+++ b/emulator/cli.py
@@ -1,6 +1,6 @@
-"""The command line: which runs there are, their options, and what they print and exit with.
+"""The command line of the emulator: its runs, their options, output and exit codes.
 
-What a run measures is in its module of `emulator.runs`, and the limits of its figures are in
+Each run is in a module of `emulator.runs`. The limits of the measured figures are in
 `emulator.measurement.budgets`.
 """
 
@@ -24,17 +24,16 @@
 
 Run = Callable[[RunOptions], RunResult]
 
-ADDED = added_latency.NAME
-TIME_LIMIT, TIME_LIMIT_QUICK = 300, 60  # seconds that one run may take
+TIME_LIMIT, QUICK_TIME_LIMIT = 300, 60  # seconds for one run
 RUNS: dict[str, Run] = {
     "slopes": slopes.run,
     simulated_cost.NAME: simulated_cost.run,
     "fleet": fleet.run,
     settings_reload.NAME: settings_reload.run,
 }
-#: Former names of runs, which the command line still takes and no longer shows.
+#: Deprecated names of runs; the help does not list them.
 ALIASES = {"hollow": simulated_cost.NAME}
-RUNS_OF_ANY_PROGRAM = (settings_reload.NAME,)  # those that can measure the proxy of another tree
+RUNS_WITH_PROGRAM_OPTION = (settings_reload.NAME,)  # runs that can measure the proxy of another source tree
 
 EXIT_FAILURE, EXIT_USAGE, EXIT_INTERRUPTED, EXIT_TERMINATED = 1, 2, 130, 143
 
@@ -42,7 +41,7 @@
 def run_options(command: Callable[..., Any]) -> Callable[..., Any]:
     """Add the options that every run has."""
     for option in (
-        click.option("--quick", is_flag=True, help="A small edition."),
+        click.option("--quick", is_flag=True, help="Run a shorter version with fewer measurements."),
         click.option(
             "--out",
             type=click.Path(file_okay=False, path_type=Path),
@@ -54,7 +53,7 @@
             type=click.IntRange(0, 2**32 - 1),
             default=1,
             show_default=True,
-            help="For everything random.",
+            help="Seed of the random generators.",
         ),
     ):
         command = option(command)
@@ -63,7 +62,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
-    """Measure on one machine what the size of a fleet costs."""
+    """Measure on one machine how the cost of proxies grows with the size of the fleet."""
 
 
 def _report_verdict(figures: dict[str, float]) -> int:
@@ -74,26 +73,26 @@
 
 
 def _run_within_limit(run: Run, options: RunOptions) -> RunResult:
-    with time_limit(TIME_LIMIT_QUICK if options.quick else TIME_LIMIT):
+    with time_limit(QUICK_TIME_LIMIT if options.quick else TIME_LIMIT):
         return run(options)
 
 
 def _command(name: str, run: Run) -> click.Command:
-    """Build the command of a run that has a time limit and whose figures are compared with the budgets."""
+    """Build the command of a run with a time limit and figures that are checked against the budgets."""
 
     @click.command(name, help=(run.__doc__ or name).partition("\n")[0])
     @run_options
     def command(*, seed: int, out: Path, quick: bool, program: Path = PROJECT_ROOT) -> None:
-        """Do the run; exits 1 where an enforced budget is violated."""
+        """Do the run; exits with 1 if an enforced budget is violated."""
         result = _run_within_limit(run, RunOptions(seed, out, quick, program))
         report_progress(name, f"result in {result.path}")
         sys.exit(_report_verdict(result.figures))
 
-    if name in RUNS_OF_ANY_PROGRAM:
+    if name in RUNS_WITH_PROGRAM_OPTION:
         click.option(
             "--program",
             default=PROJECT_ROOT,
-            help="Tree of the proxy to measure, run by its deploy/balancer.toml (default: this tree).",
+            help="Source tree of the proxy to measure, run by its deploy/balancer.toml (default: this tree).",
             type=click.Path(exists=True, file_okay=False, resolve_path=True, path_type=Path),
         )(command)
     return command
@@ -102,63 +101,63 @@
 for _name, _run in RUNS.items():
     cli.add_command(_command(_name, _run))
 for _alias, _name in ALIASES.items():
-    _hidden = _command(_name, RUNS[_name])
-    _hidden.hidden = True
-    cli.add_command(_hidden, _alias)
+    _alias_command = _command(_name, RUNS[_name])
+    _alias_command.hidden = True
+    cli.add_command(_alias_command, _alias)
 
 
-def _run_added(options: RunOptions) -> RunResult:
-    """Measure the added latency, without a time limit; exit where a process fails."""
+def _run_added_latency(options: RunOptions) -> RunResult:
+    """Measure the added latency without a time limit; exits if a process fails."""
     try:
-        options.out.mkdir(parents=True, exist_ok=True)  # fail now rather than after the run
+        options.out.mkdir(parents=True, exist_ok=True)  # fail before the run, not after it
     except OSError as error:
         raise click.BadParameter(str(error), param_hint="--out") from error
     try:
         result = added_latency.run(options)
     except (ProcessError, OSError) as error:
-        click.echo(f"{ADDED}: {error}", err=True)
+        click.echo(f"{added_latency.NAME}: {error}", err=True)
         sys.exit(EXIT_FAILURE)
-    click.echo(f"{ADDED}: {result.path}")
+    click.echo(f"{added_latency.NAME}: {result.path}")
     return result
 
 
-@cli.command(ADDED, help=(added_latency.run.__doc__ or ADDED).partition("\n")[0])
+@cli.command(added_latency.NAME, help=(added_latency.run.__doc__ or added_latency.NAME).partition("\n")[0])
 @run_options
 def added_command(*, seed: int, out: Path, quick: bool) -> None:
-    """Measure the added latency; exits 0 even where a budget is violated."""
-    _run_added(RunOptions(seed, out, quick))
+    """Measure the added latency; exits with 0 even if a budget is violated."""
+    _run_added_latency(RunOptions(seed, out, quick))
 
 
-@cli.command("all", help="All runs that feed the budgets, one after the other.")
+@cli.command("all", help="Do all runs one after another, and check the figures against the budgets.")
 @run_options
 def all_command(*, seed: int, out: Path, quick: bool) -> None:
-    """Do every run; exits 1 where an enforced budget is violated."""
+    """Do all runs; exits with 1 if an enforced budget is violated."""
     options = RunOptions(seed, out, quick)
     figures: dict[str, float] = {}
     for name, run in RUNS.items():
-        report_progress(name, "begins")
+        report_progress(name, "started")
         figures |= _run_within_limit(run, options).figures
-    report_progress(ADDED, "begins")
-    figures |= _run_added(options).figures
+    report_progress(added_latency.NAME, "started")
+    figures |= _run_added_latency(options).figures
     sys.exit(_report_verdict(figures))
 
 
 def _usage_error(error: click.UsageError) -> str:
-    """Return one line on bad arguments."""
+    """Describe invalid arguments in one line."""
     if isinstance(error, click.exceptions.NoArgsIsHelpError):
         names = (name for name, command in sorted(cli.commands.items()) if not command.hidden)
-        return f"a command is needed: {', '.join(names)}"
+        return f"a command is required: {', '.join(names)}"
     return " ".join(error.format_message().split())
 
 
-def _report_error(text: object, code: int) -> int:
-    print(f"emulator: {text}", file=sys.stderr)
-    return code
+def _report_error(message: object, exit_code: int) -> int:
+    print(f"emulator: {message}", file=sys.stderr)
+    return exit_code
 
 
 def main() -> int:
-    """Run the command line; bad arguments are one line on standard error and 2."""
-    # Exiting by an exception ends the processes that were started.
+    """Run the command line and return the exit code; invalid arguments print one line to standard error."""
+    # The exception SystemExit unwinds the context managers that end the started processes.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(EXIT_TERMINATED))
     try:
         cli.main(standalone_mode=False)
--- a/emulator/errors.py
+++ b/emulator/errors.py
@@ -1,4 +1,4 @@
-"""Why a run of the emulator can not go on; each error carries its facts and builds its message from them."""
+"""The errors that end a run of the emulator."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class RunTimeoutError(TimeoutError):
-    """A run takes longer than it may.
+    """A run exceeds its time limit.
 
     Attributes:
-        seconds: How long it may take.
+        seconds: The time limit.
     """
 
     def __init__(self, seconds: int) -> None:
-        super().__init__(f"it takes more than {seconds} s")
+        super().__init__(f"the run exceeded its time limit of {seconds} s")
         self.seconds = seconds
 
 
@@ -21,41 +21,41 @@
     """A proxy does not watch its registry in time."""
 
     def __init__(self) -> None:
-        super().__init__("a proxy does not watch")
+        super().__init__("a proxy did not receive its endpoint list in time")
 
 
 class ApplyTimeoutError(RuntimeError):
-    """A proxy does not apply what it was sent in time.
+    """A proxy does not apply an update in time.
 
     Attributes:
-        what: What was sent.
-        seconds: How long it was waited for.
+        update: The kind of update.
+        seconds: The time that was waited for it.
     """
 
-    def __init__(self, what: str, seconds: float) -> None:
-        super().__init__(f"{what} was not applied within {seconds:g} s")
-        self.what = what
+    def __init__(self, update: str, seconds: float) -> None:
+        super().__init__(f"{update} was not applied within {seconds:g} s")
+        self.update = update
         self.seconds = seconds
 
 
 class MemoryLimitError(RuntimeError):
-    """The processes of a run take too much of this machine's memory.
+    """The processes of a run use too much of this machine's memory.
 
     Attributes:
-        resident: Their resident memory in bytes.
+        resident: Resident memory of the processes in bytes.
     """
 
     def __init__(self, resident: int) -> None:
-        super().__init__(f"the processes take {resident / MB:.0f} MB")
+        super().__init__(f"the processes use too much memory: {resident / MB:.0f} MB")
         self.resident = resident
 
 
 class TopologySizeError(ValueError):
-    """A fleet can not have so many services.
+    """A fleet has too many services for its backends, or no service.
 
     Attributes:
-        services: How many services were wanted.
-        backends: How many backends there are to share among them.
+        services: Number of services.
+        backends: Number of backends.
     """
 
     def __init__(self, services: int, backends: int) -> None:
@@ -65,23 +65,23 @@
 
 
 class FitPointsError(ValueError):
-    """There are too few points for a fit, or unequal numbers of x and y.
+    """A fit has too few points, or different numbers of x and y values.
 
     Attributes:
-        xs: How many x there are.
-        ys: How many y there are.
-        wanted: How many of each are needed at least.
+        xs: Number of x values.
+        ys: Number of y values.
+        min_points: Smallest number of points for a fit.
     """
 
-    def __init__(self, xs: int, ys: int, wanted: int) -> None:
-        super().__init__(f"{xs} and {ys} values: at least {wanted} of each are needed")
+    def __init__(self, xs: int, ys: int, min_points: int) -> None:
+        super().__init__(f"{xs} x and {ys} y values: at least {min_points} of each are needed")
         self.xs = xs
         self.ys = ys
-        self.wanted = wanted
+        self.min_points = min_points
 
 
 class FitRangeError(ValueError):
-    """An x of a fit in x log x is not above 0."""
+    """A value of x is not greater than 0, so that x log x is undefined."""
 
     def __init__(self) -> None:
-        super().__init__("x must be above 0")
+        super().__init__("x must be greater than 0")
--- a/emulator/runs/slopes_proxy.py
+++ b/emulator/runs/slopes_proxy.py
@@ -64,14 +64,14 @@
     def wait_until_applied(self) -> None:
         """Wait until the proxies have applied every change; ApplyTimeoutError where that takes too long."""
         if not self._host.call("wait_until_applied", self._latest, APPLY_TIMEOUT):
-            raise ApplyTimeoutError(what="a change", seconds=APPLY_TIMEOUT)
+            raise ApplyTimeoutError(update="a change", seconds=APPLY_TIMEOUT)
 
     def send_snapshot(self) -> None:
         """Send the proxies a complete list and wait for it; ApplyTimeoutError where that takes too long."""
         self._snapshots += 1
         self._registry.call("reset_connections", [ENDPOINT], forget_log=True)
         if not self._host.call("wait_for_snapshots", self._snapshots, APPLY_TIMEOUT):
-            raise ApplyTimeoutError(what="a snapshot", seconds=APPLY_TIMEOUT)
+            raise ApplyTimeoutError(update="a snapshot", seconds=APPLY_TIMEOUT)
 
     def set_request_rate(self, rate: float) -> None:
         """Feed each proxy calls at a rate a second from now on."""
