--- a/emulator/load/__init__.py
+++ b/emulator/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load: calls at scheduled times, and watches on discovery."""
+"""Load: requests at scheduled times, and watches on a registry."""
--- a/emulator/load/plan.py
+++ b/emulator/load/plan.py
@@ -1,6 +1,6 @@
-"""What a load generator does and what it reports: plain values, and the JSON lines that carry them.
+"""The plan and the report of a load generator, and their encoding as lines of JSON.
 
-Nothing here opens a connection or reads a clock: that is `emulator.load.generator`.
+`emulator.load.generator` carries out a plan.
 """
 
 from __future__ import annotations
@@ -16,12 +16,18 @@
 
     from numpy.typing import NDArray
 
-SERVED = "200"  # the status of a call that counts as served
+SERVED = "200"  # the status of a request that counts as served
 
 
 @dataclass(slots=True, frozen=True)
 class Stream:
-    """Calls of one kind: Poisson arrivals at `rate` calls a second, each to one of `ports` at random."""
+    """Requests of one kind, with Poisson arrivals.
+
+    Attributes:
+        name: Name of the stream.
+        ports: Ports to which requests are sent; each request goes to a random one.
+        rate: Requests a second.
+    """
 
     name: str
     ports: Sequence[int]
@@ -30,13 +36,13 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadPlan:
-    """The streams of one load generator.
+    """The requests that one load generator sends.
 
     Attributes:
-        seed: For everything random.
-        warmup: Seconds of calls that are not counted.
-        seconds: Seconds of calls after those, which are counted.
-        streams: The kinds of calls.
+        seed: Seed of the random generator.
+        warmup: Seconds in which requests are sent but not measured.
+        seconds: Seconds in which requests are measured, after the warm-up.
+        streams: The streams of requests, which are sent at the same time.
     """
 
     seed: int
@@ -45,27 +51,33 @@
     streams: Sequence[Stream]
 
     def to_line(self) -> bytes:
-        """Encode the plan as the line that a load generator reads."""
+        """Encode the plan as a line of JSON, which a load generator reads."""
         return json.dumps(asdict(self)).encode() + b"\n"
 
     @classmethod
     def from_line(cls, line: str | bytes) -> LoadPlan:
-        """Decode such a line; ValueError, KeyError or TypeError where it holds no plan."""
+        """Decode a plan; ValueError, KeyError or TypeError if the line is not a plan."""
         raw = json.loads(line)
         return cls(**(raw | {"streams": [Stream(**stream) for stream in raw["streams"]]}))
 
 
 @dataclass(slots=True, frozen=True)
-class ScheduledCall:
-    """One call: its start in seconds from that of the plan, its stream's index in the plan, and its port."""
+class ScheduledRequest:
+    """One request of a plan.
 
-    at: float
+    Attributes:
+        start: Seconds from the start of the plan.
+        stream: Index of the request's stream in the plan.
+        port: Port to which the request is sent.
+    """
+
+    start: float
     stream: int
     port: int
 
 
 def poisson_times(rng: np.random.Generator, rate: float, seconds: float) -> NDArray[np.float64]:
-    """Draw the times of a Poisson process: shape (n,), ascending, in seconds within [0, seconds).
+    """Draw the arrival times of a Poisson process within [0, seconds), in ascending order.
 
     Given their number, the arrivals of a Poisson process are independent and uniform (Ross, Introduction to
     Probability Models, section 5.3).
@@ -73,43 +85,54 @@
     return np.sort(rng.uniform(0.0, seconds, rng.poisson(rate * seconds)))
 
 
-def schedule_calls(plan: LoadPlan) -> list[ScheduledCall]:
-    """Draw all calls of a plan, in the order of their starts; the streams are independent and interleave."""
-    calls: list[ScheduledCall] = []
+def schedule_requests(plan: LoadPlan) -> list[ScheduledRequest]:
+    """Draw all requests of a plan, sorted by start; the streams are drawn independently of each other."""
+    requests: list[ScheduledRequest] = []
     for index, stream in enumerate(plan.streams):
         rng = np.random.default_rng([plan.seed, index])
-        times = poisson_times(rng, stream.rate, plan.warmup + plan.seconds)
-        ports = rng.choice(np.asarray(stream.ports), len(times))
-        calls += [ScheduledCall(float(at), index, int(port)) for at, port in zip(times, ports, strict=True)]
-    return sorted(calls, key=lambda call: call.at)
+        start_times = poisson_times(rng, stream.rate, plan.warmup + plan.seconds)
+        ports = rng.choice(np.asarray(stream.ports), len(start_times))
+        requests += [
+            ScheduledRequest(float(start), index, int(port))
+            for start, port in zip(start_times, ports, strict=True)
+        ]
+    return sorted(requests, key=lambda request: request.start)
 
 
 @dataclass(slots=True, frozen=True)
 class StreamReport:
-    """The outcomes and latencies of one stream's calls.
+    """Outcomes and latencies of the requests of one stream.
 
     Attributes:
-        ended: Number of calls by outcome: a status, or an outcome of `emulator.load.generator`.
-        histogram: Latencies of the counted calls that were served, in HDR's compressed form.
+        outcome_counts: Number of requests by outcome: an HTTP status, or `LOST` or `NO_RESPONSE` of
+            `emulator.load.generator`.
+        histogram: Latencies of the measured requests that were served, as an encoded HDR histogram.
     """
 
-    ended: Mapping[str, int]
+    outcome_counts: Mapping[str, int]
     histogram: str
 
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """What a load generator measured: its streams in the plan's order, and each stall of its own loop."""
+    """Measurements of a load generator.
+
+    Attributes:
+        streams: The reports of the streams, in the order of the plan.
+        stalls_us: Length in microseconds of each stall of the load generator's own loop.
+    """
 
     streams: Sequence[StreamReport]
     stalls_us: Sequence[int]
 
     def to_line(self) -> str:
-        """Encode the report as the line that a load generator prints, without its end."""
-        return json.dumps(asdict(self))
+        """Encode the report as JSON, without a line end."""
+        streams = [{"ended": stream.outcome_counts, "histogram": stream.histogram} for stream in self.streams]
+        return json.dumps({"streams": streams, "stalls_us": self.stalls_us})
 
     @classmethod
     def from_line(cls, line: str | bytes) -> LoadReport:
-        """Decode such a line."""
+        """Decode a report."""
         raw = json.loads(line)
-        return cls([StreamReport(**stream) for stream in raw["streams"]], raw["stalls_us"])
+        streams = [StreamReport(stream["ended"], stream["histogram"]) for stream in raw["streams"]]
+        return cls(streams, raw["stalls_us"])
--- a/emulator/measurement/latency.py
+++ b/emulator/measurement/latency.py
@@ -66,7 +66,7 @@
             *(int(histogram.get_value_at_percentile(percent)) for percent in (50.0, 99.0, 99.9, 100.0))
         )
 
-    def above(self, other: Quantiles) -> Quantiles:
+    def difference_to(self, other: Quantiles) -> Quantiles:
         """Return the difference of each quantile to that of `other`; it may be negative."""
         return Quantiles(
             self.median - other.median, self.p99 - other.p99, self.p999 - other.p999, self.max - other.max
--- a/emulator/runs/added_latency.py
+++ b/emulator/runs/added_latency.py
@@ -1,8 +1,8 @@
-"""The latency that a real proxy adds to a call, on loopback, against the same backend called directly.
+"""The run `added`: the latency that a real proxy adds to a request, measured on loopback.
 
-One trial runs a stub backend, a number of real proxies and one open-loop load generator, which calls through
-each proxy and, in the same run, straight to the backend. What is measured is described in
-`emulator.runs.latency_trials`, what comes of it in `emulator.runs.latency_report`.
+Each scenario starts a stub backend, a number of real proxies and one open-loop load generator. The generator
+sends requests through each proxy and, at the same time, directly to the backend. The scenarios are in
+`emulator.runs.latency_scenarios`, their reports in `emulator.runs.latency_report`.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 from emulator.load.plan import LoadPlan, Stream
 from emulator.measurement.result import write_result
 from emulator.runs.common import RunOptions, RunResult
-from emulator.runs.latency_report import ALL_PROXIES, TrialReport, TrialUsage, UsagePair, budget_figures
-from emulator.runs.latency_trials import WARMUP, Trial, quick_schedule, schedule
+from emulator.runs.latency_report import ALL_PROXIES, ScenarioReport, ScenarioUsage, UsagePair, budget_figures
+from emulator.runs.latency_scenarios import WARMUP, Scenario, quick_schedule, schedule
 from testbed.discovery.registry import serve_static_list
 from testbed.health_check import wait_until_healthy
 from testbed.loopback import free_ports
@@ -43,14 +43,15 @@
 
 
 async def _start_proxies(
-    stack: AsyncExitStack, trial: Trial, placement: Placement, seed: int, backend_ports: Sequence[int]
+    stack: AsyncExitStack, scenario: Scenario, placement: Placement, seed: int, backend_ports: Sequence[int]
 ) -> tuple[list[ManagedProcess], list[int]]:
-    """Start the trial's proxies, and wait until they are ready; return them and the ports they listen on."""
-    snapshot = endpoint_snapshot(trial.rows, backend_ports)
+    """Start the proxies of a scenario and wait until they are ready; return them and their ports."""
+    snapshot = endpoint_snapshot(scenario.endpoint_count, backend_ports)
     discovery_port = await serve_static_list(stack, snapshot)
     folder = Path(stack.enter_context(TemporaryDirectory()))
-    # Drawn by the trial's name as well: two trials that run at once must not try the same ports.
-    ports = free_ports(len(trial.rates), np.random.default_rng([seed, *trial.name.encode()]))
+    # The scenario's name is part of the seed, so that two scenarios at the same time draw different ports.
+    rng = np.random.default_rng([seed, *scenario.name.encode()])
+    ports = free_ports(len(scenario.proxy_rates), rng)
     program = ProxyProgram.of_tree(PROJECT_ROOT)
     processes = []
     for ordinal, (port, cores) in enumerate(zip(ports, placement.proxies, strict=True)):
@@ -69,58 +70,69 @@
     return processes, ports
 
 
-def _plan(trial: Trial, seed: int, proxy_ports: Sequence[int], backend_ports: Sequence[int]) -> LoadPlan:
-    """Plan a stream of calls through each proxy and, as the last one, a stream straight to the backend."""
-    through = [
+def _load_plan(
+    scenario: Scenario, seed: int, proxy_ports: Sequence[int], backend_ports: Sequence[int]
+) -> LoadPlan:
+    """Plan one stream of requests through each proxy, and then one stream directly to the backend."""
+    proxy_streams = [
         Stream(f"n{ordinal}", [port], rate)
-        for ordinal, (port, rate) in enumerate(zip(proxy_ports, trial.rates, strict=True))
+        for ordinal, (port, rate) in enumerate(zip(proxy_ports, scenario.proxy_rates, strict=True))
     ]
-    return LoadPlan(seed, WARMUP, trial.seconds, [*through, Stream("direct", backend_ports, trial.direct)])
+    direct_stream = Stream("direct", backend_ports, scenario.direct_rate)
+    return LoadPlan(seed, WARMUP, scenario.seconds, [*proxy_streams, direct_stream])
 
 
-async def _measure(trial: Trial, cores: Sequence[int], seed: int) -> TrialReport:
-    """Run one trial on these cores."""
-    placement = place_processes(cores, len(trial.rates))
+async def _run_scenario(scenario: Scenario, cores: Sequence[int], seed: int) -> ScenarioReport:
+    """Run and measure one scenario on these cores."""
+    placement = place_processes(cores, len(scenario.proxy_rates))
     async with AsyncExitStack() as stack:
         backend = await BackendProcess.start(
             stack,
             placement.backend,
-            min(trial.rows, MAX_BACKEND_PORTS),
-            WARMUP + trial.seconds + 3 * STARTUP_TIMEOUT,
+            min(scenario.endpoint_count, MAX_BACKEND_PORTS),
+            WARMUP + scenario.seconds + 3 * STARTUP_TIMEOUT,
         )
-        proxies, ports = await _start_proxies(stack, trial, placement, seed, backend.ports)
-        plan = _plan(trial, seed, ports, backend.ports)
+        proxies, ports = await _start_proxies(stack, scenario, placement, seed, backend.ports)
+        plan = _load_plan(scenario, seed, ports, backend.ports)
         generator = await LoadGeneratorProcess.start(stack, placement.load_generator, plan)
         processes = [*proxies, backend.process, generator.process]
         before = [process.usage() for process in processes]
         await generator.begin()
-        load = await generator.report(WARMUP + trial.seconds + STARTUP_TIMEOUT)
+        load = await generator.report(WARMUP + scenario.seconds + STARTUP_TIMEOUT)
         after = [process.usage() for process in processes]
-    *by_proxy, by_backend, by_generator = map(UsagePair, before, after)
-    return TrialReport.of(trial, placement, load, TrialUsage(by_proxy, by_backend, by_generator))
+    *proxy_usages, backend_usage, generator_usage = map(UsagePair, before, after)
+    usage = ScenarioUsage(proxy_usages, backend_usage, generator_usage)
+    return ScenarioReport.of(scenario, placement, load, usage)
 
 
 async def _run_batches(
-    batches: Sequence[Sequence[Trial]], cores: Sequence[int], seed: int
-) -> dict[str, TrialReport]:
-    """Run all batches one after another; return the report of each trial by its name."""
-    reports: dict[str, TrialReport] = {}
+    batches: Sequence[Sequence[Scenario]], cores: Sequence[int], seed: int
+) -> dict[str, ScenarioReport]:
+    """Run the batches one after another; return the report of each scenario by its name."""
+    reports: dict[str, ScenarioReport] = {}
     for batch in batches:
-        names = "; ".join(trial.name for trial in batch)
+        names = "; ".join(scenario.name for scenario in batch)
         click.echo(f"{NAME}: {names}: {batch[0].seconds:.0f} s")
-        part = max(1, len(cores) // len(batch))
-        parts = [cores[n * part : (n + 1) * part] or cores for n in range(len(batch))]
-        measured = await asyncio.gather(*(_measure(*each, seed) for each in zip(batch, parts, strict=True)))
-        for report in measured:
-            reports[report.trial.name] = report
+        share_size = max(1, len(cores) // len(batch))
+        core_shares = [
+            cores[index * share_size : (index + 1) * share_size] or cores for index in range(len(batch))
+        ]
+        batch_reports = await asyncio.gather(
+            *(
+                _run_scenario(scenario, scenario_cores, seed)
+                for scenario, scenario_cores in zip(batch, core_shares, strict=True)
+            )
+        )
+        for report in batch_reports:
+            reports[report.scenario.name] = report
             click.echo(f"{NAME}: {report.summary()}")
     return reports
 
 
 def run(options: RunOptions) -> RunResult:
-    """The time that real proxies add to a call, against the same backend called directly.
+    """Measure the latency that real proxies add to a request, compared with direct requests.
 
-    Writes added.json. Raises ProcessError or OSError where a process does not start or ends early.
+    Writes added.json. Raises ProcessError or OSError if a process does not start or ends early.
     """
     cores = sorted(os.sched_getaffinity(0))
     os.sched_setaffinity(0, cores[:1])
@@ -130,7 +142,7 @@
         reports = asyncio.run(_run_batches(batches, cores[1:] or cores, options.seed))
     finally:
         os.sched_setaffinity(0, cores)
-    figures = budget_figures({name: report.added()[ALL_PROXIES] for name, report in reports.items()})
+    figures = budget_figures({name: report.added_latency()[ALL_PROXIES] for name, report in reports.items()})
     body: JsonObject = {
         "cores": len(cores),
         "wall_s": time.monotonic() - start,
--- a/emulator/runs/settings_measurement.py
+++ b/emulator/runs/settings_measurement.py
@@ -158,7 +158,7 @@
     # What is measured next has the cores to itself.
     for process in (generator.process, *(proxy.process for proxy in proxies)):
         await process.stop()
-    outcomes = CallOutcomes.of(stream.ended for stream in load.streams)
+    outcomes = CallOutcomes.of(stream.outcome_counts for stream in load.streams)
     latency = Distribution.of(merge(stream.histogram for stream in load.streams))
     return LoadedChanges(changes, CallsReport(outcomes, RATE, size.called, latency))
 
--- a/tests/emulator/test_latency.py
+++ b/tests/emulator/test_latency.py
@@ -9,7 +9,7 @@
     through = merge([encode(histogram_of(value + 300 for value in range(1, 1001)))])
     direct = merge([encode(histogram_of(range(1, 1001)))])
     assert Quantiles.of(direct) == Quantiles(median=500, p99=990, p999=999, max=1000)
-    assert Quantiles.of(through).above(Quantiles.of(direct)).as_dict() == {
+    assert Quantiles.of(through).difference_to(Quantiles.of(direct)).as_dict() == {
         "median": 300,
         "p99": 300,
         "p999": 300,
--- a/tests/emulator/test_load_generator.py
+++ b/tests/emulator/test_load_generator.py
@@ -1,4 +1,4 @@
-"""The load generator keeps to its schedule, and the stub backend answers it."""
+"""The schedule and the measured latencies of the load generator, and the stub backend that it uses."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 import numpy as np
 
 from emulator.load.generator import LOST, OpenLoopGenerator
-from emulator.load.plan import LoadPlan, Stream, poisson_times, schedule_calls
+from emulator.load.plan import LoadPlan, Stream, poisson_times, schedule_requests
 from testbed.backend_stub import RESPONSE, listen
 from testbed.http_messages import read_message
 from testbed.loopback import HOST, free_ports, port_of
 from tests.support.loopback import with_timeout
 
 
-def test_arrivals_are_drawn_ahead_ascending_and_the_same_for_a_seed() -> None:
+def test_arrival_times_ascend_within_the_plan_and_depend_only_on_the_seed() -> None:
     times = poisson_times(np.random.default_rng(3), 200.0, 50.0)
     assert (np.diff(times) >= 0.0).all()
     assert times[0] >= 0.0
@@ -25,17 +25,17 @@
     assert len(poisson_times(np.random.default_rng(3), 0.0, 50.0)) == 0
 
 
-def test_a_plan_interleaves_its_streams_and_survives_its_line() -> None:
+def test_requests_of_all_streams_are_sorted_by_start_and_survive_the_encoding_of_the_plan() -> None:
     plan = LoadPlan(7, 1.0, 9.0, [Stream("n0", [11], 50.0), Stream("direct", [21, 22], 50.0)])
-    calls = schedule_calls(plan)
-    assert calls == sorted(calls, key=lambda call: call.at)
-    assert calls[-1].at < 10.0
-    assert {(call.stream, call.port) for call in calls} == {(0, 11), (1, 21), (1, 22)}
-    assert schedule_calls(LoadPlan.from_line(plan.to_line().decode())) == calls
+    requests = schedule_requests(plan)
+    assert requests == sorted(requests, key=lambda request: request.start)
+    assert requests[-1].start < 10.0
+    assert {(request.stream, request.port) for request in requests} == {(0, 11), (1, 21), (1, 22)}
+    assert schedule_requests(LoadPlan.from_line(plan.to_line().decode())) == requests
 
 
-def test_the_backend_answers_one_request_after_another_on_a_connection() -> None:
-    async def talk() -> None:
+def test_the_stub_backend_responds_to_split_and_pipelined_requests_on_one_connection() -> None:
+    async def scenario() -> None:
         [server] = await listen(1)
         reader, writer = await asyncio.open_connection(HOST, port_of(server))
         get = b"GET /api/read HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -48,11 +48,11 @@
         writer.close()
         server.close()
 
-    asyncio.run(talk())
+    asyncio.run(scenario())
 
 
-async def carry_out(plan: LoadPlan, delay: float) -> OpenLoopGenerator:
-    """Carry out a plan that began `delay` seconds ago, against the stub backend."""
+async def run_late(plan: LoadPlan, delay: float) -> OpenLoopGenerator:
+    """Carry out a plan against the stub backend, `delay` seconds after its scheduled start."""
     [server] = await listen(1)
     streams = [Stream(stream.name, [port_of(server)], stream.rate) for stream in plan.streams]
     generator = OpenLoopGenerator(LoadPlan(plan.seed, plan.warmup, plan.seconds, streams))
@@ -61,21 +61,21 @@
     return generator
 
 
-def test_latency_counts_from_the_scheduled_start_however_late_a_call_is_sent() -> None:
+def test_latency_includes_the_delay_of_requests_that_are_sent_late() -> None:
     plan = LoadPlan(1, 0.1, 0.2, [Stream("n0", [0], 100.0), Stream("direct", [0], 100.0)])
-    generator = asyncio.run(carry_out(plan, delay=2.0))
-    scheduled = schedule_calls(plan)
+    generator = asyncio.run(run_late(plan, delay=2.0))
+    scheduled = schedule_requests(plan)
     for index, tally in enumerate(generator.tallies):
-        calls = [call for call in scheduled if call.stream == index]
-        assert tally.ended == {"200": len(calls)}  # the warm-up's calls are made, and not recorded
-        assert len(tally.latencies_us) == sum(call.at >= 0.1 for call in calls) > 0
+        requests = [request for request in scheduled if request.stream == index]
+        assert tally.outcome_counts == {"200": len(requests)}  # includes the requests of the warm-up
+        assert len(tally.latencies_us) == sum(request.start >= 0.1 for request in requests) > 0
         assert min(tally.latencies_us) >= (2.0 - 0.3) * 1e6
 
 
-def test_calls_to_a_closed_port_are_lost_and_not_recorded() -> None:
+def test_requests_to_a_closed_port_count_as_lost_and_have_no_latency() -> None:
     [port] = free_ports(1, np.random.default_rng(1))
     generator = OpenLoopGenerator(LoadPlan(1, 0.0, 0.1, [Stream("n0", [port], 100.0)]))
     generator.run(time.perf_counter() - 1.0)
     [tally] = generator.tallies
-    assert set(tally.ended) == {LOST}
+    assert set(tally.outcome_counts) == {LOST}
     assert not tally.latencies_us
--- a/tests/emulator/test_proxy_config.py
+++ b/tests/emulator/test_proxy_config.py
@@ -8,7 +8,7 @@
 import pytest
 
 from emulator.fleet.stub_fleet import endpoint_snapshot, stub_proxy_settings
-from emulator.runs.latency_trials import ALL_ROWS
+from emulator.runs.latency_scenarios import ALL_ENDPOINTS
 from emulator.runs.settings_changes import settings_after
 from proxy.config_file import load
 from testbed.health_check import has_label
@@ -30,7 +30,7 @@
 
 
 def test_a_proxy_can_read_its_configuration(path: Path) -> None:
-    snapshot = endpoint_snapshot(ALL_ROWS, [8001, 8002])
+    snapshot = endpoint_snapshot(ALL_ENDPOINTS, [8001, 8002])
     ProxyConfig("n0", 1, 2, "7", snapshot, stub_proxy_settings(24, 3)).write(path)
     config = read_back(path)
     assert config.settings.fleet_size == 24
--- a/tests/emulator/test_settings_reload.py
+++ b/tests/emulator/test_settings_reload.py
@@ -8,7 +8,7 @@
 import pytest
 
 from emulator.measurement.budgets import BUDGETS, check_budgets
-from emulator.runs.latency_trials import ALL_ROWS
+from emulator.runs.latency_scenarios import ALL_ENDPOINTS
 from emulator.runs.settings_changes import KINDS, kind_of, settings_after
 from emulator.runs.settings_measurement import FULL, QUICK
 from emulator.runs.settings_report import (
@@ -65,5 +65,5 @@
 
 def test_both_sizes_end_at_the_whole_fleet_and_call_no_more_proxies_than_there_are() -> None:
     for size in (FULL, QUICK):
-        assert size.rows[-1] == ALL_ROWS
+        assert size.rows[-1] == ALL_ENDPOINTS
         assert size.called <= size.proxies
