--- a/emulator/runs/reloadable_proxy.py
+++ b/emulator/runs/reloadable_proxy.py
@@ -1,4 +1,4 @@
-"""Real proxies whose configuration file changes while they run, each with its file and its SIGHUP."""
+"""Real proxies whose configuration file changes while they run, and which reload it on SIGHUP."""
 
 from __future__ import annotations
 
@@ -24,31 +24,39 @@
     from testbed.processes import ManagedProcess
     from testbed.proxy_program import ProxyProgram
 
-HEALTH_TIMEOUT = 1.0  # seconds that one health check may take
-RANDOM_STREAM = 4  # keeps the ports drawn here apart from what other runs draw from the same seed
+HEALTH_TIMEOUT = 1.0  # seconds for one health check
+RANDOM_STREAM = 4  # part of the seed, so that other runs with the same seed draw different ports
 
 
 @dataclass(slots=True, frozen=True)
 class ReloadableProxy:
-    """A running proxy, and the configuration file that it reads on SIGHUP."""
+    """A running proxy and its configuration file.
+
+    Attributes:
+        process: The process of the proxy.
+        path: The configuration file.
+        config: The configuration at the start of the proxy.
+        fleet_size: Number of proxies in the settings.
+        ordinal: Number of this proxy in the settings.
+    """
 
     process: ManagedProcess
     path: Path
-    config: ProxyConfig  # as at the start
+    config: ProxyConfig
     fleet_size: int
     ordinal: int
 
-    def configure(self, changes: int, label: str | None = None) -> None:
-        """Write the configuration file with the settings after `changes` changes and this version label."""
-        settings = settings_after(changes, self.fleet_size, self.ordinal)
+    def configure(self, change_count: int, label: str | None = None) -> None:
+        """Write the settings after `change_count` changes, and a version label, to the configuration file."""
+        settings = settings_after(change_count, self.fleet_size, self.ordinal)
         replace(self.config, settings=settings, version=label).write(self.path)
 
     def reload(self) -> None:
-        """Send SIGHUP; ProcessError where the process has ended."""
+        """Send SIGHUP to the proxy; ProcessError if its process has ended."""
         self.process.send_signal(signal.SIGHUP)
 
     async def version(self) -> str | None:
-        """Return the configuration version in force; None where it is not named in time."""
+        """Return the configuration version in force; None if the health check does not return it in time."""
         try:
             response = await asyncio.wait_for(fetch_health(self.config.port), HEALTH_TIMEOUT)
         except (OSError, TimeoutError):
@@ -57,14 +65,14 @@
 
 
 class ProxyLauncher:
-    """Starts fleets of real proxies of one program, which end with the stack.
+    """Starts real proxies, which end with the stack.
 
     Args:
-        program: The proxy's program.
-        stack: Ends the proxies and their discovery.
-        folder: For the configuration files.
-        backend_ports: Where the stub backend listens.
-        seed: Of the run.
+        program: The program of the proxies.
+        stack: Ends the proxies and their registries.
+        folder: Folder for the configuration files.
+        backend_ports: Listening ports of the stub backend.
+        seed: Seed of the run.
     """
 
     def __init__(
@@ -81,21 +89,23 @@
         self._backend_ports = backend_ports
         self._seed = seed
         self._rng = np.random.default_rng([seed, RANDOM_STREAM])
-        self._started = 0
+        self._started_proxies = 0
 
-    async def start_fleet(self, rows: int, cores: Sequence[frozenset[int]]) -> list[ReloadableProxy]:
-        """Start one proxy for each set of cores, with an endpoint list of `rows`; wait until all are up."""
-        snapshot = endpoint_snapshot(rows, self._backend_ports)
+    async def start_fleet(
+        self, endpoint_count: int, cores: Sequence[frozenset[int]]
+    ) -> list[ReloadableProxy]:
+        """Start one proxy on each set of cores, and wait until all of them are healthy."""
+        snapshot = endpoint_snapshot(endpoint_count, self._backend_ports)
         discovery_port = await serve_static_list(self._stack, snapshot)
         ports = free_ports(len(cores), self._rng)
         proxies = []
         for ordinal, (port, proxy_cores) in enumerate(zip(ports, cores, strict=True)):
-            self._started += 1
+            self._started_proxies += 1
             config = ProxyConfig(
-                name=f"n{self._started}",
+                name=f"n{self._started_proxies}",
                 port=port,
                 discovery_port=discovery_port,
-                seed=f"{self._seed * 1000 + self._started:x}",
+                seed=f"{self._seed * 1000 + self._started_proxies:x}",
                 known=snapshot,
                 settings=settings_after(0, len(cores), ordinal),
             )
--- a/emulator/runs/settings_report.py
+++ b/emulator/runs/settings_report.py
@@ -1,9 +1,9 @@
-"""The report of a run of settings changes: ages, calls, processor time and memory, as its result has them."""
+"""The report of the run `settings`: activation delays, requests, processor time and memory."""
 
 from __future__ import annotations
 
 from collections import Counter
-from dataclasses import asdict, dataclass, field
+from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
 from emulator.load.plan import SERVED
@@ -14,103 +14,128 @@
 
     from emulator.measurement.json_values import JsonObject
 
-MAX_AGE = 6.0  # seconds in which a change must be in force
+MAX_ACTIVATION_DELAY = 6.0  # seconds within which a change must be in force
+MILLISECONDS_PER_SECOND = 1e3
 
 
 @dataclass(slots=True, frozen=True)
-class ChangeAge:
-    """The age of one change at one proxy in seconds, when it came into force or was given up."""
+class ActivationDelay:
+    """The delay of one change at one proxy.
+
+    Attributes:
+        seconds: Time from the change until it was in force, or until the wait for it was given up.
+        in_force: Whether the change came into force.
+    """
 
     seconds: float
     in_force: bool
 
 
 @dataclass(slots=True)
-class Ages:
-    """Ages of many changes at many proxies, in seconds.
+class ActivationDelays:
+    """Delays of many changes at many proxies, in seconds.
 
     Attributes:
-        in_force: Of those that came into force within `MAX_AGE`.
-        given_up: How long the others were waited for.
+        in_force: Delays of the changes that came into force within `MAX_ACTIVATION_DELAY`.
+        late: Delays, or waiting times, of all other changes.
     """
 
     in_force: list[float] = field(default_factory=list)
-    given_up: list[float] = field(default_factory=list)
+    late: list[float] = field(default_factory=list)
 
-    def add(self, age: ChangeAge) -> None:
-        """Add one change at one proxy; one that is too late counts as one that never came into force."""
-        on_time = age.in_force and age.seconds <= MAX_AGE
-        (self.in_force if on_time else self.given_up).append(age.seconds)
+    def add(self, delay: ActivationDelay) -> None:
+        """Add one change at one proxy; a late change counts like one that never came into force."""
+        is_on_time = delay.in_force and delay.seconds <= MAX_ACTIVATION_DELAY
+        (self.in_force if is_on_time else self.late).append(delay.seconds)
 
     def worst(self) -> float:
-        """Return the oldest in seconds; where some were given up, it is at least that."""
-        return max([*self.in_force, *self.given_up], default=0.0)
+        """Return the longest delay in seconds; a lower bound if a change never came into force."""
+        return max([*self.in_force, *self.late], default=0.0)
 
     def as_dict(self) -> JsonObject:
-        """Return counts, and the distribution of those in force, as plain values for the result."""
-        found: JsonObject = {
+        """Return the counts, and the distribution of delays in `in_force`, as stored in the result file."""
+        summary: JsonObject = {
             "in_force": len(self.in_force),
-            "of": len(self.in_force) + len(self.given_up),
+            "of": len(self.in_force) + len(self.late),
         }
         if self.in_force:
-            found["age"] = Distribution.of(histogram_of(map(to_microseconds, self.in_force))).as_dict()
-        return found
+            summary["age"] = Distribution.of(histogram_of(map(to_microseconds, self.in_force))).as_dict()
+        return summary
 
 
 @dataclass(slots=True, frozen=True)
 class ChangesReport:
-    """How many changes were made, and how old they were when in force, in all and by kind."""
+    """Changes of settings under load.
+
+    Attributes:
+        changes: Number of changes made.
+        delays: Activation delays of all changes.
+        delays_by_kind: Activation delays of the changes of each kind.
+    """
 
     changes: int
-    all: Ages
-    by_kind: Mapping[str, Ages]
+    delays: ActivationDelays
+    delays_by_kind: Mapping[str, ActivationDelays]
 
     def as_dict(self) -> JsonObject:
-        """Return plain values for the result; kinds of which there was no change are left out."""
+        """Return the report as stored in the result file; kinds without a change are left out."""
         return {
             "changes": self.changes,
-            "worst": self.all.worst(),
-            "all": self.all.as_dict(),
-            "by_kind": {kind: ages.as_dict() for kind, ages in self.by_kind.items() if ages.worst()},
+            "worst": self.delays.worst(),
+            "all": self.delays.as_dict(),
+            "by_kind": {
+                kind: delays.as_dict() for kind, delays in self.delays_by_kind.items() if delays.worst()
+            },
         }
 
 
 @dataclass(slots=True, frozen=True)
-class CallOutcomes:
-    """How many calls were made, and how many of them ended with another status than 200, or with none.
+class RequestOutcomes:
+    """Outcomes of requests.
 
     Attributes:
-        calls: All calls.
-        lost: Those that were not served.
-        otherwise: The latter, by outcome.
+        total: Number of requests.
+        not_served: Number of requests that ended with a status other than 200, or without a status.
+        not_served_by_outcome: The latter by outcome.
     """
 
-    calls: int
-    lost: int
-    otherwise: Mapping[str, int]
+    total: int
+    not_served: int
+    not_served_by_outcome: Mapping[str, int]
 
     @classmethod
-    def of(cls, ended: Iterable[Mapping[str, int]]) -> CallOutcomes:
-        """Sum the counts of several streams, by outcome."""
-        total: Counter[str] = Counter()
-        for counts in ended:
-            total.update(counts)
-        otherwise = {outcome: count for outcome, count in total.items() if outcome != SERVED and count}
-        return cls(sum(total.values()), sum(otherwise.values()), otherwise)
+    def of(cls, outcome_counts: Iterable[Mapping[str, int]]) -> RequestOutcomes:
+        """Add up the counts by outcome of several streams."""
+        totals: Counter[str] = Counter()
+        for stream_counts in outcome_counts:
+            totals.update(stream_counts)
+        not_served = {outcome: count for outcome, count in totals.items() if outcome != SERVED and count}
+        return cls(sum(totals.values()), sum(not_served.values()), not_served)
+
+    def as_dict(self) -> JsonObject:
+        """Return the outcomes as stored in the result file."""
+        return {"calls": self.total, "lost": self.not_served, "otherwise": self.not_served_by_outcome}
 
 
 @dataclass(slots=True, frozen=True)
-class CallsReport:
-    """The outcomes and latencies of the calls that were made while settings changed."""
+class RequestsReport:
+    """Requests that were sent while settings changed.
+
+    Attributes:
+        outcomes: Their outcomes.
+        rate: Requests a second at each proxy.
+        proxies: Number of proxies that received requests.
+        latency: Latencies of the served requests.
+    """
 
-    outcomes: CallOutcomes
+    outcomes: RequestOutcomes
     rate: float
     proxies: int
     latency: Distribution
 
     def as_dict(self) -> JsonObject:
-        """Return plain values for the result."""
-        return asdict(self.outcomes) | {
+        """Return the report as stored in the result file."""
+        return self.outcomes.as_dict() | {
             "rate": self.rate,
             "proxies": self.proxies,
             "latency": self.latency.as_dict(),
@@ -119,35 +144,62 @@
 
 @dataclass(slots=True, frozen=True)
 class ReloadCost:
-    """Processor seconds of one SIGHUP, net of what the proxy spends idle, at an endpoint list of `rows`.
+    """Processor time of one SIGHUP in seconds, without the processor time of an idle proxy.
 
     Attributes:
-        rows: Rows of the endpoint list.
-        signals: SIGHUPs sent with other settings.
-        swaps: How often the settings were replaced by them; None where the proxy does not report it.
-        reload: Of a SIGHUP with other settings, reading the file and its known list included.
-        reread: Of a SIGHUP with the same settings.
-        swap: The difference between these.
+        endpoint_count: Length of the proxy's endpoint list.
+        signals: Number of SIGHUPs with changed settings.
+        swaps: How often the proxy replaced its settings; None if the proxy does not report it.
+        reload: Cost of a SIGHUP with changed settings, including the reading of the file and its cached list.
+        reread: Cost of a SIGHUP with unchanged settings.
+        swap: Difference between `reload` and `reread`.
     """
 
-    rows: int
+    endpoint_count: int
     signals: int
     swaps: int | None
     reload: float
     reread: float
     swap: float
 
+    def as_dict(self) -> JsonObject:
+        """Return the cost as stored in the result file."""
+        return {
+            "rows": self.endpoint_count,
+            "signals": self.signals,
+            "swaps": self.swaps,
+            "reload": self.reload,
+            "reread": self.reread,
+            "swap": self.swap,
+        }
+
 
 @dataclass(slots=True, frozen=True)
 class MemoryGrowth:
-    """Resident memory of a proxy in MB before, amid and after reloads, and by how much it grew."""
+    """Growth of a proxy's resident memory through reloads.
+
+    Attributes:
+        signals: Number of SIGHUPs.
+        swaps: How often the proxy replaced its settings; None if the proxy does not report it.
+        resident_mb: Resident memory before, during and after the reloads.
+        growth_mb: Difference between the last and the first of these.
+    """
 
     signals: int
     swaps: int | None
     resident_mb: Sequence[float]
-    grew_mb: float
+    growth_mb: float
+
+    def as_dict(self) -> JsonObject:
+        """Return the figures as stored in the result file."""
+        return {
+            "signals": self.signals,
+            "swaps": self.swaps,
+            "resident_mb": self.resident_mb,
+            "grew_mb": self.growth_mb,
+        }
 
 
-def budget_figures(worst_age: float, cost: ReloadCost) -> dict[str, float]:
-    """Return the budgets' figures: the oldest change in seconds, a reload's processor time in ms."""
-    return {"settings_age": worst_age, "settings_hold": 1e3 * cost.reload}
+def budget_figures(worst_delay: float, cost: ReloadCost) -> dict[str, float]:
+    """Return the figures that have a budget: worst activation delay in s, and cost of a reload in ms."""
+    return {"settings_age": worst_delay, "settings_hold": MILLISECONDS_PER_SECOND * cost.reload}
