--- a/emulator/runs/__init__.py
+++ b/emulator/runs/__init__.py
@@ -1,1 +1,1 @@
-"""The runs, one file each; every one has `run(options)`, which writes a result and returns its figures."""
+"""The runs of the emulator; the module of each run has `run(options)`, which writes its result file."""
--- a/emulator/runs/common.py
+++ b/emulator/runs/common.py
@@ -1,8 +1,4 @@
-"""What every run needs: its options, its result, a time limit and progress lines.
-
-It owns nothing that is measured: pacing is in `emulator.runs.pacing`, the changes of an endpoint list in
-`emulator.runs.endpoint_changes`.
-"""
+"""The options and the result of a run, its time limit and its progress output."""
 
 from __future__ import annotations
 
@@ -19,7 +15,7 @@
     from collections.abc import Iterator
     from pathlib import Path
 
-#: The target's rate of configuration changes.
+#: Rate of endpoint and settings changes in the target deployment.
 CHANGES_PER_DAY, SECONDS_PER_DAY = 2900, 86400.0
 
 
@@ -28,10 +24,10 @@
     """The options of one run, as given on the command line.
 
     Attributes:
-        seed: For everything random.
-        out: Folder that the result is written to.
-        quick: Whether the small edition is run.
-        program: Root of the tree whose proxy is measured, for runs that can measure another one.
+        seed: Seed of the random generators.
+        out: Folder of the result file.
+        quick: Whether to run a shorter version with fewer measurements.
+        program: Root of the source tree whose proxy is measured, for runs that can measure another tree.
     """
 
     seed: int
@@ -40,13 +36,13 @@
     program: Path = PROJECT_ROOT
 
     def result_name(self, run: str) -> str:
-        """Name a run's result so that a small edition does not overwrite a full one."""
+        """Return the name of the result file; a quick run does not overwrite the result of a full run."""
         return f"{run}-quick" if self.quick else run
 
 
 @dataclass(slots=True, frozen=True)
 class RunResult:
-    """A run's figures for the budgets, by their names, and the file that holds its full result."""
+    """The figures of a run that have a budget, by their names, and the path of the result file."""
 
     figures: dict[str, float]
     path: Path
@@ -54,21 +50,21 @@
 
 @contextmanager
 def time_limit(seconds: int) -> Iterator[None]:
-    """Raise RunTimeoutError inside the block after so many seconds; works in the main thread only."""
+    """Raise RunTimeoutError in the block after `seconds`. Limitation: works only in the main thread."""
 
     def expire(*_: object) -> None:
         """Interrupt the block."""
         raise RunTimeoutError(seconds)
 
-    former = signal.signal(signal.SIGALRM, expire)
+    previous_handler = signal.signal(signal.SIGALRM, expire)
     signal.alarm(seconds)
     try:
         yield
     finally:
         signal.alarm(0)
-        signal.signal(signal.SIGALRM, former)
+        signal.signal(signal.SIGALRM, previous_handler)
 
 
 def report_progress(run: str, text: str) -> None:
-    """Print one line of progress on standard error."""
+    """Print one line of progress to standard error."""
     print(f"{run}: {text}", file=sys.stderr, flush=True)
--- a/emulator/runs/endpoint_changes.py
+++ b/emulator/runs/endpoint_changes.py
@@ -1,7 +1,4 @@
-"""Changes of an endpoint list: the list as it stands, and the entry of each next change.
-
-Nothing is sent here: the runs hand the entries to the registry.
-"""
+"""Random and chosen changes of an endpoint list; the runs publish the changed entries at a registry."""
 
 from __future__ import annotations
 
@@ -19,9 +16,12 @@
 
 
 class EndpointChanges:
-    """An endpoint list in discovery's form; each method changes one entry and returns it as it is now.
+    """An endpoint list; each method changes one entry and returns the changed entry.
+
+    An endpoint is identified by its index in the list.
 
-    An endpoint is named by its index in the list.
+    Attributes:
+        entries: The current entries in the format of discovery.
     """
 
     def __init__(self, entries: Sequence[EndpointEntry], rng: np.random.Generator) -> None:
@@ -33,7 +33,7 @@
         return self.entries[index]
 
     def change_any(self) -> EndpointEntry:
-        """Drain a random endpoint, or restart it where it is draining or removed."""
+        """Drain a random endpoint, or restart it if it is draining or removed."""
         index = int(self._rng.integers(len(self.entries)))
         if self.entries[index]["status"] == "in_service":
             return self._set(index, {"status": "terminating"})
@@ -44,11 +44,11 @@
         return self._set(index, {"status": "terminated"})
 
     def restart(self, index: int) -> EndpointEntry:
-        """Bring an endpoint into service as a new process, which has yet to warm up."""
+        """Bring an endpoint into service as a new process that has not warmed up."""
         return self._set(index, {"status": "in_service", "since_ms": int(time.time() * 1000)})
 
     def replace(self, index: int) -> EndpointEntry:
-        """Bring an endpoint into service on another machine, which has yet to warm up."""
+        """Bring an endpoint into service at another address, as a new process that has not warmed up."""
         host, _, port = self.entries[index]["address"].partition(":")
         self._set(index, {"address": f"{host}:{int(port) + 1}"})
         return self.restart(index)
--- a/emulator/runs/pacing.py
+++ b/emulator/runs/pacing.py
@@ -1,6 +1,6 @@
-"""When the events of a run happen, and what an action costs in processor time.
+"""Schedules the events of a run, and measures the processor time of an action.
 
-Everything here blocks: it is for the process of the run itself, not for an event loop.
+All functions block, so they must not be used in an event loop.
 """
 
 from __future__ import annotations
@@ -15,23 +15,26 @@
 
 
 def mean_processor_time(action: Callable[[], Any], seconds: float, min_calls: int = 3) -> float:
-    """Measure the processor time of an action in seconds.
+    """Return the mean processor time of an action in seconds.
 
     Args:
-        action: Called once to warm up, then measured.
-        seconds: Processor time to spend on the measurement, about.
-        min_calls: How many calls the mean covers at least.
+        action: The measured action; the first call is a warm-up and not measured.
+        seconds: Approximate processor time of the measurement.
+        min_calls: Smallest number of measured calls.
     """
     action()
-    start, count = time.process_time(), 0
-    while count < min_calls or time.process_time() - start < seconds:
+    start, calls = time.process_time(), 0
+    while calls < min_calls or time.process_time() - start < seconds:
         action()
-        count += 1
-    return (time.process_time() - start) / count
+        calls += 1
+    return (time.process_time() - start) / calls
 
 
 def evenly_spaced(rate: float, seconds: float) -> Iterator[int]:
-    """Yield 0, 1, 2, ... at `rate` a second, each at its time, and end after `seconds`; one at least."""
+    """Yield 0, 1, 2, ... at constant intervals, `rate` a second, and return after `seconds`.
+
+    At least one number is yielded.
+    """
     start = time.monotonic()
     for number in range(max(1, round(rate * seconds))):
         time.sleep(max(0.0, start + number / rate - time.monotonic()))
@@ -40,10 +43,13 @@
 
 
 def poisson_arrivals(rng: np.random.Generator, rate: float, seconds: float) -> Iterator[None]:
-    """Yield at the times of a Poisson process of `rate` a second, and end after `seconds`; one at least."""
-    start, at = time.monotonic(), min(seconds / 2.0, float(rng.exponential(1.0 / rate)))
-    while at <= seconds:
-        time.sleep(max(0.0, start + at - time.monotonic()))
+    """Yield at the arrival times of a Poisson process of `rate` a second, and return after `seconds`.
+
+    There is at least one arrival, since the first one is moved to the middle if it would come later.
+    """
+    start, arrival = time.monotonic(), min(seconds / 2.0, float(rng.exponential(1.0 / rate)))
+    while arrival <= seconds:
+        time.sleep(max(0.0, start + arrival - time.monotonic()))
         yield
-        at += float(rng.exponential(1.0 / rate))
+        arrival += float(rng.exponential(1.0 / rate))
     time.sleep(max(0.0, start + seconds - time.monotonic()))
--- a/emulator/runs/simulated_cost.py
+++ b/emulator/runs/simulated_cost.py
@@ -1,9 +1,8 @@
-"""The run `simulated-cost`: what control costs a simulated proxy, compared with a real one.
+"""The run `simulated-cost`: compares the control-plane cost of simulated proxies with that of real ones.
 
-Four proxies of each kind watch one registry and are given the same events at the same time. The run
-owns the processes and the events; the comparison is worked out in `emulator.measurement.control_cost`. Its
-result file keeps its former name and keys, in which "hollow" is a simulated proxy, so that older results
-can be compared.
+Four proxies of each kind watch one registry and receive the same updates at the same time.
+`emulator.measurement.control_cost` computes the comparison. The result file keeps its former name and keys,
+in which "hollow" is a simulated proxy, so that results stay comparable with older ones.
 """
 
 from __future__ import annotations
@@ -39,36 +38,43 @@
     from collections.abc import Callable, Iterator
 
     from emulator.measurement.json_values import JsonObject
-PROXIES = 4  # of each group
-CHANGE_RATE = 10.0  # changes a second: each is applied alone
-SNAPSHOT_TIMEOUT = 15.0  # seconds in which every proxy has been sent its list
-SETTLING_TIME = 1.0  # seconds after which what was sent has been applied
-RECONNECT_TIME = 0.3  # seconds in which watches that were reset reconnect
-POLL_INTERVAL = 0.05  # seconds between two checks
-REAL, SIMULATED = "real", "simulated"  # the two groups' endpoints
+
+PROXIES = 4  # in each group
+CHANGE_RATE = 10.0  # changes a second; slow enough that a proxy applies each change separately
+SNAPSHOT_TIMEOUT = 15.0  # seconds until every proxy must have received its endpoint list
+SETTLING_TIME = 1.0  # seconds until proxies have applied what was sent to them
+RECONNECT_TIME = 0.3  # seconds until watches have reconnected after a reset
+POLL_INTERVAL = 0.05  # seconds between two checks for snapshots
+REAL, SIMULATED = "real", "simulated"  # the groups of proxies, and their endpoints at the registry
 NAME = "simulated-cost"
 RESULT_NAME = "hollow"
 NOTE = (
-    "a simulated proxy (hollow) has no connections of clients and backends: it does not sweep them, keeps no "
-    "addresses of backends, and shares its interpreter's memory with the others of its process"
+    "a simulated proxy (hollow) has no connections to clients and backends: it does not sweep them, keeps no "
+    "addresses of backends, and shares the memory of its interpreter with the other proxies of its process"
 )
 
 
 @dataclass(slots=True, frozen=True)
-class Amounts:
-    """How many events of each kind happen, or for how long."""
+class RunSize:
+    """The size of a run.
+
+    Attributes:
+        change_seconds: Time in which single entries change.
+        snapshots: Number of snapshots sent to each proxy.
+        idle_seconds: Time in which only heartbeats are sent.
+    """
 
     change_seconds: float
     snapshots: int
     idle_seconds: float
 
 
-FULL = Amounts(change_seconds=15.0, snapshots=20, idle_seconds=10.0)
-QUICK = Amounts(change_seconds=1.5, snapshots=3, idle_seconds=2.0)
+FULL = RunSize(change_seconds=15.0, snapshots=20, idle_seconds=10.0)
+QUICK = RunSize(change_seconds=1.5, snapshots=3, idle_seconds=2.0)
 
 
 class Comparison:
-    """The two groups of proxies at one registry, the events that happen to them, and their costs."""
+    """Two groups of proxies at one registry; causes events at both groups, and measures their cost."""
 
     def __init__(
         self,
@@ -83,21 +89,21 @@
         self._start_cost = start_cost
         self._index = 1
 
-    def measure(self, event: Callable[[], int]) -> EventCost:
-        """Carry out events of one kind, and measure what one of them costs a proxy of each group.
+    def measure(self, cause_events: Callable[[], int]) -> EventCost:
+        """Cause events of one kind, and measure the cost of one event for a proxy of each group.
 
         Args:
-            event: Carries them out; returns how many there were.
+            cause_events: Causes the events, and returns their number.
         """
         before, started = self._readings(), time.monotonic()
-        events = event()
+        event_count = cause_events()
         time.sleep(SETTLING_TIME)
         after = self._readings()
-        costs = {group: after[group].cost_since(before[group], events, PROXIES) for group in after}
-        return EventCost(events, time.monotonic() - started, costs[REAL], costs[SIMULATED])
+        costs = {group: after[group].cost_since(before[group], event_count, PROXIES) for group in after}
+        return EventCost(event_count, time.monotonic() - started, costs[REAL], costs[SIMULATED])
 
     def _readings(self) -> dict[str, GroupReading]:
-        # The same instrument for both: from outside, not the process's own clock.
+        # Both groups are read from outside, not by the processes themselves, so that they are comparable.
         return {
             REAL: GroupReading(total_usage(self._real_pids).processor, self._sent_bytes(REAL)),
             SIMULATED: GroupReading(
@@ -109,28 +115,28 @@
         return int(self._registry.call("endpoint_traffic", group).sent_bytes)
 
     def publish_changes(self, seconds: float) -> int:
-        """Change single entries at the run's rate; returns how many."""
-        first = self._index
+        """Change single entries at `CHANGE_RATE`, and return the number of changes."""
+        index_before = self._index
         for _ in evenly_spaced(CHANGE_RATE, seconds):
             self._index += 1
             self._registry.call("publish", self._index, [self._changes.change_any()])
-        return self._index - first
+        return self._index - index_before
 
     def send_snapshots(self, count: int) -> int:
-        """Make both groups reconnect for a complete list, `count` times."""
+        """Make all proxies reconnect for a snapshot, `count` times, and return the number of snapshots."""
         for number in range(count):
             self._registry.call("reset_connections", [REAL, SIMULATED], forget_log=True)
             time.sleep(RECONNECT_TIME)
-            wait_for_snapshots(self._registry, number + 2)  # the first was that of the start
+            wait_for_snapshots(self._registry, number + 2)  # each proxy got its first snapshot at its start
         return count
 
     def stay_idle(self, seconds: float) -> int:
-        """Wait while nothing but heartbeats is sent, which counts as one event."""
+        """Wait while only heartbeats are sent; the wait counts as one event."""
         time.sleep(seconds)
         return 1
 
     def memory(self) -> dict[str, float]:
-        """Read the resident memory in MB, as a result holds it."""
+        """Return the resident memory in MB, as stored in the result file."""
         return {
             "real_mb": total_usage(self._real_pids).memory / PROXIES / MB,
             "hollow_mb": self._start_cost.added_memory / PROXIES / MB,
@@ -140,10 +146,10 @@
 
 @contextmanager
 def running_comparison(seed: int) -> Iterator[Comparison]:
-    """Start the registry and both groups, and wait until all of them watch.
+    """Start the registry and both groups of proxies, and wait until every proxy has its endpoint list.
 
     Raises:
-        WatchTimeoutError: A proxy does not watch in time.
+        WatchTimeoutError: A proxy does not receive its list in time.
     """
     rng = np.random.default_rng(seed)
     fleet = topology.build(seed)
@@ -164,14 +170,14 @@
 
 
 def wait_for_snapshots(registry: ChildProcess, count: int = 1) -> None:
-    """Wait until every proxy of both groups has been sent `count` complete lists.
+    """Wait until `count` snapshots have been sent to every proxy of both groups.
 
     Raises:
-        WatchTimeoutError: It takes too long.
+        WatchTimeoutError: The snapshots are not sent within `SNAPSHOT_TIMEOUT`.
     """
     deadline = time.monotonic() + SNAPSHOT_TIMEOUT
     while any(
-        registry.call("endpoint_traffic", name).snapshots < PROXIES * count for name in (REAL, SIMULATED)
+        registry.call("endpoint_traffic", group).snapshots < PROXIES * count for group in (REAL, SIMULATED)
     ):
         if time.monotonic() > deadline:
             raise WatchTimeoutError
@@ -179,15 +185,15 @@
 
 
 def run(options: RunOptions) -> RunResult:
-    """Changes of one row, snapshots and keepalive lines at real and simulated proxies; writes hollow.json."""
+    """Compare the cost of updates at simulated proxies with that at real ones; writes hollow.json."""
     started = time.monotonic()
     with running_comparison(options.seed) as comparison:
-        report_progress(NAME, f"{PROXIES} real and {PROXIES} simulated proxies watch")
+        report_progress(NAME, f"{PROXIES} real and {PROXIES} simulated proxies have their endpoint lists")
         events = _measure_events(comparison, QUICK if options.quick else FULL)
         memory = comparison.memory()
     for name, event in events.items():
         differences = {figure: round(value or 0.0, 1) for figure, value in event.difference_percent().items()}
-        report_progress(NAME, f"{name}: simulated compared with real, in percent: {differences}")
+        report_progress(NAME, f"{name}: cost of simulated above real proxies in percent: {differences}")
     figures = {"memory": memory["real_mb"], "processor_mean": _mean_processor_percent(events)}
     body: JsonObject = {
         "quick": options.quick,
@@ -202,11 +208,11 @@
     return RunResult(figures, write_result(options.result_name(RESULT_NAME), options.seed, body, options.out))
 
 
-def _measure_events(comparison: Comparison, amounts: Amounts) -> dict[str, EventCost]:
-    """Measure the cost of each kind of event, by its name in the result."""
-    change = comparison.measure(lambda: comparison.publish_changes(amounts.change_seconds))
-    snapshot = comparison.measure(lambda: comparison.send_snapshots(amounts.snapshots))
-    idle = comparison.measure(lambda: comparison.stay_idle(amounts.idle_seconds))
+def _measure_events(comparison: Comparison, size: RunSize) -> dict[str, EventCost]:
+    """Measure the cost of each kind of event, by its name in the result file."""
+    change = comparison.measure(lambda: comparison.publish_changes(size.change_seconds))
+    snapshot = comparison.measure(lambda: comparison.send_snapshots(size.snapshots))
+    idle = comparison.measure(lambda: comparison.stay_idle(size.idle_seconds))
     return {
         "change": change.with_net_cost(idle),
         "whole_list": snapshot.with_net_cost(idle),
@@ -215,7 +221,8 @@
 
 
 def _mean_processor_percent(events: dict[str, EventCost]) -> float:
-    """Work out what percentage of a core control takes at a real proxy, averaged over the target's day."""
+    """Compute the control-plane cost of a real proxy in percent of a core, as the mean over a target day."""
     idle = events["idle"]
     idle_share = idle.real.processor_seconds / idle.seconds
-    return 100.0 * (idle_share + CHANGES_PER_DAY / SECONDS_PER_DAY * events["change"].real.processor_seconds)
+    change_rate = CHANGES_PER_DAY / SECONDS_PER_DAY
+    return 100.0 * (idle_share + change_rate * events["change"].real.processor_seconds)
--- a/emulator/runs/slope.py
+++ b/emulator/runs/slope.py
@@ -1,7 +1,6 @@
 """One slope of the run `slopes`: measured points, and the fits of their figures.
 
-It owns the form of a slope in a result; the modules `slopes_balancer`, `slopes_proxy` and `slopes_registry`
-measure them.
+The modules `slopes_balancer`, `slopes_proxy` and `slopes_registry` measure the slopes.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
     from emulator.measurement.json_values import JsonObject
 
-Point = dict[str, float]  # one measurement: figures by the names that they have in results
+Point = dict[str, float]  # one measurement: figures by their keys in the result file
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,21 +23,21 @@
     """Figures measured while one quantity varies.
 
     Attributes:
-        points: The measurements; each holds the quantity and all figures.
-        against: The name of the quantity that varies.
-        figures: The names of the figures that are fitted.
+        points: The measurements; each has a value of the quantity and of every figure.
+        quantity: Key of the quantity that varies.
+        figures: Keys of the figures that are fitted against the quantity.
     """
 
     points: Sequence[Point]
-    against: str
+    quantity: str
     figures: tuple[str, ...]
 
     def fits(self, figure: str) -> list[Fit]:
-        """Fit a figure with every model, the smaller residual first."""
-        xs = [point[self.against] for point in self.points]
-        return fit_all(xs, [point[figure] for point in self.points])
+        """Fit a figure with every model, sorted by residual."""
+        quantities = [point[self.quantity] for point in self.points]
+        return fit_all(quantities, [point[figure] for point in self.points])
 
     def as_dict(self) -> JsonObject:
-        """Return the slope as a result holds it."""
+        """Return the slope as stored in the result file."""
         fits = {figure: [fit.as_dict() for fit in self.fits(figure)] for figure in self.figures}
         return {"points": list(self.points), "fits": fits}
--- a/emulator/runs/slopes.py
+++ b/emulator/runs/slopes.py
@@ -1,7 +1,6 @@
-"""The run `slopes`: how the cost of control grows, for a proxy and for a registry.
+"""The run `slopes`: growth of the control-plane cost of a proxy and of a registry.
 
-It owns which slopes are measured and the budgets' figures that follow from them; the modules
-`slopes_balancer`, `slopes_proxy` and `slopes_registry` measure.
+The modules `slopes_balancer`, `slopes_proxy` and `slopes_registry` measure the slopes.
 """
 
 from __future__ import annotations
@@ -21,22 +20,22 @@
     from emulator.measurement.json_values import JsonObject
     from emulator.runs.slope import Slope
 
-MILLISECONDS = 1e3  # in a second
-SLOPES: dict[str, Callable[[RunOptions], Slope]] = {  # by their names in the result
+MILLISECONDS_PER_SECOND = 1e3
+SLOPES: dict[str, Callable[[RunOptions], Slope]] = {  # by their keys in the result file
     "module": slopes_balancer.by_backends,
     "fleet_size": slopes_balancer.by_fleet_size,
     "path": slopes_proxy.by_backends,
     "changes": slopes_proxy.by_change_rate,
-    "calls": slopes_proxy.by_call_rate,
+    "calls": slopes_proxy.by_request_rate,
     "registry_watches": slopes_registry.by_watches,
     "registry_changes": slopes_registry.by_change_rate,
 }
-# Those that the budgets' figures need, and one of each other kind.
+# The slopes that the figures with a budget need, and one slope of each other kind.
 QUICK_SLOPES = ("module", "path", "changes", "registry_watches")
 
 
 def run(options: RunOptions) -> RunResult:
-    """All slopes; writes slopes.json."""
+    """Measure how the cost of a proxy and of a registry grows; writes slopes.json."""
     started = time.monotonic()
     slopes: dict[str, Slope] = {}
     for name in QUICK_SLOPES if options.quick else SLOPES:
@@ -54,11 +53,15 @@
 
 
 def budget_figures(slopes: Mapping[str, Slope]) -> dict[str, float]:
-    """Return the budgets' figures at the target's size: bytes from the fit over changes, a change's time."""
-    rate = CHANGES_PER_DAY / SECONDS_PER_DAY
+    """Return the figures that have a budget, at the target size.
+
+    `bytes_mean` is the line fitted to the bytes a second, at the target rate of changes. `change_hold` is the
+    processor time of one change in milliseconds.
+    """
+    change_rate = CHANGES_PER_DAY / SECONDS_PER_DAY
     line = next(fit for fit in slopes["changes"].fits("bytes") if fit.kind == LINE)
-    at_target = next(point for point in slopes["module"].points if point["rows"] == topology.BACKENDS)
+    target_point = next(point for point in slopes["module"].points if point["rows"] == topology.BACKENDS)
     return {
-        "bytes_mean": max(0.0, line.intercept) + rate * line.slope,
-        "change_hold": MILLISECONDS * at_target["change"],
+        "bytes_mean": max(0.0, line.intercept) + change_rate * line.slope,
+        "change_hold": MILLISECONDS_PER_SECOND * target_point["change"],
     }
--- a/emulator/runs/slopes_balancer.py
+++ b/emulator/runs/slopes_balancer.py
@@ -1,6 +1,6 @@
-"""Slopes of the balancer alone, in this process: what a change, a complete list and a decision cost.
+"""Slopes of the balancer without sockets and other processes: cost of a change, a snapshot and a decision.
 
-It owns a balancer under a clock of its own; sockets and processes are in `slopes_proxy`.
+`slopes_proxy` measures complete simulated proxies.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
 
 BACKENDS = (12, 91, 300, 910, 1820)
 QUICK_BACKENDS = BACKENDS[:4]
-FLEET_SIZES = (100, 303, 455, 910, 1820)  # proxies by the settings
-CALL_RATE = 154.0  # a second: the target's mean
-UPDATE_INTERVAL = 1.0  # seconds between two messages of the watch
-MIN_DECISIONS = 100  # over which a decision's cost is averaged
-SECONDS_EACH, QUICK_SECONDS_EACH = 0.3, 0.05  # processor time that one figure may take, about
+FLEET_SIZES = (100, 303, 455, 910, 1820)  # numbers of proxies in the settings
+REQUEST_RATE = 154.0  # requests a second; the mean at a proxy of the target deployment
+UPDATE_INTERVAL = 1.0  # seconds between two updates
+MIN_DECISIONS = 100  # smallest number of decisions whose mean cost is measured
+SECONDS_PER_FIGURE, QUICK_SECONDS_PER_FIGURE = 0.3, 0.05  # approximate processor time of one measurement
 
 
 class SteppedBalancer:
-    """A balancer that holds a fleet's complete list, under a clock that each event moves on."""
+    """A balancer with the complete list of a fleet, and with a simulated clock that each event advances."""
 
     def __init__(self, fleet: topology.Topology, fleet_size: int) -> None:
         gc.unfreeze()
@@ -48,58 +48,58 @@
         self._balancer = Balancer(read_settings(proxy_settings(fleet, 0, fleet_size)), fleet.seed)
         self._now = 0.0
         self._send_snapshot()
-        # As the real proxy does once it has its list: collecting what earlier points left here must not be
-        # measured.
+        # As in a real proxy after its first list. Otherwise the measurement would include garbage collection
+        # of objects from earlier points.
         gc.collect()
         gc.freeze()
         self._changes = EndpointChanges(fleet.entries, np.random.default_rng(fleet.seed))
-        self._now, self._calls = time.time(), 0
+        self._now, self._request_count = time.time(), 0
 
     def _send_snapshot(self) -> None:
-        rows = [discovered.endpoint for discovered in self._endpoints]
-        self._balancer.on_endpoints_updated(self._now, UpdateKind.SNAPSHOT, rows)
+        endpoints = [discovered.endpoint for discovered in self._endpoints]
+        self._balancer.on_endpoints_updated(self._now, UpdateKind.SNAPSHOT, endpoints)
 
     def apply_change(self) -> None:
-        """Apply a delta with one entry."""
+        """Apply a delta with one changed entry."""
         self._now += UPDATE_INTERVAL
-        row = self._reader.read_entry(cast("EndpointEntry", self._changes.change_any())).endpoint
-        self._balancer.on_endpoints_updated(self._now, UpdateKind.DELTA, [row])
+        endpoint = self._reader.read_entry(cast("EndpointEntry", self._changes.change_any())).endpoint
+        self._balancer.on_endpoints_updated(self._now, UpdateKind.DELTA, [endpoint])
 
     def apply_snapshot(self) -> None:
         """Apply the complete list."""
         self._now += UPDATE_INTERVAL
         self._send_snapshot()
 
-    def call(self) -> None:
-        """Serve one call."""
-        self._now += 1.0 / CALL_RATE
-        self._calls += 1
-        simulate_request(self._balancer, self._now, self._calls)
+    def serve_request(self) -> None:
+        """Pass the events of one request to the balancer."""
+        self._now += 1.0 / REQUEST_RATE
+        self._request_count += 1
+        simulate_request(self._balancer, self._now, self._request_count)
 
 
 def backend_counts(options: RunOptions) -> tuple[int, ...]:
-    """Return the list sizes that figures are measured at."""
+    """Return the numbers of backends at which figures are measured."""
     return QUICK_BACKENDS if options.quick else BACKENDS
 
 
-def _seconds_each(options: RunOptions) -> float:
-    return QUICK_SECONDS_EACH if options.quick else SECONDS_EACH
+def _seconds_per_figure(options: RunOptions) -> float:
+    return QUICK_SECONDS_PER_FIGURE if options.quick else SECONDS_PER_FIGURE
 
 
-def _reading(line: bytes) -> Callable[[], object]:
-    """Return a function that reads a complete list from its message."""
+def _snapshot_parser(line: bytes) -> Callable[[], object]:
+    """Return a function that parses a snapshot message and reads its entries."""
     reader = endpoint_reader()
     return lambda: reader.read_entries(orjson.loads(line))
 
 
 def by_backends(options: RunOptions) -> Slope:
-    """Measure the balancer and the reader against rows: seconds of a change, a complete list, a decision."""
+    """Measure the processor time of a change, a snapshot and a decision against the number of backends."""
     points = [_backends_point(options, backends) for backends in backend_counts(options)]
     return Slope(points, "rows", ("change", "whole", "read", "decision", "whole_bytes"))
 
 
 def _backends_point(options: RunOptions, backends: int) -> Point:
-    seconds = _seconds_each(options)
+    seconds = _seconds_per_figure(options)
     fleet = topology.build(options.seed, backends)
     balancer = SteppedBalancer(fleet, topology.BACKENDS)
     line = RegistryState(fleet.entries).snapshot(None).line
@@ -107,15 +107,15 @@
         "rows": backends,
         "change": mean_processor_time(balancer.apply_change, seconds),
         "whole": mean_processor_time(balancer.apply_snapshot, seconds),
-        "read": mean_processor_time(_reading(line), seconds),
-        "decision": mean_processor_time(balancer.call, seconds, MIN_DECISIONS),
+        "read": mean_processor_time(_snapshot_parser(line), seconds),
+        "decision": mean_processor_time(balancer.serve_request, seconds, MIN_DECISIONS),
         "whole_bytes": len(line),
     }
 
 
 def by_fleet_size(options: RunOptions) -> Slope:
-    """Measure the balancer against the fleet's size in the settings, at 910 rows."""
-    seconds = _seconds_each(options)
+    """Measure the balancer against the fleet size in the settings, with 910 backends."""
+    seconds = _seconds_per_figure(options)
     fleet = topology.build(options.seed)
     points: list[Point] = []
     for fleet_size in FLEET_SIZES:
@@ -125,7 +125,7 @@
                 "proxies": fleet_size,
                 "change": mean_processor_time(balancer.apply_change, seconds),
                 "whole": mean_processor_time(balancer.apply_snapshot, seconds),
-                "decision": mean_processor_time(balancer.call, seconds, MIN_DECISIONS),
+                "decision": mean_processor_time(balancer.serve_request, seconds, MIN_DECISIONS),
             }
         )
     return Slope(points, "proxies", ("change", "whole", "decision"))
--- a/emulator/runs/slopes_registry.py
+++ b/emulator/runs/slopes_registry.py
@@ -1,6 +1,6 @@
-"""Slopes of a registry (`testbed.discovery.registry`): what watches and changes cost it.
+"""Slopes of a registry (`testbed.discovery.registry`): its cost against the number of watches and changes.
 
-It owns the load on one registry; the watches discard what they receive.
+The watches discard what they receive.
 """
 
 from __future__ import annotations
@@ -25,29 +25,29 @@
 
     from emulator.runs.common import RunOptions
 
-WATCHES = (50, 100, 200, 400)
-RATE_AT_WATCHES = 5.0  # changes a second, while watches vary
-WATCHES_AT_RATES = 303  # while changes a second vary: a third of the target's proxies
-SECONDS, QUICK_SECONDS = 2.5, 0.6  # of changes for a point
-OPENING_TIME = 0.2  # seconds in which new watches receive their lists
+WATCH_COUNTS = (50, 100, 200, 400)
+FIXED_CHANGE_RATE = 5.0  # changes a second, while the number of watches varies
+FIXED_WATCH_COUNT = 303  # while the rate of changes varies; a third of the proxies of the target deployment
+SECONDS, QUICK_SECONDS = 2.5, 0.6  # time in which changes are published for one point
+OPENING_TIME = 0.2  # seconds until new watches have received their lists
 
 
 class LoadedRegistry:
-    """A registry in a process of its own, its changes, and the watches that load it."""
+    """A registry in a separate process, its changes, and the watches that load it."""
 
     def __init__(self, registry: ChildProcess, load: ChildProcess, changes: EndpointChanges) -> None:
         self._registry, self._load, self._changes = registry, load, changes
         self._port = registry.call("open_endpoint", "all")
-        self._index, self._watches = 1, 0
+        self._index, self._open_watches = 1, 0
 
     def open_watches(self, count: int) -> None:
-        """Open watches until there are `count`, which must not decrease."""
-        self._load.call("open", self._port, count - self._watches)
-        self._watches = count
+        """Open watches until `count` are open; `count` must not be less than in the previous call."""
+        self._load.call("open", self._port, count - self._open_watches)
+        self._open_watches = count
         time.sleep(OPENING_TIME)
 
     def measure(self, rate: float, seconds: float) -> Point:
-        """Measure what the registry spends while changes come at a rate."""
+        """Measure the cost of the registry while changes are published at `rate` a second."""
         before, started = self._usage(), time.monotonic()
         for _ in evenly_spaced(rate, seconds):
             self._index += 1
@@ -67,7 +67,7 @@
 
 
 def _points(options: RunOptions, loads: Sequence[tuple[int, float]]) -> list[Point]:
-    """Measure one point for each (watches, changes a second); watches must not decrease."""
+    """Measure one point for each pair of watches and changes a second; watches must not decrease."""
     seconds = QUICK_SECONDS if options.quick else SECONDS
     fleet = topology.build(options.seed)
     changes = EndpointChanges(fleet.entries, np.random.default_rng(options.seed))
@@ -81,12 +81,12 @@
 
 
 def by_watches(options: RunOptions) -> Slope:
-    """Measure a registry against watches: processor share, bytes a second, memory."""
-    points = _points(options, [(watches, RATE_AT_WATCHES) for watches in WATCHES])
+    """Measure processor share, bytes a second and memory of a registry against the number of watches."""
+    points = _points(options, [(watches, FIXED_CHANGE_RATE) for watches in WATCH_COUNTS])
     return Slope(points, "watches", ("processor", "bytes", "memory_mb"))
 
 
 def by_change_rate(options: RunOptions) -> Slope:
-    """Measure a registry against changes a second: processor share, bytes a second."""
-    points = _points(options, [(WATCHES_AT_RATES, rate) for rate in CHANGE_RATES])
+    """Measure processor share and bytes a second of a registry against the rate of changes."""
+    points = _points(options, [(FIXED_WATCH_COUNT, rate) for rate in CHANGE_RATES])
     return Slope(points, "changes", ("processor", "bytes"))
