--- a/tests/emulator/test_cli.py
+++ b/tests/emulator/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: bad arguments end it with 2."""
+"""The command line: exit code and message for invalid arguments, and the deprecated name of a run."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
         ["slopes", "--seed", "x"],
         ["fleet", "--odd"],
         ["simulated-cost", "--out", __file__],
-        ["hollow", "--out", __file__],  # the former name
+        ["hollow", "--out", __file__],  # deprecated name of simulated-cost
         ["settings", "--program", __file__],
         ["slopes", "--program", "."],
     ],
 )
-def test_bad_arguments_are_one_line_and_2(arguments: list[str]) -> None:
+def test_invalid_arguments_print_one_line_and_exit_with_2(arguments: list[str]) -> None:
     result = subprocess.run(
         [sys.executable, "-m", "emulator", *arguments],
         cwd=PROJECT_ROOT,
@@ -43,12 +43,12 @@
 @pytest.mark.parametrize(
     "arguments", [["--seed", "x"], ["--seed", "-1"], ["--nothing"], ["--out", "/dev/null"]]
 )
-def test_bad_arguments_of_added_exit_with_2(arguments: list[str]) -> None:
+def test_invalid_arguments_of_added_exit_with_2(arguments: list[str]) -> None:
     assert CliRunner().invoke(added_command, arguments).exit_code == 2
 
 
-def test_the_former_name_of_a_run_is_accepted_and_not_shown() -> None:
-    shown = CliRunner().invoke(cli, ["--help"]).output
-    assert "simulated-cost" in shown
-    assert "hollow" not in shown
+def test_deprecated_name_of_a_run_is_accepted_but_hidden_in_the_help() -> None:
+    help_text = CliRunner().invoke(cli, ["--help"]).output
+    assert "simulated-cost" in help_text
+    assert "hollow" not in help_text
     assert CliRunner().invoke(cli, ["hollow", "--help"]).exit_code == 0
--- a/tests/emulator/test_control_cost.py
+++ b/tests/emulator/test_control_cost.py
@@ -1,4 +1,4 @@
-"""The comparison of simulated proxies with real ones."""
+"""The comparison of the cost of simulated proxies with that of real ones."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from emulator.measurement.control_cost import EventCost, ProxyCost
 
 
-def test_the_cost_of_idle_time_is_taken_off_both_groups() -> None:
+def test_idle_cost_is_subtracted_from_real_and_simulated_proxies() -> None:
     idle = EventCost(1, 10.0, ProxyCost(1.0, 0.0), ProxyCost(0.0, 0.0))
     event = EventCost(5, 5.0, ProxyCost(0.3, 0.0), ProxyCost(0.1, 0.0)).with_net_cost(idle).as_dict()
     assert event["real"] == {"processor": 0.3, "bytes": 0.0, "processor_net": pytest.approx(0.2)}
--- a/tests/emulator/test_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -31,12 +31,12 @@
 
 @pytest.fixture
 def fleet() -> Iterator[SimulatedFleet]:
-    """A running fleet that sees all rows."""
+    """A running fleet whose proxies see all backends."""
     with ExitStack() as stack:
         yield SimulatedFleet(PLAN, SEED, stack)
 
 
-def test_every_proxy_applies_the_loss_of_a_zone(fleet: SimulatedFleet) -> None:
+def test_every_proxy_applies_the_failure_of_a_zone(fleet: SimulatedFleet) -> None:
     measured = measure(fleet, fail_zone)
     assert (measured.versions, measured.is_complete, measured.delays.missing) == (1, True, 0)
     assert measured.delays.all_proxies.count == PROXIES
@@ -44,7 +44,9 @@
     assert [registry.open_watches for registry in measured.registries] == [4, 4, 4]
 
 
-def test_a_lost_machines_watches_resume_at_the_other_two(fleet: SimulatedFleet) -> None:
+def test_watches_of_a_failed_registry_resume_at_the_other_two_without_snapshots(
+    fleet: SimulatedFleet,
+) -> None:
     measured = measure(fleet, fail_registry)
     assert (measured.is_complete, measured.delays.missing) == (True, 0)
     watches = [registry.open_watches for registry in measured.registries]
--- a/tests/emulator/test_latency.py
+++ b/tests/emulator/test_latency.py
@@ -1,11 +1,11 @@
-"""Histograms of latencies: quantiles, differences, and several as one."""
+"""Histograms of latencies: quantiles, differences of quantiles, percentile curves, and merging."""
 
 from __future__ import annotations
 
 from emulator.measurement.latency import Quantiles, encode, histogram_of, merge, percentile_curve
 
 
-def test_added_latency_is_the_difference_of_quantiles() -> None:
+def test_added_latency_is_the_difference_of_quantiles_and_the_curve_ends_at_the_maximum() -> None:
     through = merge([encode(histogram_of(value + 300 for value in range(1, 1001)))])
     direct = merge([encode(histogram_of(range(1, 1001)))])
     assert Quantiles.of(direct) == Quantiles(median=500, p99=990, p999=999, max=1000)
@@ -22,7 +22,7 @@
     assert values[-1] == 1000
 
 
-def test_histograms_of_several_proxies_count_as_one() -> None:
+def test_merged_histogram_contains_the_latencies_of_all_proxies() -> None:
     merged = merge(encode(histogram_of(latencies)) for latencies in ([100], [], [300, 500]))
     assert merged.get_total_count() == 3
     assert Quantiles.of(merged).max == 500
--- a/tests/emulator/test_result.py
+++ b/tests/emulator/test_result.py
@@ -1,4 +1,4 @@
-"""Results carry what they were measured with."""
+"""Result files contain the seed, machine and versions of the run."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
     from pathlib import Path
 
 
-def test_a_result_names_its_seed_machine_and_versions(tmp_path: Path) -> None:
+def test_result_file_contains_the_seed_machine_and_versions(tmp_path: Path) -> None:
     path = write_result("trial", 7, {"points": [[1, 2.0]]}, tmp_path / "deep" / "out")
-    read = json.loads(path.read_text())
+    result = json.loads(path.read_text())
     assert path.name == "trial.json"
-    assert (read["run"], read["seed"], read["points"]) == ("trial", 7, [[1, 2.0]])
-    assert read["machine"]["cpus"] >= 1
-    assert {"cpus", "model", "python"} <= read["machine"].keys()
-    assert {"commit", "numpy", "orjson"} <= read["versions"].keys()
+    assert (result["run"], result["seed"], result["points"]) == ("trial", 7, [[1, 2.0]])
+    assert result["machine"]["cpus"] >= 1
+    assert {"cpus", "model", "python"} <= result["machine"].keys()
+    assert {"commit", "numpy", "orjson"} <= result["versions"].keys()
 
 
-def test_a_tree_without_a_history_of_its_own_has_no_commit(tmp_path: Path) -> None:
+def test_folder_that_is_not_the_root_of_a_working_tree_has_no_commit(tmp_path: Path) -> None:
     assert tree_commit(tmp_path) == "unknown"
-    assert tree_commit(PROJECT_ROOT / "tests") == "unknown"  # not that of the tree around it
+    assert tree_commit(PROJECT_ROOT / "tests") == "unknown"  # not the commit of the surrounding tree
--- a/tests/emulator/test_simulated_host.py
+++ b/tests/emulator/test_simulated_host.py
@@ -1,4 +1,4 @@
-"""Simulated proxies before a registry on loopback sockets."""
+"""Simulated proxies that watch a registry over loopback sockets."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from tests.support.loopback import ManualClock, wait_until, with_timeout
 from tests.support.small_fleet import BACKENDS, ENDPOINT, NAMES, SEED, SERVICES, changed, running_registry
 
-PARTITION_SECONDS = 4.0  # in which the watches notice
+FAILURE_SECONDS = 4.0  # long enough that the watches detect the failure
 
 
 @pytest.mark.parametrize("failure", ["close_endpoints", "silence"])
-def test_simulated_proxies_resume_after_a_failure_of_their_endpoint(failure: str) -> None:
+def test_simulated_proxies_catch_up_by_a_delta_after_a_failure_of_their_endpoint(failure: str) -> None:
     async def scenario() -> None:
         async with running_registry() as registry:
             port = await registry.open_endpoint(ENDPOINT)
@@ -26,26 +26,26 @@
             )
             await clock.wait_until(starting.done)
             assert starting.result().proxies == 2
-            before = {2: Publication(registry.publish(2, [changed(0)]), frozenset(NAMES[:1]))}
-            await clock.wait_until(lambda: host.delay_report(before).missing == 0)
+            before_failure = {2: Publication(registry.publish(2, [changed(0)]), frozenset(NAMES[:1]))}
+            await clock.wait_until(lambda: host.delay_report(before_failure).missing == 0)
             getattr(registry, failure)([ENDPOINT])
             registry.publish(3, [changed(1)])
-            meanwhile = {3: Publication(0.0, frozenset(NAMES[1:2]))}
-            await clock.advance(PARTITION_SECONDS)
-            assert host.delay_report(meanwhile).missing == 2
+            during_failure = {3: Publication(0.0, frozenset(NAMES[1:2]))}
+            await clock.advance(FAILURE_SECONDS)
+            assert host.delay_report(during_failure).missing == 2
             if failure == "close_endpoints":
                 await registry.open_endpoint(ENDPOINT, port)
             else:
                 registry.heal([ENDPOINT])
             for _ in range(4):
                 await clock.advance(0.2)
-            await clock.wait_until(lambda: host.delay_report(meanwhile).missing == 0)
-            assert registry.usage().traffic.snapshots == 2  # those of the start: a return gets a delta
+            await clock.wait_until(lambda: host.delay_report(during_failure).missing == 0)
+            assert registry.usage().traffic.snapshots == 2  # sent at the start; a resumed watch gets a delta
 
     asyncio.run(scenario())
 
 
-def test_simulated_proxies_decide_calls() -> None:
+def test_simulated_requests_are_counted_and_finished_by_the_balancer() -> None:
     async def scenario() -> None:
         async with running_registry() as registry:
             port = await registry.open_endpoint(ENDPOINT)
--- a/tests/support/small_fleet.py
+++ b/tests/support/small_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet and a running registry, which the tests of discovery's stand-in and its watches share."""
+"""A small fleet and a running registry, for tests of the registry and its watches."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
     from testbed.discovery.entry import EndpointEntry, EndpointStatus
 
-SEED, BACKENDS, SERVICES = 1, 20, 4  # of the fleet
+SEED, BACKENDS, SERVICES = 1, 20, 4
 FLEET = topology.build(SEED, BACKENDS, SERVICES)
 NAMES = [entry["name"] for entry in FLEET.entries]
-ENDPOINT = "all"  # the name of an endpoint that shows every backend
+ENDPOINT = "all"  # name of a registry endpoint that shows all backends
 
 
 def changed(position: int, status: EndpointStatus = "terminating") -> EndpointEntry:
-    """Return a backend's entry with another status."""
+    """Return the entry of a backend with a changed status."""
     return changed_entry(FLEET.entries[position], {"status": status})
 
 
 @asynccontextmanager
 async def running_registry() -> AsyncIterator[Registry]:
-    """Run a registry of the small fleet; its endpoints are closed at the end of the context."""
+    """Run a registry of the small fleet; it is closed at the end of the context."""
     registry = Registry(FLEET.entries)
     try:
         yield registry
