--- a/tests/emulator/test_simulated_host.py
+++ b/tests/emulator/test_simulated_host.py
@@ -9,7 +9,15 @@
 from emulator.fleet.simulated_host import ProxyPlacement, SimulatedHost
 from emulator.measurement.propagation_delay import Publication
 from tests.support.loopback import ManualClock, wait_until, with_timeout
-from tests.support.small_fleet import BACKENDS, ENDPOINT, NAMES, SEED, SERVICES, changed, running_registry
+from tests.support.small_fleet import (
+    BACKENDS,
+    ENDPOINT,
+    NAMES,
+    SEED,
+    SERVICES,
+    changed_backend,
+    running_registry,
+)
 
 FAILURE_SECONDS = 4.0  # long enough that the watches detect the failure
 
@@ -26,10 +34,10 @@
             )
             await clock.wait_until(starting.done)
             assert starting.result().proxies == 2
-            before_failure = {2: Publication(registry.publish(2, [changed(0)]), frozenset(NAMES[:1]))}
+            before_failure = {2: Publication(registry.publish(2, [changed_backend(0)]), frozenset(NAMES[:1]))}
             await clock.wait_until(lambda: host.delay_report(before_failure).missing == 0)
             getattr(registry, failure)([ENDPOINT])
-            registry.publish(3, [changed(1)])
+            registry.publish(3, [changed_backend(1)])
             during_failure = {3: Publication(0.0, frozenset(NAMES[1:2]))}
             await clock.advance(FAILURE_SECONDS)
             assert host.delay_report(during_failure).missing == 2
--- a/tests/support/small_fleet.py
+++ b/tests/support/small_fleet.py
@@ -20,7 +20,7 @@
 ENDPOINT = "all"  # name of a registry endpoint that shows all backends
 
 
-def changed(position: int, status: EndpointStatus = "terminating") -> EndpointEntry:
+def changed_backend(position: int, status: EndpointStatus = "terminating") -> EndpointEntry:
     """Return the entry of a backend with a changed status."""
     return changed_entry(FLEET.entries[position], {"status": status})
 
--- a/tests/testbed/test_registry.py
+++ b/tests/testbed/test_registry.py
@@ -15,7 +15,7 @@
 from testbed.discovery.registry_state import StaleVersionError
 from tests.support.loopback import ManualClock, in_event_loop, with_timeout
 from tests.support.proxy_inputs import HOST
-from tests.support.small_fleet import ENDPOINT, FLEET, NAMES, changed, running_registry
+from tests.support.small_fleet import ENDPOINT, FLEET, NAMES, changed_backend, running_registry
 
 if TYPE_CHECKING:
     from testbed.discovery.entry import EndpointUpdate
@@ -61,22 +61,30 @@
         port = await registry.open_endpoint(ENDPOINT)
         first = await start_watch(port, 0)
         assert len((await first.next_message())["endpoints"]) == 20
-        registry.publish(2, [changed(0)])
-        assert await first.next_message() == {"index": 2, "snapshot": False, "endpoints": [changed(0)]}
+        registry.publish(2, [changed_backend(0)])
+        assert await first.next_message() == {
+            "index": 2,
+            "snapshot": False,
+            "endpoints": [changed_backend(0)],
+        }
         registry.reset_connections([ENDPOINT])
-        registry.publish(3, [changed(1)])
-        registry.publish(4, [changed(0, "terminated"), changed(2)])
+        registry.publish(3, [changed_backend(1)])
+        registry.publish(4, [changed_backend(0, "terminated"), changed_backend(2)])
         resumed = await start_watch(port, 2)
         delta = await resumed.next_message()
         assert (delta["index"], delta["snapshot"]) == (4, False)
-        assert delta["endpoints"] == [changed(1), changed(0, "terminated"), changed(2)]
+        assert delta["endpoints"] == [
+            changed_backend(1),
+            changed_backend(0, "terminated"),
+            changed_backend(2),
+        ]
         registry.reset_connections([ENDPOINT], forget_log=True)
         last = await start_watch(port, 4)
         snapshot = await last.next_message()
         assert snapshot["snapshot"]
         assert len(snapshot["endpoints"]) == 19
-        registry.publish(5, [changed(3)])
-        assert await last.next_message() == {"index": 5, "snapshot": False, "endpoints": [changed(3)]}
+        registry.publish(5, [changed_backend(3)])
+        assert await last.next_message() == {"index": 5, "snapshot": False, "endpoints": [changed_backend(3)]}
         assert registry.usage().traffic.snapshots == 2
         assert registry.usage().traffic.watches == 3
         with pytest.raises(StaleVersionError, match="not newer"):
@@ -88,9 +96,13 @@
     async with running_registry() as registry:
         narrow = await start_watch(await registry.open_endpoint("some", view=NAMES[:3]), 0)
         assert len((await narrow.next_message())["endpoints"]) == 3
-        registry.publish(2, [changed(5)])
-        registry.publish(3, [changed(1), changed(6)])
-        assert await narrow.next_message() == {"index": 3, "snapshot": False, "endpoints": [changed(1)]}
+        registry.publish(2, [changed_backend(5)])
+        registry.publish(3, [changed_backend(1), changed_backend(6)])
+        assert await narrow.next_message() == {
+            "index": 3,
+            "snapshot": False,
+            "endpoints": [changed_backend(1)],
+        }
         assert registry.endpoint_traffic("some").updates == 2
 
 
@@ -104,7 +116,7 @@
         await clock.wait_until(lambda: registry.usage().open_watches == 2)
         await clock.advance(HEARTBEAT_INTERVAL * 0.9)
         assert registry.usage().traffic.heartbeats == 0
-        registry.publish(2, [changed(0)])
+        registry.publish(2, [changed_backend(0)])
         await clock.advance(HEARTBEAT_INTERVAL * 0.2)
         assert registry.usage().traffic.heartbeats == 0
         await clock.advance(HEARTBEAT_INTERVAL * 0.9)
--- a/tests/testbed/test_registry_state.py
+++ b/tests/testbed/test_registry_state.py
@@ -7,7 +7,7 @@
 import orjson
 
 from testbed.discovery.registry_state import RegistryState
-from tests.support.small_fleet import FLEET, changed
+from tests.support.small_fleet import FLEET, changed_backend
 
 if TYPE_CHECKING:
     import pytest
@@ -17,7 +17,7 @@
     monkeypatch.setattr("testbed.discovery.registry_state.MAX_LOG_ENTRIES", 3)
     state = RegistryState(FLEET.entries)
     for index in range(2, 8):
-        state.change(index, [changed(index)])
+        state.change(index, [changed_backend(index)])
     are_snapshots = [state.since(index, None).is_snapshot for index in (3, 4, 7, 8)]
     assert are_snapshots == [True, False, False, True]
     assert len(orjson.loads(state.since(4, None).line)["endpoints"]) == 3
