--- a/emulator/errors.py
+++ b/emulator/errors.py
@@ -17,8 +17,8 @@
         self.seconds = seconds
 
 
-class WatchTimeoutError(RuntimeError):
-    """A proxy does not watch its registry in time."""
+class SnapshotTimeoutError(RuntimeError):
+    """A proxy does not receive its endpoint list in time."""
 
     def __init__(self) -> None:
         super().__init__("a proxy did not receive its endpoint list in time")
--- a/emulator/fleet/simulated_host.py
+++ b/emulator/fleet/simulated_host.py
@@ -124,7 +124,7 @@
             proxy.discovery.open()
         async with asyncio.timeout(LIST_TIMEOUT):
             for proxy in proxies:
-                await proxy.has_list.wait()
+                await proxy.list_received.wait()
         self.proxies += proxies
 
     def freeze(self) -> None:
--- a/emulator/fleet/simulated_proxy.py
+++ b/emulator/fleet/simulated_proxy.py
@@ -94,7 +94,7 @@
     Attributes:
         balancer: The proxy's balancer.
         view: Names of the backends that the proxy sees; None: all backends.
-        has_list: Set after the first update has been applied.
+        list_received: Set after the first update has been applied.
         snapshots: Number of snapshots applied.
         discovery: The proxy's discovery client.
     """
@@ -111,7 +111,7 @@
         self._loop, self._epoch = loop, time.time() - loop.time()
         self.balancer = Balancer(read_settings(settings), seed)
         self.view = view
-        self.has_list = asyncio.Event()
+        self.list_received = asyncio.Event()
         self.snapshots = 0
         self.discovery = MeteredDiscovery(Address(HOST, port), reader, self._on_update)
         self._request_count = 0
@@ -125,7 +125,7 @@
                 self._now(), kind, [discovered.endpoint for discovered in endpoints]
             )
             self.snapshots += kind is UpdateKind.SNAPSHOT
-        self.has_list.set()
+        self.list_received.set()
 
     def simulate_request(self) -> None:
         """Pass the events of one request to the balancer."""
--- a/emulator/load/generator.py
+++ b/emulator/load/generator.py
@@ -165,7 +165,9 @@
 
     def _send(self, connection: _Connection) -> None:
         try:
-            connection.sock.send(connection.request_bytes)  # fits into an empty socket buffer
+            connection.sock.send(
+                connection.request_bytes
+            )  # smaller than the socket buffer, so it is sent at once
         except OSError:
             self._on_disconnect(connection)
 
--- a/emulator/runs/endpoint_changes.py
+++ b/emulator/runs/endpoint_changes.py
@@ -32,7 +32,7 @@
         self.entries[index] = changed_entry(self.entries[index], change)
         return self.entries[index]
 
-    def change_any(self) -> EndpointEntry:
+    def change_random(self) -> EndpointEntry:
         """Drain a random endpoint, or restart it if it is draining or removed."""
         index = int(self._rng.integers(len(self.entries)))
         if self.entries[index]["status"] == "in_service":
--- a/emulator/runs/fleet_events.py
+++ b/emulator/runs/fleet_events.py
@@ -30,7 +30,7 @@
 def _publish_arrivals(fleet: SimulatedFleet, seconds: float) -> None:
     rate = fleet.plan.change_rate_factor * CHANGES_PER_DAY / SECONDS_PER_DAY
     for _ in poisson_arrivals(fleet.rng, rate, seconds):
-        fleet.publish([fleet.changes.change_any()])
+        fleet.publish([fleet.changes.change_random()])
 
 
 def replace_backends(fleet: SimulatedFleet) -> None:
@@ -83,7 +83,7 @@
 def _publish_missed_changes(fleet: SimulatedFleet) -> None:
     """Publish changes while some watches are disconnected."""
     for _ in range(MISSED_CHANGES):
-        fleet.publish([fleet.changes.change_any()])
+        fleet.publish([fleet.changes.change_random()])
 
 
 def partition_region(fleet: SimulatedFleet) -> None:
--- a/emulator/runs/fleet_layout.py
+++ b/emulator/runs/fleet_layout.py
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetLayout:
-    """Where the proxies of a fleet run and which endpoints they watch.
+    """Assignment of the proxies of a fleet to processes and endpoints.
 
     Attributes:
         endpoints: All registry endpoints.
--- a/emulator/runs/simulated_cost.py
+++ b/emulator/runs/simulated_cost.py
@@ -14,7 +14,7 @@
 
 import numpy as np
 
-from emulator.errors import WatchTimeoutError
+from emulator.errors import SnapshotTimeoutError
 from emulator.fleet import topology
 from emulator.fleet.real_proxies import real_proxies
 from emulator.fleet.simulated_host import ProxyPlacement, SimulatedHost, StartCost
@@ -119,7 +119,7 @@
         index_before = self._index
         for _ in evenly_spaced(CHANGE_RATE, seconds):
             self._index += 1
-            self._registry.call("publish", self._index, [self._changes.change_any()])
+            self._registry.call("publish", self._index, [self._changes.change_random()])
         return self._index - index_before
 
     def send_snapshots(self, count: int) -> int:
@@ -149,7 +149,7 @@
     """Start the registry and both groups of proxies, and wait until every proxy has its endpoint list.
 
     Raises:
-        WatchTimeoutError: A proxy does not receive its list in time.
+        SnapshotTimeoutError: A proxy does not receive its list in time.
     """
     rng = np.random.default_rng(seed)
     fleet = topology.build(seed)
@@ -173,14 +173,14 @@
     """Wait until `count` snapshots have been sent to every proxy of both groups.
 
     Raises:
-        WatchTimeoutError: The snapshots are not sent within `SNAPSHOT_TIMEOUT`.
+        SnapshotTimeoutError: The snapshots are not sent within `SNAPSHOT_TIMEOUT`.
     """
     deadline = time.monotonic() + SNAPSHOT_TIMEOUT
     while any(
         registry.call("endpoint_traffic", group).snapshots < PROXIES * count for group in (REAL, SIMULATED)
     ):
         if time.monotonic() > deadline:
-            raise WatchTimeoutError
+            raise SnapshotTimeoutError
         time.sleep(POLL_INTERVAL)
 
 
--- a/emulator/runs/slopes_balancer.py
+++ b/emulator/runs/slopes_balancer.py
@@ -62,7 +62,7 @@
     def apply_change(self) -> None:
         """Apply a delta with one changed entry."""
         self._now += UPDATE_INTERVAL
-        endpoint = self._reader.read_entry(cast("EndpointEntry", self._changes.change_any())).endpoint
+        endpoint = self._reader.read_entry(cast("EndpointEntry", self._changes.change_random())).endpoint
         self._balancer.on_endpoints_updated(self._now, UpdateKind.DELTA, [endpoint])
 
     def apply_snapshot(self) -> None:
--- a/emulator/runs/slopes_proxy.py
+++ b/emulator/runs/slopes_proxy.py
@@ -26,7 +26,7 @@
 
 CHANGE_RATES = (2.0, 5.0, 10.0, 20.0)  # changes a second
 REQUEST_RATES = (50.0, 154.0, 400.0, 800.0)  # requests a second
-PROXIES = 8  # enough that their memory can be told from that of the process itself
+PROXIES = 8  # enough to distinguish their memory from that of the process itself
 APPLY_TIMEOUT = 60.0  # seconds until an update must have been applied
 # Seconds between two changes, so that a proxy doesn't read several changes at once: a minimum, and a time for
 # each backend at each proxy; the greater of both counts.
@@ -59,7 +59,7 @@
     def publish_change(self) -> None:
         """Change one random entry at the registry."""
         self._index += 1
-        entry = self._changes.change_any()
+        entry = self._changes.change_random()
         self._registry.call("publish", self._index, [entry])
         self._latest_versions[entry["name"]] = self._index
 
--- a/emulator/runs/slopes_registry.py
+++ b/emulator/runs/slopes_registry.py
@@ -51,7 +51,7 @@
         before, started = self._usage(), time.monotonic()
         for _ in evenly_spaced(rate, seconds):
             self._index += 1
-            self._registry.call("publish", self._index, [self._changes.change_any()])
+            self._registry.call("publish", self._index, [self._changes.change_random()])
         after, elapsed = self._usage(), time.monotonic() - started
         return {
             "watches": after.open_watches,
