--- a/tests/support/balancer_helpers.py
+++ b/tests/support/balancer_helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of the balancer share: two classes, eight endpoints, and ways to send requests."""
+"""Helpers of the balancer's tests: two request classes, eight endpoints, and functions that send requests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def make_balancer(settings: Settings, endpoints: list[Endpoint] = ENDPOINTS) -> Balancer:
-    """Return a balancer that knows the endpoints, started at 100 s."""
+    """Return a balancer with a list of endpoints, started at 100 s."""
     balancer = Balancer(settings, 1)
     balancer.on_endpoints_updated(100.0, UpdateKind.CACHED, endpoints)
     balancer.start(100.0)
@@ -32,10 +32,10 @@
 
 
 def send_steadily(checker: RulesChecker, seconds: float, rate: float, class_index: int = 0) -> None:
-    """Send requests at an even rate, each answered after about a third of a second."""
+    """Send requests at a constant rate; each succeeds after about a third of a second."""
     rng = Random(7)
-    end = checker.now + seconds
-    while checker.now < end:
+    end_time = checker.now + seconds
+    while checker.now < end_time:
         checker.request(class_index, 4.0)
         checker.advance(1.0 / rate)
         for request_id, number in checker.open_attempts():
@@ -44,35 +44,38 @@
 
 
 def serve_sequentially(balancer: Balancer, latency: float = 0.05, count: int = 40) -> None:
-    """Send requests one after another, each answered after so long."""
+    """Send one request per second; each succeeds after `latency` seconds."""
     for n in range(count):
         now = 101.0 + n
         balancer.on_request(now, IncomingRequest(f"s{n}", deadline=now + 4.0))
         balancer.on_attempt_finished(now + latency, f"s{n}", 0, Outcome.SUCCESS, latency, last=True)
 
 
-def serve_with_failures(balancer: Balancer, tenant: int, fifth: Outcome) -> float:
-    """Send 50 requests a second for 8 s, of which one in five ends so; return the time after them."""
+def serve_with_failures(balancer: Balancer, tenant: int, outcome_of_each_fifth: Outcome) -> float:
+    """Send 50 requests per second for 8 s, of which each fifth ends so, and return the time after them."""
     now = 100.0
     for n in range(400):
         now += 0.02
         balancer.on_request(now, IncomingRequest(f"w{n}", tenant=tenant, deadline=now + 4.0))
-        balancer.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS if n % 5 else fifth, 0.1)
+        outcome = Outcome.SUCCESS if n % 5 else outcome_of_each_fifth
+        balancer.on_attempt_finished(now, f"w{n}", 0, outcome, 0.1)
     return now
 
 
 class TimedRequests:
-    """Requests that overlap, each answered after the latency that it was given."""
+    """Sends overlapping requests, each of which succeeds after the latency given for it."""
 
     def __init__(self, balancer: Balancer) -> None:
         self._balancer = balancer
         self._in_flight: list[tuple[float, str, float]] = []
 
     def send(self, now: float, request_id: str, class_index: int, time_left: float, latency: float) -> bool:
-        """Answer what has ended by now, then send a request; return whether it was admitted."""
+        """Finish the attempts that have ended by now, then send a request; return whether it was admitted."""
         while self._in_flight and self._in_flight[0][0] <= now:
-            ended_at, ended, ended_latency = heappop(self._in_flight)
-            self._balancer.on_attempt_finished(ended_at, ended, 0, Outcome.SUCCESS, ended_latency, last=True)
+            ended_at, ended_id, ended_latency = heappop(self._in_flight)
+            self._balancer.on_attempt_finished(
+                ended_at, ended_id, 0, Outcome.SUCCESS, ended_latency, last=True
+            )
         action = self._balancer.on_request(
             now, IncomingRequest(request_id, class_index=class_index, deadline=now + time_left)
         )[0]
@@ -83,14 +86,14 @@
 
 
 class DueHedge(NamedTuple):
-    """A balancer with a request that is due to be hedged, and the timer of it."""
+    """A balancer with a late request in flight, and the timer that hedges it."""
 
     balancer: Balancer
     timer: SetTimer
 
 
 def balancer_with_due_hedge(settings: Settings) -> DueHedge:
-    """Return a balancer with a late request of class 0 in flight since 130 s, and the timer of its hedge."""
+    """Return a balancer with a request of class 0 in flight since 130 s, and the timer that hedges it."""
     balancer = make_balancer(settings)
     for n in range(20):
         balancer.on_request(100.0 + n, IncomingRequest(f"r{n}", deadline=104.0 + n))
