--- a/tests/support/random_events.py
+++ b/tests/support/random_events.py
@@ -1,4 +1,4 @@
-"""Random legal events for a `RulesChecker`, and the classes and rules to play them with."""
+"""Random valid events for a `RulesChecker`, and the classes and rules of the balancers that receive them."""
 
 from __future__ import annotations
 
@@ -60,9 +60,9 @@
     """One event of a random sequence.
 
     Attributes:
-        kind: Which event, from 0 to 9: see `run_step`.
-        first: Chooses what the event is about; its meaning depends on the kind.
-        second: Chooses how it turns out; likewise.
+        kind: The kind of event, from 0 to 9 (see `run_step`).
+        first: Selects the subject of the event, such as a class or an open attempt.
+        second: Selects its details, such as a deadline or an outcome.
     """
 
     kind: int
@@ -70,12 +70,12 @@
     second: int
 
 
-#: Any step.
+#: Generates any step.
 ANY_STEP = st.builds(Step, st.integers(0, 9), st.integers(0, 10_000), st.integers(0, 10_000))
 
 
 def random_settings(rules: Rules, limits: Limits, ordinal: int, tier: int, *, is_polled: bool) -> Settings:
-    """Return the settings of one of three instances in two tiers, with two tenants."""
+    """Return the settings of one of three proxies in two tiers, with two tenants."""
     return Settings(
         classes=CLASSES,
         tenants=(Tenant("a", 0.6, 5.0), Tenant("b", 0.4, 3.0)),
@@ -92,22 +92,22 @@
 
 
 def endpoints_in_two_zones(count: int) -> list[Endpoint]:
-    """Return endpoints in two zones, three to a cell, of three machine types."""
+    """Return endpoints in two zones, of three machine types, with three endpoints in each cell."""
     return [Endpoint(1000 + i, EndpointStatus.UP, i % 2, i // 3, machine_type=i % 3) for i in range(count)]
 
 
-def run_steps(checker: RulesChecker, steps: Sequence[Step], settle: float = 10.0) -> None:
-    """Play the steps, then let so many seconds pass."""
+def run_steps(checker: RulesChecker, steps: Sequence[Step], settle_seconds: float = 10.0) -> None:
+    """Run the steps, then advance the clock by `settle_seconds`."""
     for step in steps:
         run_step(checker, step)
-    checker.advance(settle)
+    checker.advance(settle_seconds)
 
 
 def run_step(checker: RulesChecker, step: Step) -> None:
-    """Play one step.
+    """Run one step.
 
-    Kinds 0 to 3 are a request, 4 to 6 the end of an attempt, 7 an update of the endpoint list, 8 the start
-    of a response or a disconnect, and 9 (or 8 before any request) lets time pass.
+    Kinds 0 to 3 send a request, 4 to 6 end an attempt, 7 updates the endpoint list, 8 starts a response or
+    disconnects a client, and 9 (or 8 before the first request) advances the clock.
     """
     kind, first, second = step
     classes, tenants = len(checker.settings.classes), max(1, len(checker.settings.tenants))
@@ -119,15 +119,15 @@
             attempt = open_attempts[first % len(open_attempts)]
             checker.finish_attempt(*attempt, OUTCOMES[second % len(OUTCOMES)])
     elif kind == 7:
-        _play_update(checker, first, second)
+        _update_endpoints(checker, first, second)
     elif kind == 8 and checker.requests:
-        _play_response_or_disconnect(checker, first, second)
+        _start_response_or_disconnect(checker, first, second)
     else:
         checker.advance((first % 1000) / 1000.0)
 
 
-def _play_update(checker: RulesChecker, first: int, second: int) -> None:
-    """Change one endpoint, and deliver the change, or have the poll fail."""
+def _update_endpoints(checker: RulesChecker, first: int, second: int) -> None:
+    """Change one endpoint and deliver the change, or report a failed poll."""
     endpoints = list(checker.endpoints.values())
     if not endpoints:
         return
@@ -137,13 +137,17 @@
     changed = replace(endpoint, status=status, started=checker.now - 0.5 if restarts else endpoint.started)
     kind = (UpdateKind.DELTA, UpdateKind.SNAPSHOT, UpdateKind.FAILED)[second // 3 % 3]
     if kind is UpdateKind.SNAPSHOT:
-        others = [e for e in endpoints if e.id != endpoint.id and e.status is not EndpointStatus.REMOVED]
+        others = [
+            other
+            for other in endpoints
+            if other.id != endpoint.id and other.status is not EndpointStatus.REMOVED
+        ]
         checker.update_endpoints(kind, others if status is EndpointStatus.REMOVED else [*others, changed])
     else:
         checker.update_endpoints(kind, [changed] if kind is UpdateKind.DELTA else [])
 
 
-def _play_response_or_disconnect(checker: RulesChecker, first: int, second: int) -> None:
+def _start_response_or_disconnect(checker: RulesChecker, first: int, second: int) -> None:
     """Start the response of a request's latest open attempt, or disconnect its client."""
     request_id = list(checker.requests)[first % len(checker.requests)]
     request = checker.requests[request_id]
@@ -155,7 +159,7 @@
 
 
 def fail_attempts(checker: RulesChecker, class_index: int, count: int) -> None:
-    """Send a request of which so many attempts in a row cannot be delivered."""
+    """Send a request, and end each of its first `count` attempts as unreachable."""
     request_id = checker.request(class_index, 3.0)
     for number in range(count):
         if (request_id, number) in checker.open_attempts():
