--- a/tests/support/rules_checker.py
+++ b/tests/support/rules_checker.py
@@ -1,14 +1,15 @@
-"""Checks the balancer's rules: feeds legal events to a balancer, and asserts on each of its actions.
-
-The rules, in the order of the checks: a request gets one final response, by its deadline; attempts go to
-endpoints that are up and allowed for the request's class; there are no more attempts, hedged requests and
-cancellations than the limits permit; retries stay within a stated retry budget; what may have run is
-repeated only as far as its class allows; and a request is rejected only where its client may repeat it
-without harm.
-
-`RulesChecker` records on its own what has happened, from the events that it feeds and the actions that are
-returned, and reads nothing inside the balancer. `test_rules.py` plays random sequences, and shows that
-broken balancers fail.
+"""Checks the balancer's rules: sends valid events to a balancer, and asserts on each of its actions.
+
+The rules, in the order of the checks:
+- A request gets one final response, by its deadline.
+- Attempts go to endpoints that are up and allowed for the request's class.
+- Attempts, hedged requests and cancellations stay within the limits.
+- Retries stay within a stated retry budget.
+- A request that may have run is repeated only as far as its class allows.
+- A request is rejected only if its client may repeat it safely.
+
+`RulesChecker` keeps its own record of events and actions, and reads no state of the balancer. `test_rules.py`
+runs random sequences of events, and verifies that the checker detects faulty balancers.
 """
 
 from __future__ import annotations
@@ -31,18 +32,18 @@
 )
 from balancer.settings import DeduplicationScope, Idempotency, Limits, RequestClass, Settings
 
-START = 100.0  # seconds on the checker's clock
-TIMER_RESOLUTION = 1e-6  # seconds by which a timer fires later, at least
+START_TIME = 100.0  # seconds on the checker's clock
+TIMER_RESOLUTION = 1e-6  # seconds; the shortest delay after which a timer fires
 
 
 @dataclass
 class CheckedAttempt:
-    """One attempt.
+    """An attempt as the checker records it.
 
     Attributes:
-        endpoint: Its endpoint as it was listed when the attempt was started.
+        endpoint: The endpoint's entry in the list when the attempt was started.
         started_at: When it was started, in seconds.
-        ends_by: When it ends as timed out, in seconds.
+        ends_by: When it times out, in seconds.
         outcome: How it ended; None while it is open.
     """
 
@@ -59,16 +60,16 @@
 
 @dataclass
 class CheckedRequest:
-    """One request.
+    """A request as the checker records it.
 
     Attributes:
         class_index: Its class when it was admitted.
         deadline: When its client gives up, in seconds.
-        classes: Its class in all settings since it was admitted, the first one first.
-        limits: The limits of all these settings.
-        attempts: Its attempts, in their order.
-        final_responses: How many final responses it got; a disconnect of its client counts as one.
-        responded: Whether no answer is pending any more.
+        classes: Its class in all settings since it was admitted, the earliest first.
+        limits: The limits in all settings since it was admitted.
+        attempts: Its attempts, in the order in which they were started.
+        final_responses: The number of its final responses; a disconnect of its client counts as one.
+        responded: Whether it has had its final response.
         response_started: Whether its response is being streamed.
     """
 
@@ -83,9 +84,9 @@
 
 
 class RulesChecker:
-    """Feeds events to one balancer; every broken rule is an AssertionError.
+    """Sends events to one balancer, and raises AssertionError where an action breaks a rule.
 
-    Time passes in `advance` alone, which ends attempts at their timeout and fires the timers that are due.
+    Time passes only in `advance`, which ends attempts at their timeouts and fires the timers that are due.
 
     Attributes:
         settings: The settings in force.
@@ -93,17 +94,17 @@
         now: The time in seconds.
         endpoints: The endpoint list as last delivered, by id.
         requests: All requests, by id.
-        timers: The timers that are set: when each is due, and its token.
-        start_times_by_endpoint: When attempts were started at each endpoint, by its id.
-        poll_count: How often the balancer has polled discovery.
-        request_times: When the requests came.
+        timers: The time and the token of each timer that is set.
+        start_times_by_endpoint: When attempts were started at each endpoint, by endpoint id.
+        poll_count: The number of polls of discovery.
+        request_times: When the requests were sent.
         retry_times: When retries and hedged requests were started.
     """
 
     def __init__(self, settings: Settings, seed: int, endpoints: list[Endpoint]) -> None:
         self.settings = settings
         self.balancer = Balancer(settings, seed)
-        self.now = START
+        self.now = START_TIME
         self.endpoints: dict[int, Endpoint] = {}
         self.requests: dict[str, CheckedRequest] = {}
         self.timers: list[tuple[float, int]] = []
@@ -141,17 +142,17 @@
         return request_id
 
     def reconfigure(self, settings: Settings) -> None:
-        """Replace the settings; earlier requests have to comply with the old ones as well."""
+        """Replace the settings; the rules of the old ones still apply to earlier requests."""
         self.settings = settings
-        stated = {request_class.name: request_class for request_class in settings.classes}
+        classes_by_name = {request_class.name: request_class for request_class in settings.classes}
         for request in self.requests.values():
             request.limits.append(settings.limits)
-            if request.classes[0].name in stated:
-                request.classes.append(stated[request.classes[0].name])
+            if request.classes[0].name in classes_by_name:
+                request.classes.append(classes_by_name[request.classes[0].name])
         self.check(self.balancer.reconfigure(self.now, settings))
 
     def open_attempts(self) -> list[tuple[str, int]]:
-        """Return the id of the request and the number of each attempt that has not ended."""
+        """Return the request id and the number of each open attempt."""
         return [
             (request_id, number)
             for request_id, request in self.requests.items()
@@ -160,7 +161,7 @@
         ]
 
     def finish_attempt(self, request_id: str, number: int, outcome: Outcome) -> list[Action]:
-        """End an attempt and return the actions; a success or the end of a started response is the answer."""
+        """End an attempt and return the actions; a success or the end of a started response is final."""
         request = self.requests[request_id]
         attempt = request.attempts[number]
         attempt.outcome = outcome
@@ -175,7 +176,7 @@
         return actions
 
     def disconnect(self, request_id: str) -> None:
-        """Disconnect the client of a request; from then on its answer is not pending."""
+        """Disconnect the client of a request, which then needs no response."""
         request = self.requests[request_id]
         if not request.responded:
             request.responded = True
@@ -183,15 +184,15 @@
         self.check(self.balancer.on_client_disconnected(self.now, request_id))
 
     def start_response(self, request_id: str, number: int) -> None:
-        """Start the response as a stream: it belongs to one attempt and has no deadline."""
+        """Start to stream the response of one attempt; it has no deadline."""
         request = self.requests[request_id]
         self.check(self.balancer.on_response_started(self.now, request_id, number))
         request.response_started = True
         request.attempts[number].ends_by = request.deadline = float("inf")
 
-    def advance(self, span: float) -> None:
-        """Advance the clock by `span` seconds, through the timeouts and timers that are due."""
-        target = self.now + span
+    def advance(self, seconds: float) -> None:
+        """Advance the clock, and process the timeouts and timers that become due."""
+        target = self.now + seconds
         while due := [event for event in self._due_events() if event[0] <= target]:
             at, is_timer, request_id, number = min(due)
             self.now = max(self.now, at)
@@ -208,7 +209,7 @@
                 )
 
     def _due_events(self) -> list[tuple[float, int, str, int]]:
-        """Return what is due: timeouts (0) with request and attempt number, timers (1) with token."""
+        """Return the timeouts (0) with their request and attempt, and the timers (1) with their token."""
         timeouts = [
             (self.requests[request_id].attempts[number].ends_by, 0, request_id, number)
             for request_id, number in self.open_attempts()
@@ -218,7 +219,7 @@
     # ---- checks --------------------------------------------------------------------------
 
     def check(self, actions: list[Action]) -> None:
-        """Check the actions that the balancer returned, and carry them out."""
+        """Check the actions that the balancer has returned, and record their effects."""
         for action in actions:
             if isinstance(action, SetTimer):
                 assert action.at >= self.now
@@ -244,7 +245,7 @@
             if any(attempt.outcome is None for attempt in request.attempts):
                 assert limits.hedging, "a hedged request is not permitted"
         for request_class in request.classes:
-            self._check_place(request, request_class, endpoint)
+            self._check_endpoint(request, request_class, endpoint)
         if request.attempts:
             self._check_retry_budget()
         ends_by = request.deadline
@@ -254,7 +255,7 @@
         self.start_times_by_endpoint.setdefault(action.endpoint, []).append(self.now)
 
     def _check_retry_budget(self) -> None:
-        """Count a retry, and check it against the stated budget."""
+        """Record a retry, and check it against the stated budget."""
         self.retry_times.append(self.now)
         rules = self.settings.rules
         if not rules.retry_budget_window:
@@ -264,13 +265,15 @@
         allowed = rules.retry_budget_floor + rules.retry_budget_ratio * requests
         assert sum(at >= since for at in self.retry_times) <= allowed, "beyond the retry budget"
 
-    def _check_place(self, request: CheckedRequest, request_class: RequestClass, endpoint: Endpoint) -> None:
-        """Check that a class allows an attempt of a request at an endpoint, also as a repeat."""
-        for allowed, place in (
+    def _check_endpoint(
+        self, request: CheckedRequest, request_class: RequestClass, endpoint: Endpoint
+    ) -> None:
+        """Check that a class allows an attempt of a request at an endpoint, also if it repeats another."""
+        for allowed, actual in (
             (request_class.allowed_machine_types, endpoint.machine_type),
             (request_class.allowed_zones, endpoint.zone),
         ):
-            assert allowed is None or place in allowed, "sent to an endpoint that is not open to its class"
+            assert allowed is None or actual in allowed, "sent to an endpoint that is not open to its class"
         possible_runs = [attempt for attempt in request.attempts if attempt.may_have_run]
         if not possible_runs or request_class.idempotency is Idempotency.IDEMPOTENT:
             return
@@ -284,26 +287,26 @@
                 assert attempt.endpoint.cell == endpoint.cell, "repeated in another cell"
 
     def _check_cancel(self, action: CancelAttempt) -> None:
-        """Check that an attempt may be cancelled, and end it at once."""
+        """Check that an attempt may be cancelled, and end it immediately."""
         request = self.requests[action.request]
         assert all(limits.cancel for limits in request.limits), "cancel is not permitted"
         attempt = request.attempts[action.attempt]
         assert attempt.outcome is None, "cancelled an attempt that had ended"
-        attempt.ends_by = self.now  # ends at once, as cancelled or by an outcome that is already on its way
+        attempt.ends_by = self.now  # its outcome may be another one that was already on its way
 
     def _check_final_response(self, action: Reject | Fail) -> None:
-        """Check that a request may be answered so, and record that it is."""
+        """Check that a request may be rejected or failed, and record it."""
         request = self.requests[action.request]
         assert not request.responded, "a second final response"
         if isinstance(action, Reject):
             for request_class in request.classes:
-                assert _is_harmless(request, request_class), "rejected although it may have run"
+                assert _is_safe_to_repeat(request, request_class), "rejected although it may have run"
         request.responded = True
         request.final_responses += 1
 
 
-def _is_harmless(request: CheckedRequest, request_class: RequestClass) -> bool:
-    """Whether the client may repeat the request without harm."""
+def _is_safe_to_repeat(request: CheckedRequest, request_class: RequestClass) -> bool:
+    """Whether the client may repeat the request without repeating its effect."""
     if request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
     keyed = request_class.idempotency is Idempotency.KEYED
