--- a/tests/balancer/test_slow_start_fleet.py
+++ b/tests/balancer/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""Slow start over a fleet: what all instances together send a warming endpoint (see `warming_fleet`)."""
+"""Slow start in a fleet: all proxies together must not overload a warming endpoint (see `warming_fleet`)."""
 
 from __future__ import annotations
 
@@ -8,71 +8,104 @@
 
 from balancer.slow_start import SlowStart
 from tests.support.warming_fleet import (
-    EARLY_OVERLOAD,
-    LATE_OVERLOAD,
+    FAST_WARMUP,
+    SLOW_WARMUP,
     START_TIME,
     Case,
     Fleet,
-    assert_holds,
-    play,
+    assert_budgets_hold,
+    simulate,
 )
 
 if TYPE_CHECKING:
     from balancer.settings import Rules
 
-DELIVERIES = ["at once", "one after another", "some restart"]
-INSTANCES = pytest.mark.parametrize("instances", [20, 30, 200])
+NOTIFICATIONS = ["simultaneous", "staggered", "some_proxies_restart"]
+PROXY_COUNTS = pytest.mark.parametrize("proxy_count", [20, 30, 200])
 
 
-@INSTANCES
-@pytest.mark.parametrize("warming", ["fifth", "six in ten", "zone"])
-@pytest.mark.parametrize("delivery", DELIVERIES)
-def test_all_instances_together_stay_within_the_budget(instances: int, warming: str, delivery: str) -> None:
-    rules = EARLY_OVERLOAD if warming == "six in ten" else LATE_OVERLOAD
-    assert_holds(Case(instances, delivery, warming, rules, tier=int(warming != "fifth")))
+@PROXY_COUNTS
+@pytest.mark.parametrize("warming", ["one_fifth", "six_tenths", "one_zone"])
+@pytest.mark.parametrize("notification", NOTIFICATIONS)
+def test_all_proxies_together_stay_within_the_budget(
+    proxy_count: int, warming: str, notification: str
+) -> None:
+    rules = FAST_WARMUP if warming == "six_tenths" else SLOW_WARMUP
+    assert_budgets_hold(Case(proxy_count, notification, warming, rules, tier=int(warming != "one_fifth")))
 
 
-@INSTANCES
+@PROXY_COUNTS
 @pytest.mark.parametrize(
-    ("warming", "rules", "tier"), [("six in ten", EARLY_OVERLOAD, 1), ("zone", LATE_OVERLOAD, 1)]
+    ("warming", "rules", "tier"), [("six_tenths", FAST_WARMUP, 1), ("one_zone", SLOW_WARMUP, 1)]
 )
-@pytest.mark.parametrize("neighbours", [False, True])
-def test_the_budget_holds_where_a_few_have_most_of_the_traffic(
-    *, instances: int, warming: str, rules: Rules, tier: int, neighbours: bool
+@pytest.mark.parametrize("hot_proxies_adjacent", [False, True])
+def test_the_budget_holds_where_a_few_proxies_have_most_of_the_traffic(
+    *, proxy_count: int, warming: str, rules: Rules, tier: int, hot_proxies_adjacent: bool
 ) -> None:
-    assert_holds(Case(instances, "at once", warming, rules, tier, skew=6.0, neighbours=neighbours))
-
-
-@INSTANCES
-def test_the_budget_holds_where_new_endpoints_join(instances: int) -> None:
-    assert_holds(Case(instances, "one after another", "fifth", LATE_OVERLOAD, joins=True))
-
-
-@INSTANCES
-@pytest.mark.parametrize(("rules", "tier"), [(EARLY_OVERLOAD, 1), (LATE_OVERLOAD, 0)])
-def test_the_budget_holds_where_all_warm_up_and_rejected_clients_retry(
-    instances: int, rules: Rules, tier: int
+    assert_budgets_hold(
+        Case(
+            proxy_count,
+            "simultaneous",
+            warming,
+            rules,
+            tier,
+            hot_proxy_multiple=6.0,
+            hot_proxies_adjacent=hot_proxies_adjacent,
+        )
+    )
+
+
+@PROXY_COUNTS
+def test_the_budget_holds_where_endpoints_are_added(proxy_count: int) -> None:
+    assert_budgets_hold(Case(proxy_count, "staggered", "one_fifth", SLOW_WARMUP, endpoints_are_new=True))
+
+
+@PROXY_COUNTS
+@pytest.mark.parametrize(("rules", "tier"), [(FAST_WARMUP, 1), (SLOW_WARMUP, 0)])
+def test_the_budget_holds_where_all_endpoints_warm_up_and_rejected_clients_retry(
+    proxy_count: int, rules: Rules, tier: int
 ) -> None:
-    """With no warm endpoint the budget counts calls offered: a client's retry must not be counted again."""
-    case = Case(instances, "at once", "all", rules, tier, endpoints=30, skew=6.0, neighbours=True)
+    """Without warm endpoints the offered rate counts: retries of rejected clients must not increase it."""
+    case = Case(
+        proxy_count,
+        "simultaneous",
+        "all",
+        rules,
+        tier,
+        endpoint_count=30,
+        hot_proxy_multiple=6.0,
+        hot_proxies_adjacent=True,
+    )
     for seed in range(3):
-        play(case, seed).assert_budgets()
+        simulate(case, seed).assert_budgets()
 
 
-@pytest.mark.parametrize("delivery", DELIVERIES)
-def test_a_fleet_that_ignores_slow_start_is_caught(monkeypatch: pytest.MonkeyPatch, delivery: str) -> None:
+@pytest.mark.parametrize("notification", NOTIFICATIONS)
+def test_the_check_detects_a_fleet_that_ignores_slow_start(
+    monkeypatch: pytest.MonkeyPatch, notification: str
+) -> None:
     monkeypatch.setattr(SlowStart, "should_skip", lambda _self, _now, _state, _pool, _pools: False)
     with pytest.raises(AssertionError, match="allowed"):
-        assert_holds(Case(200, delivery, "six in ten", LATE_OVERLOAD, 1, skew=6.0, neighbours=True))
-
-
-def test_the_checker_counts_informed_calls_alone() -> None:
+        assert_budgets_hold(
+            Case(
+                200,
+                notification,
+                "six_tenths",
+                SLOW_WARMUP,
+                1,
+                hot_proxy_multiple=6.0,
+                hot_proxies_adjacent=True,
+            )
+        )
+
+
+def test_the_check_counts_only_attempts_of_informed_proxies() -> None:
     fleet = Fleet(Case(20), 0)
     fleet.now = START_TIME
     fleet.start_endpoints()
     endpoint = fleet.endpoints[min(fleet.warming)]
-    endpoint.calls = [START_TIME + 0.01 * n for n in range(100)]
-    fleet.assert_budgets()  # no instance knew of the start
-    endpoint.informed_calls = endpoint.calls[:60]
+    endpoint.attempt_times = [START_TIME + 0.01 * n for n in range(100)]
+    fleet.assert_budgets()  # no proxy has been notified of the start
+    endpoint.informed_attempt_times = endpoint.attempt_times[:60]
     with pytest.raises(AssertionError, match="allowed"):
         fleet.assert_budgets()
--- a/tests/support/warming_fleet.py
+++ b/tests/support/warming_fleet.py
@@ -1,9 +1,9 @@
-"""Simulates a fleet of balancers over endpoints that warm up, all on one clock.
+"""Simulates a fleet of proxies whose endpoints restart and warm up.
 
-Each instance defers calls to a warming endpoint by itself and knows nothing of the others, but an endpoint
-is overloaded by what all of them send. `Fleet.assert_budgets` counts, for every warming endpoint and every
-overload interval, the calls of those instances that knew of its start. There are no sockets and no sleeps;
-all chance comes from the seed.
+Each proxy limits its attempts at a warming endpoint without knowing those of the others, but an endpoint is
+overloaded by the attempts of all proxies together. `Fleet.assert_budgets` checks, for each warming endpoint
+and each overload interval, the number of attempts from proxies that have been notified of its start. The
+simulation has its own clock and opens no sockets; the seed determines all random numbers.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-EARLY_OVERLOAD = Rules(
+FAST_WARMUP = Rules(
     warmup_initial_capacity=0.32, warmup_duration=9.0, overload_multiple=3.0, overload_interval=2.0
 )
-LATE_OVERLOAD = Rules(
+SLOW_WARMUP = Rules(
     warmup_initial_capacity=0.16, warmup_duration=23.0, overload_multiple=2.5, overload_interval=1.0
 )
 CLASSES = (
@@ -39,85 +39,87 @@
 CLASS_WEIGHTS = (6, 2, 2)  # of the traffic
 LIMITS = Limits(cancel=True, hedging=True, max_attempts=3, retry_after=True)
 ZONES = 3
-CAPACITY = 7.0  # requests of mean work a second, for each unit of an endpoint's size
-MAX_IN_FLIGHT = 38  # attempts that an endpoint takes at once
+CAPACITY = 7.0  # requests of mean work per second, for each unit of an endpoint's size
+MAX_IN_FLIGHT = 38  # attempts that an endpoint accepts at once
 DEADLINE = 4.0  # seconds that a client gives each request
-CLIENT_RETRIES = 2  # of a rejected request
-FAST_FAILURE = 0.002  # seconds until an endpoint that is down or full has rejected an attempt
-BEGIN = 100.0  # seconds on the fleet's clock
-START_TIME = BEGIN + 8.0  # when the warming endpoints start: by then instances know their usual traffic
-END = START_TIME + 4.0
-DOWNTIME = 1.0  # seconds for which an endpoint that restarts is removed
-BURST_DELAY = 2.0  # seconds from the start to the burst
+CLIENT_RETRIES = 2  # retries of a rejected request
+REJECTION_LATENCY = 0.002  # seconds in which an endpoint that is down or full rejects an attempt
+BEGIN_TIME = 100.0  # seconds on the fleet's clock
+#: When the warming endpoints start: the proxies have measured their traffic by then.
+START_TIME = BEGIN_TIME + 8.0
+END_TIME = START_TIME + 4.0
+DOWNTIME = 1.0  # seconds for which a restarting endpoint is removed from the list
+BURST_DELAY = 2.0  # seconds from the start of the endpoints to the burst
 
 
 @dataclass(frozen=True)
 class Case:
-    """What happens to a fleet.
+    """The parameters of a simulation.
 
     Attributes:
-        instances: How many balancers there are.
-        delivery: When they learn of the start: "at once", "one after another", or "some restart" meanwhile.
-        warming: Which endpoints start: a "fifth", "six in ten", "all", or those of a "zone".
+        proxy_count: The number of proxies.
+        notification: When the proxies are notified of the start of endpoints: "simultaneous", "staggered", or
+            "some_proxies_restart" if some of them also restart afterwards.
+        warming: Which endpoints start: "one_fifth", "six_tenths", "all", or "one_zone".
         rules: How endpoints warm up.
-        tier: The tier that the balancers send to.
-        endpoints: How many endpoints there are.
-        load: The traffic before the endpoints start, as a part of all capacity.
-        burst: The traffic some time after the start, as a multiple of that before.
-        skew: The traffic of one in ten instances, as a multiple of that of the others.
-        neighbours: Whether the subsets of these instances overlap.
-        joins: Whether the warming endpoints are new ones, not old ones that restart.
+        tier: The tier of the proxies.
+        endpoint_count: The number of endpoints.
+        load_fraction: The traffic before the endpoints start, as a fraction of the capacity.
+        burst_multiple: The traffic after BURST_DELAY, as a multiple of that before.
+        hot_proxy_multiple: The traffic of each of the hot proxies (one in ten), as a multiple of the others'.
+        hot_proxies_adjacent: Whether the hot proxies have successive ordinals, so that their subsets overlap.
+        endpoints_are_new: Whether the warming endpoints are new; otherwise they restart.
     """
 
-    instances: int
-    delivery: str = "at once"
-    warming: str = "fifth"
-    rules: Rules = EARLY_OVERLOAD
+    proxy_count: int
+    notification: str = "simultaneous"
+    warming: str = "one_fifth"
+    rules: Rules = FAST_WARMUP
     tier: int = 0
-    endpoints: int = 15
-    load: float = 0.65
-    burst: float = 1.5
-    skew: float = 1.0
-    neighbours: bool = False
-    joins: bool = False
+    endpoint_count: int = 15
+    load_fraction: float = 0.65
+    burst_multiple: float = 1.5
+    hot_proxy_multiple: float = 1.0
+    hot_proxies_adjacent: bool = False
+    endpoints_are_new: bool = False
 
 
 @dataclass(eq=False)
 class SimulatedEndpoint:
-    """One endpoint, which works on one attempt at a time.
+    """An endpoint that works on one attempt at a time.
 
     Attributes:
         listed: Its entry in the endpoint list.
         rules: How it warms up.
         free_at: When it will have done all work that it has accepted, in seconds.
-        in_flight: The attempts that it has accepted and not finished.
-        informed_calls: When instances called it that knew of its start.
-        calls: When any instance called it.
+        in_flight: The number of attempts that it has accepted and not finished.
+        informed_attempt_times: When it got attempts from proxies that had been notified of its start.
+        attempt_times: When it got attempts from any proxy.
     """
 
     listed: Endpoint
     rules: Rules
     free_at: float = 0.0
     in_flight: int = 0
-    informed_calls: list[float] = field(default_factory=list)
-    calls: list[float] = field(default_factory=list)
+    informed_attempt_times: list[float] = field(default_factory=list)
+    attempt_times: list[float] = field(default_factory=list)
 
     def capacity(self, now: float) -> float:
-        """Return what it can do now, in requests of mean work a second."""
+        """Return its present capacity, in requests of mean work per second."""
         age, rules = now - self.listed.started, self.rules
         progress = min(1.0, age / rules.warmup_duration)
-        warm = rules.warmup_initial_capacity + (1.0 - rules.warmup_initial_capacity) * progress
-        return CAPACITY * self.listed.size * (warm if self.listed.started else 1.0)
+        fraction = rules.warmup_initial_capacity + (1.0 - rules.warmup_initial_capacity) * progress
+        return CAPACITY * self.listed.size * (fraction if self.listed.started else 1.0)
 
-    def finish_time(self, now: float, work: float) -> float:
-        """Return when it will have done this work, accepted now."""
+    def accept_work(self, now: float, work: float) -> float:
+        """Accept work, and return when it will be done."""
         self.free_at = max(self.free_at, now) + work / self.capacity(now)
         return self.free_at
 
 
 @dataclass(eq=False)
-class Instance:
-    """One balancer of the fleet; a restart replaces it, and everything that it had learned is lost."""
+class SimulatedProxy:
+    """A proxy of the fleet; a restart replaces its balancer, with all that it has measured."""
 
     ordinal: int
     balancer: Balancer
@@ -125,60 +127,62 @@
 
 
 class ClientRequest(NamedTuple):
-    """One request of a client; a retry of a rejected request is another one."""
+    """A request of a client; a retry of a rejected request is another one."""
 
-    instance: Instance
+    proxy: SimulatedProxy
     class_index: int
     deadline: float
     retries: int
 
 
-class Span(NamedTuple):
-    """The calls that one warming endpoint got in one overload interval."""
+class IntervalLoad(NamedTuple):
+    """The attempts that a warming endpoint got in one overload interval."""
 
     allowed: float
-    informed_calls: int
-    calls: int
+    informed_attempts: int
+    attempts: int
 
 
 class Fleet:
-    """Simulates a case; `assert_budgets` is the checker."""
+    """Simulates a case; `assert_budgets` checks the result."""
 
     def __init__(self, case: Case, seed: int) -> None:
         self.case = case
         self.rng = Random(seed)
-        self.now = BEGIN
-        self.responded = self.offered = 0
+        self.now = BEGIN_TIME
+        self.responded = self.offered = 0  # successful attempts, requests of clients
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = 0  # of events and requests
+        self._last_id = 0  # of events and requests
         sizes = (1.0, 1.0, 2.0)
         listed = [
             Endpoint(1000 + 7 * i, EndpointStatus.UP, i % ZONES, i // 5, sizes[i // ZONES % 3])
-            for i in range(case.endpoints)
+            for i in range(case.endpoint_count)
         ]
         self.endpoints = {endpoint.id: SimulatedEndpoint(endpoint, case.rules) for endpoint in listed}
         self.warming = self._choose_warming(listed)
-        if case.joins:
+        if case.endpoints_are_new:
             listed = [endpoint for endpoint in listed if endpoint.id not in self.warming]
-        self.instances = [Instance(n, self._new_balancer(n, listed)) for n in range(case.instances)]
-        hot = set(self.rng.sample(range(case.instances), case.instances // 10))
-        if case.neighbours:
-            hot = set(range(case.instances // 10))
-        self._traffic = list(accumulate(case.skew if n in hot else 1.0 for n in range(case.instances)))
+        ordinals = range(case.proxy_count)
+        self.proxies = [SimulatedProxy(ordinal, self._new_balancer(ordinal, listed)) for ordinal in ordinals]
+        hot = set(self.rng.sample(ordinals, case.proxy_count // 10))
+        if case.hot_proxies_adjacent:
+            hot = set(range(case.proxy_count // 10))
+        traffic = (case.hot_proxy_multiple if ordinal in hot else 1.0 for ordinal in ordinals)
+        self._cumulative_traffic = list(accumulate(traffic))
         self._capacity = CAPACITY * sum(endpoint.size for endpoint in listed)
 
     def _choose_warming(self, listed: list[Endpoint]) -> set[int]:
         """Return the ids of the endpoints that start during the simulation."""
-        if self.case.warming == "zone":
+        if self.case.warming == "one_zone":
             return {endpoint.id for endpoint in listed if endpoint.zone == 1}
-        part = {"fifth": 0.2, "six in ten": 0.6, "all": 1.0}[self.case.warming]
-        return {endpoint.id for endpoint in self.rng.sample(listed, round(part * len(listed)))}
+        fraction = {"one_fifth": 0.2, "six_tenths": 0.6, "all": 1.0}[self.case.warming]
+        return {endpoint.id for endpoint in self.rng.sample(listed, round(fraction * len(listed)))}
 
     def _new_balancer(self, ordinal: int, listed: list[Endpoint]) -> Balancer:
         case = self.case
         settings = Settings(
             classes=CLASSES,
-            fleet_size=case.instances,
+            fleet_size=case.proxy_count,
             ordinal=ordinal,
             tier=case.tier,
             tier_count=2,
@@ -193,28 +197,27 @@
         return balancer
 
     def _schedule(self, at: float, event: Callable[[], None]) -> None:
-        self._count += 1
-        heappush(self._events, (at, self._count, event))
+        self._last_id += 1
+        heappush(self._events, (at, self._last_id, event))
 
-    def play(self) -> None:
+    def run(self) -> None:
         """Simulate the case to its end."""
         case, rng = self.case, self.rng
-        if not case.joins:
+        if not case.endpoints_are_new:
             self._schedule(START_TIME - DOWNTIME, self._stop_endpoints)
         self._schedule(START_TIME, self.start_endpoints)
-        for instance in self.instances:
-            delay = 3.0 * rng.random() if case.delivery == "one after another" else 0.0
-            deliver = partial(self._deliver, instance, instance.incarnation)
-            if (
-                not case.joins and not delay
-            ):  # an instance that learns late never knew of the removal, and goes on sending
-                self._schedule(START_TIME - DOWNTIME, deliver)
-            self._schedule(START_TIME + delay, deliver)
-        if case.delivery == "some restart":
-            for instance in rng.sample(self.instances, max(1, len(self.instances) // 10)):
-                self._schedule(START_TIME + 1.0 + 2.0 * rng.random(), partial(self._restart, instance))
-        self._schedule(BEGIN, self._arrive)
-        while self._events and self._events[0][0] < END:
+        for proxy in self.proxies:
+            delay = 3.0 * rng.random() if case.notification == "staggered" else 0.0
+            notify = partial(self._notify, proxy, proxy.incarnation)
+            # A proxy that is notified late was not notified of the removal either, and continues to send.
+            if not case.endpoints_are_new and not delay:
+                self._schedule(START_TIME - DOWNTIME, notify)
+            self._schedule(START_TIME + delay, notify)
+        if case.notification == "some_proxies_restart":
+            for proxy in rng.sample(self.proxies, max(1, len(self.proxies) // 10)):
+                self._schedule(START_TIME + 1.0 + 2.0 * rng.random(), partial(self._restart, proxy))
+        self._schedule(BEGIN_TIME, self._arrive)
+        while self._events and self._events[0][0] < END_TIME:
             self.now, _, event = heappop(self._events)
             event()
 
@@ -226,161 +229,164 @@
             endpoint.listed = replace(endpoint.listed, status=EndpointStatus.REMOVED)
 
     def start_endpoints(self) -> None:
-        """Start the warming endpoints, at full size and with a new process."""
+        """Start the warming endpoints, each with a new process."""
         for endpoint_id in self.warming:
             listed = self.endpoints[endpoint_id].listed
             listed = replace(listed, status=EndpointStatus.UP, started=self.now)
             self.endpoints[endpoint_id] = SimulatedEndpoint(listed, self.case.rules)
 
-    def _deliver(self, instance: Instance, incarnation: int) -> None:
-        """Notify an instance of the warming endpoints as they are now."""
-        if instance.incarnation == incarnation:
+    def _notify(self, proxy: SimulatedProxy, incarnation: int) -> None:
+        """Notify a proxy of the present entries of the warming endpoints."""
+        if proxy.incarnation == incarnation:
             listed = [self.endpoints[endpoint_id].listed for endpoint_id in self.warming]
-            instance.balancer.on_endpoints_updated(self.now, UpdateKind.DELTA, listed)
+            proxy.balancer.on_endpoints_updated(self.now, UpdateKind.DELTA, listed)
 
-    def _restart(self, instance: Instance) -> None:
+    def _restart(self, proxy: SimulatedProxy) -> None:
         listed = [endpoint.listed for endpoint in self.endpoints.values()]
-        instance.balancer = self._new_balancer(instance.ordinal, listed)
-        instance.incarnation += 1
+        proxy.balancer = self._new_balancer(proxy.ordinal, listed)
+        proxy.incarnation += 1
 
     def _arrive(self) -> None:
         """Send a new request, and schedule the next one."""
         case = self.case
-        rate = case.load * self._capacity
+        rate = case.load_fraction * self._capacity
         if self.now > START_TIME + BURST_DELAY:
-            rate *= case.burst
+            rate *= case.burst_multiple
         self._schedule(self.now + self.rng.expovariate(rate), self._arrive)
-        [instance] = self.rng.choices(self.instances, cum_weights=self._traffic)
+        [proxy] = self.rng.choices(self.proxies, cum_weights=self._cumulative_traffic)
         self.offered += 1
         class_index = self.rng.choices(range(len(CLASSES)), CLASS_WEIGHTS)[0]
-        self._request(ClientRequest(instance, class_index, self.now + DEADLINE, 0))
+        self._request(ClientRequest(proxy, class_index, self.now + DEADLINE, 0))
 
     def _request(self, request: ClientRequest) -> None:
-        self._count += 1
-        balancer = request.instance.balancer
+        self._last_id += 1
+        balancer = request.proxy.balancer
         for action in balancer.on_request(
             self.now,
-            IncomingRequest(f"r{self._count}", class_index=request.class_index, deadline=request.deadline),
+            IncomingRequest(f"r{self._last_id}", class_index=request.class_index, deadline=request.deadline),
         ):
             if isinstance(action, Reject) and request.retries < CLIENT_RETRIES:
-                again = request._replace(retries=request.retries + 1)
-                self._schedule(self.now + 0.2 + 0.6 * self.rng.random(), partial(self._request, again))
-            self._carry_out(request.instance, action)
+                retry = request._replace(retries=request.retries + 1)
+                self._schedule(self.now + 0.2 + 0.6 * self.rng.random(), partial(self._request, retry))
+            self._carry_out(request.proxy, action)
 
-    def _carry_out(self, instance: Instance, action: Action) -> None:
+    def _carry_out(self, proxy: SimulatedProxy, action: Action) -> None:
         if isinstance(action, StartAttempt):
-            self._start_attempt(instance, action)
+            self._start_attempt(proxy, action)
         elif isinstance(action, SetTimer):
-            fire = partial(self._fire_timer, instance, instance.incarnation, action.token)
+            fire = partial(self._fire_timer, proxy, proxy.incarnation, action.token)
             self._schedule(action.at, fire)
         elif isinstance(action, CancelAttempt):
-            self._finish_at(
-                self.now, instance, action.request, action.attempt, Outcome.CANCELLED, endpoint=None
-            )
+            self._finish_at(self.now, proxy, action.request, action.attempt, Outcome.CANCELLED, endpoint=None)
 
-    def _fire_timer(self, instance: Instance, incarnation: int, token: int) -> None:
-        if instance.incarnation == incarnation:
-            for action in instance.balancer.on_timer(self.now, token):
-                self._carry_out(instance, action)
+    def _fire_timer(self, proxy: SimulatedProxy, incarnation: int, token: int) -> None:
+        if proxy.incarnation == incarnation:
+            for action in proxy.balancer.on_timer(self.now, token):
+                self._carry_out(proxy, action)
 
-    def _start_attempt(self, instance: Instance, action: StartAttempt) -> None:
+    def _start_attempt(self, proxy: SimulatedProxy, action: StartAttempt) -> None:
         endpoint: SimulatedEndpoint | None = self.endpoints[action.endpoint]
         assert endpoint is not None
-        number = len(instance.balancer.requests[action.request].attempts) - 1
+        number = len(proxy.balancer.requests[action.request].attempts) - 1
         timeout = action.timeout or DEADLINE
-        outcome, latency = Outcome.UNREACHABLE, FAST_FAILURE
-        works_on_it = False
+        outcome, latency = Outcome.UNREACHABLE, REJECTION_LATENCY
+        work_ends_with_attempt = False
         if endpoint.listed.status is EndpointStatus.UP:
-            known = instance.balancer.endpoints.states[action.endpoint].endpoint
-            endpoint.calls.append(self.now)
-            if known.started == endpoint.listed.started:
-                endpoint.informed_calls.append(self.now)
+            known_entry = proxy.balancer.endpoints.states[action.endpoint].endpoint
+            endpoint.attempt_times.append(self.now)
+            if known_entry.started == endpoint.listed.started:
+                endpoint.informed_attempt_times.append(self.now)
             if endpoint.in_flight >= MAX_IN_FLIGHT:
                 outcome = Outcome.OVERLOADED
             else:
                 endpoint.in_flight += 1
-                latency = endpoint.finish_time(self.now, 0.5 + self.rng.random()) - self.now
-                outcome, works_on_it = Outcome.SUCCESS, True
-                if latency > timeout:  # the endpoint goes on working after the attempt has ended
-                    self._schedule(self.now + latency, partial(self._leave, endpoint))
-                    outcome, latency, works_on_it = Outcome.TIMEOUT, timeout, False
+                latency = endpoint.accept_work(self.now, 0.5 + self.rng.random()) - self.now
+                outcome, work_ends_with_attempt = Outcome.SUCCESS, True
+                if latency > timeout:  # the endpoint continues to work after the attempt has timed out
+                    self._schedule(self.now + latency, partial(self._finish_work, endpoint))
+                    outcome, latency, work_ends_with_attempt = Outcome.TIMEOUT, timeout, False
         self._finish_at(
-            self.now + latency, instance, action.request, number, outcome, endpoint if works_on_it else None
+            self.now + latency,
+            proxy,
+            action.request,
+            number,
+            outcome,
+            endpoint if work_ends_with_attempt else None,
         )
 
-    def _leave(self, endpoint: SimulatedEndpoint) -> None:
+    def _finish_work(self, endpoint: SimulatedEndpoint) -> None:
         endpoint.in_flight -= 1
 
     def _finish_at(
         self,
         at: float,
-        instance: Instance,
+        proxy: SimulatedProxy,
         request_id: str,
         number: int,
         outcome: Outcome,
         endpoint: SimulatedEndpoint | None,
     ) -> None:
         """Schedule the end of an attempt that starts now, and of the work on it if `endpoint` is given."""
-        incarnation, started_at = instance.incarnation, self.now
+        incarnation, started_at = proxy.incarnation, self.now
 
         def finish() -> None:
             if endpoint is not None:
-                self._leave(endpoint)
-            if instance.incarnation != incarnation:
+                self._finish_work(endpoint)
+            if proxy.incarnation != incarnation:
                 return
             self.responded += outcome is Outcome.SUCCESS
             latency = self.now - started_at
-            for action in instance.balancer.on_attempt_finished(
-                self.now, request_id, number, outcome, latency
-            ):
-                self._carry_out(instance, action)
+            for action in proxy.balancer.on_attempt_finished(self.now, request_id, number, outcome, latency):
+                self._carry_out(proxy, action)
 
         self._schedule(at, finish)
 
-    # ---- the checker ---------------------------------------------------------------------
+    # ---- checks --------------------------------------------------------------------------
 
-    def spans(self) -> list[Span]:
-        """Return what each warming endpoint got, for all overload intervals that end with a call.
+    def interval_loads(self) -> list[IntervalLoad]:
+        """Return the load of each warming endpoint, for each overload interval that ends with an attempt.
 
-        The capacity is that at the start of the interval, the lowest in it. An excess of up to twice the
-        root of the budget, plus 2, is the slack that the rule leaves for chance (STANDING).
+        The budget follows from the capacity at the start of the interval, which is the lowest in it. The
+        rule tolerates an excess of twice the square root of the budget, plus 2, as random variation.
         """
-        rules, found = self.case.rules, []
+        rules, loads = self.case.rules, []
         for endpoint_id in sorted(self.warming):
             endpoint = self.endpoints[endpoint_id]
-            for till in endpoint.calls:
-                since = till - rules.overload_interval
+            for end in endpoint.attempt_times:
+                start = end - rules.overload_interval
                 budget = rules.overload_multiple * rules.overload_interval
-                budget *= endpoint.capacity(max(since, endpoint.listed.started))
-                informed, calls = (
-                    bisect_right(times, till) - bisect_left(times, since)
-                    for times in (endpoint.informed_calls, endpoint.calls)
+                budget *= endpoint.capacity(max(start, endpoint.listed.started))
+                informed, attempts = (
+                    bisect_right(times, end) - bisect_left(times, start)
+                    for times in (endpoint.informed_attempt_times, endpoint.attempt_times)
                 )
-                found.append(Span(budget + 2.0 * sqrt(budget) + 2.0, informed, calls))
-        return found
+                loads.append(IntervalLoad(budget + 2.0 * sqrt(budget) + 2.0, informed, attempts))
+        return loads
 
     def assert_budgets(self) -> None:
-        """Fail where the informed instances overloaded an endpoint, alone or with the others."""
-        for allowed, informed, calls in self.spans():
-            assert informed <= allowed, f"{informed} informed calls within a span, {allowed:.1f} allowed"
-            assert calls <= allowed or informed <= 2.0 / 3.0 * calls, (
-                f"{informed} of {calls} calls informed, {allowed:.1f} allowed"
+        """Fail if the informed proxies overloaded an endpoint, by themselves or with the others."""
+        for allowed, informed, attempts in self.interval_loads():
+            assert informed <= allowed, f"{informed} informed attempts in an interval, {allowed:.1f} allowed"
+            assert attempts <= allowed or informed <= 2.0 / 3.0 * attempts, (
+                f"{informed} of {attempts} attempts are informed, {allowed:.1f} allowed"
             )
 
 
-def play(case: Case, seed: int) -> Fleet:
+def simulate(case: Case, seed: int) -> Fleet:
     """Simulate a case and return the fleet at its end."""
     fleet = Fleet(case, seed)
-    fleet.play()
+    fleet.run()
     return fleet
 
 
-def assert_holds(case: Case) -> None:
-    """Simulate three seeds: the budgets hold, and not because nothing is sent."""
-    informed = 0
+def assert_budgets_hold(case: Case) -> None:
+    """Simulate a case with three seeds: budgets must hold although requests are served."""
+    informed_attempts = 0
     for seed in range(3):
-        fleet = play(case, seed)
+        fleet = simulate(case, seed)
         fleet.assert_budgets()
-        informed += sum(len(fleet.endpoints[endpoint_id].informed_calls) for endpoint_id in fleet.warming)
-        assert fleet.responded >= 0.4 * fleet.offered, "a fleet that serves little keeps any budget"
-    assert informed, "no call for any warming endpoint"
+        informed_attempts += sum(
+            len(fleet.endpoints[endpoint_id].informed_attempt_times) for endpoint_id in fleet.warming
+        )
+        assert fleet.responded >= 0.4 * fleet.offered, "too few requests served to check the budgets"
+    assert informed_attempts, "no informed attempt at any warming endpoint"
