--- a/balancer/admission_control.py
+++ b/balancer/admission_control.py
@@ -20,7 +20,7 @@
 #: Factor of both fractions while many requests fail from overload: the queues have to drain before requests
 #: are served in time again.
 FAILING_WAIT_FACTOR = 0.57
-#: How fast the fractions shrink to that: completely at a failure ratio of 1 / SHRINK_PER_FAILURE_RATIO.
+#: How fast the fractions shrink to that as requests fail: completely at a failure ratio of 1 / this value.
 SHRINK_PER_FAILURE_RATIO = 8.0
 #: Lower bound of the served rate, as a fraction of the offered rate. Without it, requests stuck at dead
 #: endpoints would block all others once nothing is served.
@@ -74,17 +74,17 @@
     for each pool separately, so that congestion of a class that is restricted to some endpoints takes no
     capacity from the other classes.
 
-    A request is rejected for one of three reasons:
-        PENDING: The expected wait (pending requests over requests served in a second) is too long for the
-            class.
+    The expected wait of a request is the number of pending requests divided by the served rate. A request is
+    rejected for one of three reasons:
+        PENDING: The expected wait is too long for the class.
         LATENCY: The expected wait is far above the latency baseline.
-        THROTTLED: Adaptive throttling counts too many failures over all endpoints of the pool. It reacts to
-            failures that the breakers of single endpoints miss: where many proxies share the failing
-            endpoints, each breaker counts too few of them.
+        THROTTLED: Adaptive throttling (see `circuit_breaker`) counts too many failures over all endpoints of
+            the pool. It reacts to failures that the breakers of single endpoints miss: where many proxies
+            share the failing endpoints, each breaker counts too few of them.
 
     Limitation: it may reject a burst at a proxy with few requests. The clients usually retry at other proxies
-    of the zone. At the only proxy of a zone they come straight back, so there a burst does not count as
-    overload until requests fail.
+    of the zone. Those of the only proxy of a zone retry there at once, so a burst does not count as overload
+    at such a proxy until requests fail.
 
     Attributes:
         wait_budgets: The longest expected wait in seconds at which a class is admitted, by class index.
@@ -168,11 +168,11 @@
     def _sheds_by_latency(self, now: float, pool: EndpointPool, class_index: int, served_rate: float) -> bool:
         """Whether to reject a request at random because the expected wait exceeds the latency baseline.
 
-        Endpoints serve less the more requests they have in flight. The latency objectives allow all proxies
-        together far more in flight than that, and PENDING_ALLOWANCE of each proxy is enough to keep slow
-        endpoints slow. Pending over served requests shows a stall before any response is late. It is compared
-        with a baseline of mean latencies: where work varies, a baseline of single latencies is far below
-        their mean.
+        Endpoints serve less the more requests they have in flight. The wait budgets do not prevent that: they
+        allow all proxies together far too many requests in flight, and once endpoints are slow, the
+        PENDING_ALLOWANCE of all proxies keeps them slow. The expected wait shows a stall before any response
+        is late. It is compared with a baseline of mean latencies, because a baseline of single latencies is
+        far below their mean where work varies.
 
         Limitation: endpoints that are slow for another reason get less work than they could do. With two or
         three proxies this costs more requests than it saves, so it acts only in larger fleets.
--- a/balancer/circuit_breaker.py
+++ b/balancer/circuit_breaker.py
@@ -37,7 +37,7 @@
     """The calls of one bucket of the window.
 
     Attributes:
-        index: The time of the bucket's begin, in units of BUCKET_WIDTH.
+        index: The start time of the bucket, in units of BUCKET_WIDTH.
         requests: All calls, including those that the breaker rejected.
         accepts: The successful calls.
         failures: The failed calls.
--- a/balancer/latency_statistics.py
+++ b/balancer/latency_statistics.py
@@ -11,7 +11,7 @@
 MEAN_SAMPLES = 32
 #: Responses that a baseline has to cover before it is used: the first requests may have waited in a queue.
 MIN_SAMPLES = 16
-#: Fraction of the latency expected by cost that work needs at least, as costs are estimates and endpoints
+#: Lower bound of a latency, as a fraction of the latency expected by cost: costs are estimates, and endpoints
 #: differ in speed.
 MIN_LATENCY_FRACTION = 0.6
 #: Factor of the latency per cost after each request that is rejected by it. A rejected request brings no
--- a/balancer/rate_estimators.py
+++ b/balancer/rate_estimators.py
@@ -5,10 +5,10 @@
 #: Seconds over which a smoothed rate decays: long enough for a proxy with a few requests per second, and
 #: short enough to show a burst.
 SMOOTHING_SPAN = 2.0
-EVENT_WEIGHT = 1.0 / SMOOTHING_SPAN  # by which one event raises the rate: steady events read as their rate
+EVENT_WEIGHT = 1.0 / SMOOTHING_SPAN  # increment for each event, so that a steady rate reads as itself
 #: Seconds with warm endpoints that a warm rate covers, so that a burst of a few seconds hardly changes it.
-#: `EndpointPool.rate_per_endpoint` caps a rate at the warm rate; a cap at 1.5 times the warm rate overloaded
-#: warming endpoints.
+#: `EndpointPool.rate_per_endpoint` caps the offered rate at the warm rate; a cap at 1.5 times the warm rate
+#: overloaded warming endpoints.
 WARM_RATE_SPAN = 30.0
 MIN_WARM_EVENTS = 8.0  # events that a warm rate has to cover before it is used
 
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -41,7 +41,7 @@
         return endpoint.started + self.rules.warmup_duration if endpoint.started > 0.0 else 0.0
 
     def update_warm_fraction(self, now: float, pool: EndpointPool) -> None:
-        """Update which fraction of a pool's subset is warm, and when it changes next."""
+        """Update the warm fraction of a pool's subset, and the time of its next change."""
         warm_times = [self.warm_at(state.endpoint) for state in pool.subset]
         warming = [warm_at for warm_at in warm_times if warm_at > now]
         pool.next_warm_at = min(warming, default=float("inf"))
