--- a/balancer/admission_control.py
+++ b/balancer/admission_control.py
@@ -62,7 +62,7 @@
 
 #: Delay advised to rejected clients, as a ratio to the tier's mean latency: half of the requests in flight
 #: have ended by then. With the time until one more request can be served (1 / served rate), clients used up
-#: their attempts at once.
+#: their attempts immediately.
 RETRY_AFTER_RATIO = 0.5
 DEFAULT_MAX_RETRY_AFTER = 1.0  # seconds; the longest delay advised where the settings state no limit
 
@@ -83,8 +83,8 @@
             share the failing endpoints, each breaker counts too few of them.
 
     Limitation: it may reject a burst at a proxy with few requests. The clients usually retry at other proxies
-    of the zone. Those of the only proxy of a zone retry there at once, so a burst does not count as overload
-    at such a proxy until requests fail.
+    of the zone. Where there are none they retry at the same proxy, so at the only proxy of a zone a burst
+    does not count as overload until requests fail.
 
     Attributes:
         wait_budgets: The longest expected wait in seconds at which a class is admitted, by class index.
--- a/balancer/circuit_breaker.py
+++ b/balancer/circuit_breaker.py
@@ -18,7 +18,7 @@
 MIN_MULTIPLIER = 1.1  # K where all buckets of the window have only failures
 PROTECTED_REQUESTS = 5  # calls in the window that do not count: a few failures are no evidence
 #: Failures in the window from which an endpoint may be an outlier. With 1, an endpoint whose first call fails
-#: would be an outlier at once.
+#: would be an outlier immediately.
 MIN_OUTLIER_FAILURES = 2
 #: Seconds between calls that pass at any probability. Without them, a breaker that rejects all calls never
 #: records a success again.
--- a/balancer/client_timeouts.py
+++ b/balancer/client_timeouts.py
@@ -40,7 +40,7 @@
         self.usual_buckets: list[int] = []
 
     def configure(self, settings: Settings, previous_indices: list[int]) -> None:
-        """Apply new settings; the counts of classes that both settings have are kept.
+        """Apply new settings; classes that both settings have retain their counts.
 
         Args:
             settings: The new settings.
--- a/balancer/latency_statistics.py
+++ b/balancer/latency_statistics.py
@@ -49,7 +49,7 @@
         self.sample_count = 0
 
     def configure(self, previous_indices: list[int]) -> None:
-        """Apply new settings; the statistics of classes that both settings have are kept.
+        """Apply new settings; classes that both settings have retain their statistics.
 
         Args:
             previous_indices: The index of each new class in the previous settings, -1 for a class that they
--- a/balancer/subsetting.py
+++ b/balancer/subsetting.py
@@ -23,7 +23,7 @@
 #: need more endpoints, but with fewer endpoints a proxy has more samples of each.
 SUBSET_GROWTH = 1.0
 #: Seconds between two choices of the subsets, which follow the traffic. Each endpoint that enters a subset
-#: costs connections. After a change of the endpoint list they are chosen at once.
+#: costs connections. After a change of the endpoint list they are chosen immediately.
 RESIZE_INTERVAL = 3.0
 #: Size of the fallback subset: this many endpoints for each one in the subset, and MIN_FALLBACKS more. Using
 #: all endpoints served less (see docs/postmortems.md, "Calls beyond a busy subset went to all backends").
@@ -73,7 +73,7 @@
         mean_size = total_size / max(1, len(pool.ready))
         requests_in_flight = pool.offered_rate.read(now) * self.statistics.tier_latency
         wanted_size = mean_size * (1.0 + SUBSET_GROWTH * sqrt(requests_in_flight))
-        step = total_size / self.settings.fleet_size  # segments of whole steps cover all endpoints equally
+        step = total_size / self.settings.fleet_size  # complete steps cover all endpoints equally
         pool.ring_span = min(total_size, step * max(1, round(wanted_size / step))) if total_size else 0.0
         pool.ring_start = step * self.settings.ordinal
         pool.subset, pool.cumulative_weights = [], []
--- a/balancer/tenant_quota.py
+++ b/balancer/tenant_quota.py
@@ -17,7 +17,7 @@
     Each bucket is refilled at the tenant's quota divided by the number of proxies.
 
     Limitation: where one proxy gets most of a tenant's traffic, its fraction of the quota is used up although
-    the tenant as a whole is within its quota.
+    the tenant is within its total quota.
 
     Attributes:
         tokens: The requests that each tenant may send now within its quota, by tenant index.
--- a/tests/balancer/test_admission_control.py
+++ b/tests/balancer/test_admission_control.py
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("fleet_size", [2, 4, 7])
 def test_latency_far_above_its_baseline_sheds_load_only_in_larger_fleets(fleet_size: int) -> None:
-    """By the latency objective alone, a wait of seven baselines is admitted, which overloads endpoints."""
+    """The latency objective by itself admits a wait of seven baselines, at which endpoints are overloaded."""
     balancer = make_balancer(Settings(classes=CLASSES_WITH_LONG_OBJECTIVE, fleet_size=fleet_size))
     now, in_flight = 100.0, list[tuple[float, str]]()
 
@@ -173,14 +173,14 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome_of_each_fifth", "expected_action"),
+    ("outcome_of_every_fifth", "expected_action"),
     [(Outcome.SUCCESS, StartAttempt), (Outcome.ERROR, StartAttempt), (Outcome.TIMEOUT, Reject)],
 )
 def test_the_wait_budget_shrinks_while_requests_fail_from_overload(
-    outcome_of_each_fifth: Outcome, expected_action: type
+    outcome_of_every_fifth: Outcome, expected_action: type
 ) -> None:
     balancer = make_balancer(Settings(classes=(NON_IDEMPOTENT,)))
-    now = serve_with_failures(balancer, 0, outcome_of_each_fifth)
+    now = serve_with_failures(balancer, 0, outcome_of_every_fifth)
     for n in range(27):  # the wait budget allows 0.7 x 50 pending requests; 0.4 x 40 after timeouts
         balancer.on_request(now, IncomingRequest(f"x{n}", deadline=now + 4.0))
     action = balancer.on_request(now, IncomingRequest("y", deadline=now + 4.0))[0]
--- a/tests/support/balancer_helpers.py
+++ b/tests/support/balancer_helpers.py
@@ -51,13 +51,13 @@
         balancer.on_attempt_finished(now + latency, f"s{n}", 0, Outcome.SUCCESS, latency, last=True)
 
 
-def serve_with_failures(balancer: Balancer, tenant: int, outcome_of_each_fifth: Outcome) -> float:
-    """Send 50 requests per second for 8 s, of which each fifth ends so, and return the time after them."""
+def serve_with_failures(balancer: Balancer, tenant: int, outcome_of_every_fifth: Outcome) -> float:
+    """Send 50 requests per second for 8 s, every fifth with the given outcome; return the time after them."""
     now = 100.0
     for n in range(400):
         now += 0.02
         balancer.on_request(now, IncomingRequest(f"w{n}", tenant=tenant, deadline=now + 4.0))
-        outcome = Outcome.SUCCESS if n % 5 else outcome_of_each_fifth
+        outcome = Outcome.SUCCESS if n % 5 else outcome_of_every_fifth
         balancer.on_attempt_finished(now, f"w{n}", 0, outcome, 0.1)
     return now
 
--- a/tests/support/warming_fleet.py
+++ b/tests/support/warming_fleet.py
@@ -40,7 +40,7 @@
 LIMITS = Limits(cancel=True, hedging=True, max_attempts=3, retry_after=True)
 ZONES = 3
 CAPACITY = 7.0  # requests of mean work per second, for each unit of an endpoint's size
-MAX_IN_FLIGHT = 38  # attempts that an endpoint accepts at once
+MAX_IN_FLIGHT = 38  # attempts that an endpoint accepts at a time
 DEADLINE = 4.0  # seconds that a client gives each request
 CLIENT_RETRIES = 2  # retries of a rejected request
 REJECTION_LATENCY = 0.002  # seconds in which an endpoint that is down or full rejects an attempt
