--- a/proxy/downstream/closing.py
+++ b/proxy/downstream/closing.py
@@ -21,8 +21,8 @@
     from proxy.invariants import InvariantMonitor
 
 
-class CloseObserver(Protocol):
-    """The receivers of reports on closed connections.
+class ClosingContext(Protocol):
+    """The receivers of reports on closed connections; the listener has them.
 
     Attributes:
         event_log: Records the reason of each close.
@@ -41,12 +41,12 @@
             pending.
     """
 
-    __slots__ = ("_observer", "_socket", "_transport", "reading_stopped")
+    __slots__ = ("_context", "_socket", "_transport", "reading_stopped")
 
-    def __init__(self, transport: asyncio.Transport, socket: ClientSocket, observer: CloseObserver) -> None:
+    def __init__(self, transport: asyncio.Transport, socket: ClientSocket, context: ClosingContext) -> None:
         self._transport = transport
         self._socket = socket
-        self._observer = observer
+        self._context = context
         self.reading_stopped = False
 
     def stop_reading(self) -> None:
@@ -77,7 +77,7 @@
 
     def record(self, reason: CloseReason, state: ConnectionState, queue: RequestQueue) -> None:
         """Log why the proxy closes the connection, and report received requests that get no response."""
-        event_log = self._observer.event_log
+        event_log = self._context.event_log
         if event_log.enabled:
             event_log.record(
                 ConnectionClosed(
@@ -92,4 +92,4 @@
             return
         for request in queue.requests():
             request_id = request.headers.get(b"x-request-id", b"")
-            self._observer.monitor.report(Invariant.DROPPED_UNANSWERED, request_id)
+            self._context.monitor.report(Invariant.DROPPED_UNANSWERED, request_id)
--- a/proxy/downstream/connection.py
+++ b/proxy/downstream/connection.py
@@ -13,7 +13,7 @@
 
 from proxy.downstream import timeouts
 from proxy.downstream.client_socket import ClientSocket
-from proxy.downstream.closing import CloseObserver, ConnectionCloser
+from proxy.downstream.closing import ClosingContext, ConnectionCloser
 from proxy.downstream.connection_input import ConnectionInput, SharedMemory
 from proxy.downstream.connection_state import (
     CLOSED,
@@ -34,7 +34,7 @@
     from collections.abc import Callable
 
 
-class ConnectionOwner(SharedMemory, CloseObserver, RequestHandler["DownstreamConnection"], Protocol):
+class ConnectionOwner(SharedMemory, ClosingContext, RequestHandler["DownstreamConnection"], Protocol):
     """The fields and methods of the listener that its connections use.
 
     Attributes:
