--- a/proxy/upstream/idle_connections.py
+++ b/proxy/upstream/idle_connections.py
@@ -39,11 +39,12 @@
             backend_idle_timeout: Seconds after which backends close idle connections.
         """
         self._loop = asyncio.get_running_loop()
-        self._all: dict[UpstreamConnection, None] = {}  # longest idle connection first
+        self._connections: dict[UpstreamConnection, None] = {}  # longest idle connection first
         #: The idle connections to each backend, the most recently used one last.
         self._by_backend: defaultdict[Backend, list[UpstreamConnection]] = defaultdict(list)
         self._quota = inf  # idle connections that this proxy may keep, as its share of the fleet's limit
-        #: The recent peak of connections in use at the same time, decaying; as many may become idle.
+        #: The recent peak of connections in use at the same time, which decays. As many may stay idle, even
+        #: if this exceeds the quota.
         self._peak_in_use = 0.0
         self._peak_updated_at = self._loop.time()
         self._sweep_timer: asyncio.TimerHandle | None = None
@@ -51,7 +52,7 @@
 
     def __len__(self) -> int:
         """Return the number of idle connections."""
-        return len(self._all)
+        return len(self._connections)
 
     # ---- settings and the endpoint list --------------------------------------------------------
 
@@ -119,13 +120,13 @@
             # attempts may not use it, so they would dial a new connection each time.
             self.close(backend_idle[0])
         connection.idle_since = self._loop.time()
-        self._update_peak_in_use(connection.idle_since, established - len(self._all))
+        self._update_peak_in_use(connection.idle_since, established - len(self._connections))
         backend_idle.append(connection)
-        self._all[connection] = None
+        self._connections[connection] = None
         # The idle connections of all proxies must leave free entries in the backends' connection tables. A
         # full table rejects, after a handshake, proxies without an open connection, while idle connections
         # occupy its entries.
-        while len(self._all) > max(self._peak_in_use, self._quota):
+        while len(self._connections) > max(self._peak_in_use, self._quota):
             self.close_oldest()
 
     def _update_peak_in_use(self, now: float, in_use: int) -> None:
@@ -135,8 +136,8 @@
 
     def remove(self, connection: UpstreamConnection) -> None:
         """Remove a connection without closing it; does nothing if it is not idle."""
-        if connection in self._all:
-            del self._all[connection]
+        if connection in self._connections:
+            del self._connections[connection]
             self._by_backend[connection.backend].remove(connection)
 
     # ---- closing -------------------------------------------------------------------------------
@@ -148,7 +149,7 @@
 
     def close_oldest(self) -> None:
         """Close the connection that has been idle for the longest time; there must be at least one."""
-        self.close(next(iter(self._all)))
+        self.close(next(iter(self._connections)))
 
     def close_all_to(self, backend: Backend) -> None:
         """Close all idle connections to a backend."""
@@ -166,7 +167,7 @@
         delay = self._max_idle_time / SWEEPS_PER_IDLE_TIMEOUT
         self._sweep_timer = self._loop.call_later(delay, self._sweep)
         expired_since = self._loop.time() - self._max_idle_time
-        for connection in tuple(self._all):
+        for connection in tuple(self._connections):
             if connection.idle_since > expired_since:
                 break
             self.close(connection)
--- a/tests/proxy/discovery/test_notification_deadline.py
+++ b/tests/proxy/discovery/test_notification_deadline.py
@@ -54,7 +54,7 @@
 
 def describe(delay: float, discovery: FaultyDiscovery) -> str:
     """Return the message for a failed test."""
-    return f"delivered after {delay:.2f} s and {discovery.calls} watches"
+    return f"delivered after {delay:.2f} s and {discovery.watch_count} watches"
 
 
 async def check_delivery_after_failed_watches(fault: WatchFault, times: int) -> None:
--- a/tests/proxy/discovery/test_watch.py
+++ b/tests/proxy/discovery/test_watch.py
@@ -136,4 +136,4 @@
         async with running_proxy([], discovery=discovery.port):
             for _ in range(100):
                 await clock.advance(0.01)
-            assert 2 <= discovery.calls <= 20
+            assert 2 <= discovery.watch_count <= 20
--- a/tests/support/faulty_discovery.py
+++ b/tests/support/faulty_discovery.py
@@ -85,12 +85,12 @@
     """A discovery service whose first watches have the given faults, and whose later watches succeed.
 
     Attributes:
-        calls: The number of requested watches.
+        watch_count: The number of requested watches.
         port: The port on which it listens.
     """
 
     def __init__(self, faults: Sequence[WatchFault], response: bytes = SNAPSHOT_RESPONSE) -> None:
-        self.calls = 0
+        self.watch_count = 0
         self.port = 0
         self._faults = faults
         self._response = response
@@ -99,9 +99,9 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection."""
         await reader.readuntil(b"\r\n\r\n")
-        fails = self.calls < len(self._faults)
-        fault = self._faults[self.calls] if fails else WatchFault(self._response)
-        self.calls += 1
+        has_fault = self.watch_count < len(self._faults)
+        fault = self._faults[self.watch_count] if has_fault else WatchFault(self._response)
+        self.watch_count += 1
         if fault.closes:
             writer.close()
             return
--- a/tests/support/proxy_internals.py
+++ b/tests/support/proxy_internals.py
@@ -50,7 +50,7 @@
 
 def all_idle_connections(pool: ConnectionPool) -> list[UpstreamConnection]:
     """Return the idle connections to all backends, in the order in which they became idle."""
-    return list(pool._idle._all)
+    return list(pool._idle._connections)
 
 
 def idle_connections_to(pool: ConnectionPool, backend: Backend) -> list[UpstreamConnection]:
