--- a/emulator/load/generator.py
+++ b/emulator/load/generator.py
@@ -165,9 +165,7 @@
 
     def _send(self, connection: _Connection) -> None:
         try:
-            connection.sock.send(
-                connection.request_bytes
-            )  # smaller than the socket buffer, so it is sent at once
+            connection.sock.send(connection.request_bytes)  # fits into the socket buffer: one call is enough
         except OSError:
             self._on_disconnect(connection)
 
--- a/proxy/downstream/connection_input.py
+++ b/proxy/downstream/connection_input.py
@@ -16,9 +16,8 @@
 if TYPE_CHECKING:
     from proxy.downstream.request_parser import ClientRequest
 
-MAX_PIPELINED_REQUESTS = (
-    8  # requests that may wait behind another one; well-behaved clients send none before the response
-)
+#: Requests that may wait behind another one; well-behaved clients send none before the response.
+MAX_PIPELINED_REQUESTS = 8
 MAX_DISCARDED_BYTES = 64 << 20  # bytes discarded after a rejection before the connection is aborted
 
 
--- a/proxy/downstream/connection_state.py
+++ b/proxy/downstream/connection_state.py
@@ -37,9 +37,7 @@
     EVICTED = "evicted"  # there are too many connections
     TIMED_OUT = "timed_out"  # the time limit of its state has passed
     REJECTED = "rejected"  # a request is malformed or can't be served
-    LAST_RESPONSE = (
-        "last_response"  # the client's request, or a shutdown, ends the connection after a response
-    )
+    LAST_RESPONSE = "last_response"  # the client or a shutdown allows no further request on it
     SHUTDOWN = "shutdown"  # it was new or idle when a shutdown closed connections
     FLOOD = "flood"  # the client sent too many bytes after a rejection
     CLIENT_DISCONNECTED = "client_disconnected"  # detected by polling the socket, as reading has stopped
--- a/proxy/downstream/timeouts.py
+++ b/proxy/downstream/timeouts.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-FIRST_REQUEST_TIMEOUT = 2.0  # from connecting to the first complete request; must not exceed 3
+FIRST_REQUEST_TIMEOUT = 2.0  # from connecting to the first complete request; the protocol allows 3 at most
 REQUEST_TIMEOUT = 2.0  # from the first byte of a later request to its last one
 IDLE_TIMEOUT = 10.0  # without a request, on a connection with at least one forwarded request
 MIN_IDLE_TIMEOUT = 2.0  # if none was forwarded, or if descriptors run short; clients may rely on it
--- a/proxy/responder.py
+++ b/proxy/responder.py
@@ -62,7 +62,7 @@
             response_sink.send_response(status, headers, body)
 
     def reject(self, active_request: ActiveRequest, action: Reject) -> None:
-        """Respond that the request was rejected and did not run: the client may safely repeat it."""
+        """Respond that the request was rejected, so that the client may safely repeat it."""
         headers = b"Retry-After: %.3f\r\n" % action.retry_after if action.retry_after > 0.0 else b""
         self.respond(active_request, SERVICE_UNAVAILABLE, headers, REJECTED_BODY, action.reason.value)
 
--- a/tests/balancer/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -33,9 +33,8 @@
         CancelAttempt("r", 0)
     ]
     balancer.on_attempt_finished(timer.at + 0.05, "r", 0, Outcome.CANCELLED, timer.at - 199.95)
-    assert (
-        balancer.endpoints.states[start.endpoint].mean_latency > 0.07
-    )  # the cancelled attempt was open for longer than 50 ms
+    # The cancelled attempt was open for longer than 50 ms.
+    assert balancer.endpoints.states[start.endpoint].mean_latency > 0.07
     assert not balancer.requests
     assert timer.token not in balancer.hedging.pending
 
