--- a/balancer/simulator/__init__.py
+++ b/balancer/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Runs balancers on the simulator's wire: batches of JSON lines in, actions out; it decides nothing."""
+"""Runs balancers for the simulator: reads events and writes actions, in batches of JSON lines."""
--- a/balancer/simulator/action_messages.py
+++ b/balancer/simulator/action_messages.py
@@ -1,4 +1,4 @@
-"""The simulator's actions as they stand on the wire, and how those of the balancer are written."""
+"""The messages of actions to the simulator, and their conversion from the balancer's actions."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RejectMessage(TypedDict):
-    """Final answer: rejected, the client may repeat the request without harm."""
+    """Final response: rejected, the client may safely retry the request."""
 
     m: Literal["NotNow"]
     ProxyId: int
@@ -27,7 +27,7 @@
 
 
 class FailMessage(TypedDict):
-    """Final answer: failed."""
+    """Final response: failed."""
 
     m: Literal["ReportFailure"]
     ProxyId: int
@@ -61,7 +61,7 @@
 
 
 class BailOutMessage(TypedDict):
-    """Reports a defect of the balancer, or a message that makes no sense to it."""
+    """Reports a defect of the balancer, or a message with invalid values."""
 
     m: Literal["BailOut"]
     ProxyId: int
@@ -72,7 +72,7 @@
 
 
 def write_action(instance: int, action: Action) -> ActionMessage:
-    """Return the message for one action; the order of its keys is part of the wire.
+    """Return the message for one action; the order of its keys is part of the protocol.
 
     Args:
         instance: The number of the instance whose balancer returned the action.
@@ -104,5 +104,5 @@
 
 
 def write_bail_out(instance: int, error: Exception) -> BailOutMessage:
-    """Return the report that a message for an instance led to an error."""
+    """Return the report that a message for an instance caused an error."""
     return {"m": "BailOut", "ProxyId": instance, "NoteText": f"{type(error).__name__}: {error}"}
--- a/balancer/simulator/errors.py
+++ b/balancer/simulator/errors.py
@@ -1,4 +1,4 @@
-"""What the simulator's wire does not allow; each error names what was read and what is wanted."""
+"""Errors for violations of the simulator's protocol; each states what was read and what is expected."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
     from collections.abc import Iterable
 
 
-class WireError(RowandealError):
-    """Base of the errors for a line, or an end of the input, that the wire does not allow."""
+class ProtocolError(RowandealError):
+    """Base of the errors for a line, or an end of the input, that violates the protocol."""
 
 
-class NotAMessageError(WireError):
-    """A line holds no JSON object with the key `m`."""
+class InvalidMessageError(ProtocolError):
+    """A line is not a JSON object with the key `m`."""
 
     def __init__(self) -> None:
-        super().__init__("not a message")
+        super().__init__("not a message: expected a JSON object with the key 'm'")
 
 
-class OutsideBatchError(WireError):
-    """A message other than `Tick` came between two batches.
+class OutsideBatchError(ProtocolError):
+    """A message other than `Tick` was sent between two batches.
 
     Attributes:
         name: The name of the message.
@@ -33,26 +33,26 @@
         self.name = name
 
 
-class NestedBatchError(WireError):
-    """A `Tick` came before the `Flush` of the batch before it."""
+class NestedBatchError(ProtocolError):
+    """A `Tick` was sent before the `Flush` of the previous batch."""
 
     def __init__(self) -> None:
         super().__init__("a Tick inside a batch")
 
 
-class UnfinishedBatchError(WireError):
+class UnfinishedBatchError(ProtocolError):
     """The input ended before the `Flush` of a batch."""
 
     def __init__(self) -> None:
         super().__init__("the input ended inside a batch")
 
 
-class ClockError(WireError):
-    """The time of a batch is before that of an earlier one, or no number.
+class ClockError(ProtocolError):
+    """The time of a batch is earlier than that of a previous batch, or not a number.
 
     Attributes:
         now: The time of the batch in seconds.
-        latest: That of the latest batch before it.
+        latest: The time of the previous batch in seconds.
     """
 
     def __init__(self, now: float, latest: float) -> None:
@@ -61,23 +61,23 @@
         self.latest = latest
 
 
-class UnknownInstanceError(WireError):
+class UnknownInstanceError(ProtocolError):
     """A message is for an instance that was never opened, or was closed.
 
     Attributes:
-        instance: Its number.
+        instance: The number of the instance.
     """
 
     def __init__(self, instance: int) -> None:
-        super().__init__(f"instance {instance} was never opened")
+        super().__init__(f"instance {instance} was never opened or is closed")
         self.instance = instance
 
 
-class UnknownMessageError(WireError):
-    """A message has a name that the wire does not know.
+class UnknownMessageError(ProtocolError):
+    """A message has an unknown name.
 
     Attributes:
-        name: That name.
+        name: The name.
     """
 
     def __init__(self, name: str) -> None:
@@ -85,7 +85,7 @@
         self.name = name
 
 
-class UnknownListError(WireError):
+class UnknownListError(ProtocolError):
     """An update names an endpoint list that was never registered.
 
     Attributes:
@@ -97,11 +97,11 @@
         self.number = number
 
 
-class MissingFieldError(WireError):
-    """A message lacks a key that the wire requires.
+class MissingFieldError(ProtocolError):
+    """A message lacks a required key.
 
     Attributes:
-        key: That key.
+        key: The missing key.
     """
 
     def __init__(self, key: str) -> None:
@@ -109,17 +109,17 @@
         self.key = key
 
 
-class UnknownWordError(WireError):
-    """The value of a key is none of the words that the wire knows there.
+class UnknownValueError(ProtocolError):
+    """The value of a key is not one of its allowed values.
 
     Attributes:
         key: The key.
         value: Its value.
-        wanted: The words that it may have.
+        expected: The allowed values.
     """
 
-    def __init__(self, key: str, value: str, wanted: Iterable[str]) -> None:
+    def __init__(self, key: str, value: str, expected: Iterable[str]) -> None:
         self.key = key
         self.value = value
-        self.wanted = tuple(wanted)
-        super().__init__(f"{key}: {value!r} is none of {', '.join(self.wanted)}")
+        self.expected = tuple(expected)
+        super().__init__(f"{key}: {value!r} is none of {', '.join(self.expected)}")
--- a/balancer/simulator/event_messages.py
+++ b/balancer/simulator/event_messages.py
@@ -1,7 +1,8 @@
-"""The simulator's events as they stand on the wire, and the typed values of the balancer that they mean.
+"""The messages of events from the simulator, and their conversion to the balancer's types.
 
-The names of keys and words are the wire's. The readers rely on the types that the wire documents, and check
-that required keys are there and that words are known; `Balancer` checks the values of a request.
+The names of keys and values are those of the simulator's protocol. The readers check that required keys are
+present and that enumerated values are known. They rely on the types of the other values; `Balancer` checks
+the values of a request.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 from balancer.endpoints import Endpoint, EndpointStatus, UpdateKind
 from balancer.events import IncomingRequest, Outcome
-from balancer.simulator.errors import UnknownWordError
+from balancer.simulator.errors import UnknownValueError
 
 STATUSES = {"U": EndpointStatus.UP, "L": EndpointStatus.DRAINING, "D": EndpointStatus.REMOVED}
 UPDATE_KINDS = {
@@ -32,14 +33,14 @@
 
 
 class TickMessage(TypedDict):
-    """Begins a batch of events that happen at one time."""
+    """Starts a batch of events that happen at the same time."""
 
     m: Literal["Tick"]
     Time: float
 
 
 class FlushMessage(TypedDict):
-    """Ends a batch, whose reply is due then."""
+    """Ends a batch and requests the reply to it."""
 
     m: Literal["Flush"]
 
@@ -74,14 +75,14 @@
 
 
 class CloseMessage(TypedDict):
-    """Kills an instance."""
+    """Ends an instance without a graceful shutdown."""
 
     m: Literal["Teardown"]
     ProxyId: int
 
 
 class UpdateMessage(TypedDict):
-    """Hands an instance a registered endpoint list, or reports that a poll failed."""
+    """Gives a registered endpoint list to an instance, or reports that a poll failed."""
 
     m: Literal["Members"]
     ProxyId: int
@@ -131,7 +132,7 @@
 
 
 class ResponseStartMessage(TypedDict):
-    """The response to an attempt of a streamed class has begun."""
+    """The response to an attempt of a streamed class has started."""
 
     m: Literal["Started"]
     ProxyId: int
@@ -140,7 +141,7 @@
 
 
 class IgnoredMessage(TypedDict):
-    """The result of a probe, or a message of another instance: this balancer requests neither."""
+    """The result of a probe, or a message of another instance; this balancer uses neither."""
 
     m: Literal["PingResult", "NeighbourSays"]
     ProxyId: int
@@ -162,10 +163,10 @@
 
 def read_endpoint(row: EndpointRow) -> Endpoint:
     """Return one entry of a `Register` message."""
-    word = row.get("Readiness", "U")
-    status = STATUSES.get(word)
+    readiness = row.get("Readiness", "U")
+    status = STATUSES.get(readiness)
     if status is None:
-        raise UnknownWordError(key="Readiness", value=word, wanted=STATUSES)
+        raise UnknownValueError(key="Readiness", value=readiness, expected=STATUSES)
     return Endpoint(
         id=row["Backend"],
         status=status,
@@ -178,16 +179,16 @@
 
 
 def read_update_kind(message: UpdateMessage) -> UpdateKind:
-    """Return what a `Members` message is."""
+    """Return the kind of update of a `Members` message."""
     kind = UPDATE_KINDS.get(message["Mode"])
     if kind is None:
-        raise UnknownWordError(key="Mode", value=message["Mode"], wanted=UPDATE_KINDS)
+        raise UnknownValueError(key="Mode", value=message["Mode"], expected=UPDATE_KINDS)
     return kind
 
 
 def read_request(message: RequestMessage) -> IncomingRequest:
     """Return the request of a `Call` message."""
-    # In the order of the fields: with keywords a request takes twice as long to create.
+    # Positional, in the order of the fields: with keyword arguments this takes twice as long.
     return IncomingRequest(
         message["Ref"],
         message.get("Kind", 0),
@@ -202,5 +203,5 @@
     """Return the outcome of a `Returned` message."""
     outcome = OUTCOMES.get(message["How"])
     if outcome is None:
-        raise UnknownWordError(key="How", value=message["How"], wanted=OUTCOMES)
+        raise UnknownValueError(key="How", value=message["How"], expected=OUTCOMES)
     return outcome
--- a/balancer/simulator/session.py
+++ b/balancer/simulator/session.py
@@ -1,4 +1,4 @@
-"""The balancers of one simulator process, and the calls of their methods that its messages mean."""
+"""The balancers of one simulator process, and the method call for each message."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
 if TYPE_CHECKING:
     from balancer.settings import Settings
 
-Call = Callable[[float], list[Action]]  # takes the time and returns the instance's actions
+BalancerCall = Callable[[float], list[Action]]  # takes the time and returns the actions of the instance
 
 
 class Session:
     """All instances of one process, and the numbered endpoint lists that they share read-only.
 
-    Reading a message and carrying it out are two steps, which distinguishes a message that makes no sense
-    (an error in `read`) from a defect of the balancer (an error in the call that it returns).
+    Reading a message and executing it are separate steps. This distinguishes an invalid message (an error in
+    `read`) from a defect of the balancer (an error in the returned call).
     """
 
     def __init__(self) -> None:
         self._instances: dict[int, Balancer] = {}
         self._not_started: set[int] = set()
-        self._lists: dict[int, tuple[Endpoint, ...]] = {}
+        self._endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
 
-    def read(self, message: EventMessage) -> Call:
-        """Return the call that a message means.
+    def read(self, message: EventMessage) -> BalancerCall:
+        """Return the call that executes a message.
 
         Raises:
-            WireError: The message has an unknown name, word, list or instance.
+            ProtocolError: The message has an unknown name, value, list or instance.
             KeyError: The message lacks a required key.
         """
         if message["m"] == "Register":
@@ -56,49 +56,49 @@
         instance = message["ProxyId"]
         if message["m"] == "OpenInstance":
             settings = read_settings(message.get("Settings") or {})
-            return partial(self._open, instance, settings, message.get("Entropy", 0))
+            return partial(self._open_instance, instance, settings, message.get("Entropy", 0))
         balancer = self._instances.get(instance)
         if balancer is None:
             raise UnknownInstanceError(instance)
-        if message["m"] == "Call":  # the two frequent messages before the others
+        if message["m"] == "Call":  # the two most frequent messages are checked first
             incoming = read_request(message)
             return lambda now: balancer.on_request(now, incoming)
         if message["m"] == "Returned":
             return _read_finished_attempt(balancer, message)
         if message["m"] == "Teardown":
-            return partial(self._close, instance)
+            return partial(self._close_instance, instance)
         if message["m"] == "Members":
             return self._read_update(balancer, message)
         return _read_rare_event(balancer, message)
 
-    def _register(self, number: int, endpoints: tuple[Endpoint, ...], _now: float) -> list[Action]:
-        self._lists[number] = endpoints
+    def _register(self, list_number: int, endpoints: tuple[Endpoint, ...], _now: float) -> list[Action]:
+        self._endpoint_lists[list_number] = endpoints
         return []
 
-    def _open(self, instance: int, settings: Settings, seed: int, _now: float) -> list[Action]:
+    def _open_instance(self, instance: int, settings: Settings, seed: int, _now: float) -> list[Action]:
         self._instances[instance] = Balancer(settings, seed)
         self._not_started.add(instance)
         return []
 
-    def _close(self, instance: int, _now: float) -> list[Action]:
+    def _close_instance(self, instance: int, _now: float) -> list[Action]:
         del self._instances[instance]
         self._not_started.discard(instance)
         return []
 
-    def _read_update(self, balancer: Balancer, message: UpdateMessage) -> Call:
+    def _read_update(self, balancer: Balancer, message: UpdateMessage) -> BalancerCall:
         kind = read_update_kind(message)
         endpoints: tuple[Endpoint, ...] = ()
         if kind is not UpdateKind.FAILED:
-            number = message["List"]
-            if number not in self._lists:
-                raise UnknownListError(number)
-            endpoints = self._lists[number]
+            list_number = message["List"]
+            if list_number not in self._endpoint_lists:
+                raise UnknownListError(list_number)
+            endpoints = self._endpoint_lists[list_number]
         return partial(self._update, message["ProxyId"], balancer, kind, endpoints)
 
     def _update(
         self, instance: int, balancer: Balancer, kind: UpdateKind, endpoints: tuple[Endpoint, ...], now: float
     ) -> list[Action]:
-        """Hand an update to its instance; the first one also starts the instance."""
+        """Pass an update to its instance; the first update also starts the instance."""
         actions = balancer.on_endpoints_updated(now, kind, endpoints)
         if instance in self._not_started:
             self._not_started.discard(instance)
@@ -106,7 +106,7 @@
         return actions
 
 
-def _read_finished_attempt(balancer: Balancer, message: OutcomeMessage) -> Call:
+def _read_finished_attempt(balancer: Balancer, message: OutcomeMessage) -> BalancerCall:
     outcome = read_outcome(message)
     request_id, number = message["Ref"], message.get("RoundNo", 0)
     latency, last = message.get("CostTime", 0.0), message.get("Last", False)
@@ -115,7 +115,7 @@
 
 def _read_rare_event(
     balancer: Balancer, message: TimerMessage | DisconnectMessage | ResponseStartMessage | IgnoredMessage
-) -> Call:
+) -> BalancerCall:
     if message["m"] == "Wake":
         token = message["Tag"]
         return lambda now: balancer.on_timer(now, token)
