--- a/tests/balancer/test_simulator.py
+++ b/tests/balancer/test_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator's process: its replies to batches, and its errors for lines that the wire does not allow."""
+"""The simulator process: its replies to batches, and its errors for lines that violate the protocol."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
     "Zones": ["here"],
     "Novelty": {"a": 1},
 }
-ROWS: list[Message] = [{"Backend": 70 + i, "Readiness": "U", "Units": 1} for i in range(6)]
+ENDPOINT_ROWS: list[Message] = [{"Backend": 70 + i, "Readiness": "U", "Units": 1} for i in range(6)]
 
 
-def opened(instance: int, settings: Message = SETTINGS) -> list[Message]:
+def open_events(instance: int, settings: Message = SETTINGS) -> list[Message]:
     return [
         {
             "m": "OpenInstance",
@@ -46,7 +46,7 @@
             "Entropy": 11 + instance,
             "Settings": {**settings, "Ordinal": instance},
         },
-        {"m": "Register", "List": 0, "Rows": ROWS},
+        {"m": "Register", "List": 0, "Rows": ENDPOINT_ROWS},
         {"m": "Members", "ProxyId": instance, "Mode": "stale_copy", "Version": 1, "List": 0},
     ]
 
@@ -56,7 +56,7 @@
     return "".join(json.dumps(line) + "\n" for line in lines)
 
 
-def converse(text: str, **env: str) -> subprocess.CompletedProcess[str]:
+def run_simulator(text: str, **env: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "balancer.simulator"],
         input=text,
@@ -69,30 +69,30 @@
     )
 
 
-def replies(text: str, **env: str) -> list[list[Message]]:
-    done = converse(text, **env)
-    assert (done.returncode, done.stderr) == (0, "")
-    out: list[list[Message]] = [[]]
-    for line in done.stdout.splitlines():
+def replies_to(text: str, **env: str) -> list[list[Message]]:
+    completed = run_simulator(text, **env)
+    assert (completed.returncode, completed.stderr) == (0, "")
+    batches: list[list[Message]] = [[]]
+    for line in completed.stdout.splitlines():
         message = json.loads(line)
         if message["m"] == "Eor":
-            out.append([])
+            batches.append([])
         else:
-            out[-1].append(message)
-    return out[:-1]
+            batches[-1].append(message)
+    return batches[:-1]
 
 
-def calls(instance: int, first: int, count: int) -> list[Message]:
+def call_events(instance: int, first: int, count: int) -> list[Message]:
     return [
         {"m": "Call", "ProxyId": instance, "Ref": f"c{instance}_{n}", "Kind": n % 2, "Deadline": 14.0}
         for n in range(first, first + count)
     ]
 
 
-def conversation(instances: list[int]) -> str:
-    """Start, list, calls, outcomes, a drain, a restart."""
-    text = batch(9.0, []) + batch(10.0, [e for i in instances for e in opened(i)])
-    text += batch(10.1, [e for i in instances for e in calls(i, 0, 3)])
+def restart_scenario(instances: list[int]) -> str:
+    """Return batches that open instances, send calls and outcomes, drain an endpoint and restart."""
+    text = batch(9.0, []) + batch(10.0, [event for i in instances for event in open_events(i)])
+    text += batch(10.1, [event for i in instances for event in call_events(i, 0, 3)])
     text += batch(
         10.2,
         [
@@ -110,59 +110,65 @@
     )
     drained = [{"m": "Register", "List": 3, "Rows": [{"Backend": 70, "Readiness": "L"}]}]
     updates = [{"m": "Members", "ProxyId": i, "Mode": "patch", "Version": 2, "List": 3} for i in instances]
-    text += batch(10.3, [*drained, *updates, *(e for i in instances for e in calls(i, 3, 40))])
+    text += batch(10.3, [*drained, *updates, *(event for i in instances for event in call_events(i, 3, 40))])
     text += batch(10.4, [{"m": "Teardown", "ProxyId": i} for i in instances])
-    return text + batch(10.5, [e for i in instances for e in [*opened(i), *calls(i, 90, 2)]])
+    return text + batch(
+        10.5, [event for i in instances for event in [*open_events(i), *call_events(i, 90, 2)]]
+    )
 
 
-def test_a_conversation() -> None:
-    got = replies(conversation([0]))
-    assert got[0] == got[1] == []
-    assert [m["m"] for m in got[2]] == ["Relay"] * 3
-    assert {m["Backend"] for m in got[2]} <= {r["Backend"] for r in ROWS}
-    assert got[2][0]["Within"] == pytest.approx(0.98)
-    assert got[2][1]["Within"] == 0.0
-    assert [m["m"] for m in got[3]] in (["Relay"], ["NotNow"])
-    assert got[4]
-    assert all(m.get("Backend") != 70 for m in got[4]), "sent to a server that drains"
-    assert got[5] == []
-    assert [m["m"] for m in got[6]] == ["Relay"] * 2
+def test_replies_to_calls_outcomes_drains_and_restarts() -> None:
+    replies = replies_to(restart_scenario([0]))
+    assert replies[0] == replies[1] == []
+    assert [m["m"] for m in replies[2]] == ["Relay"] * 3
+    assert {m["Backend"] for m in replies[2]} <= {r["Backend"] for r in ENDPOINT_ROWS}
+    assert replies[2][0]["Within"] == pytest.approx(0.98)
+    assert replies[2][1]["Within"] == 0.0
+    assert [m["m"] for m in replies[3]] in (["Relay"], ["NotNow"])
+    assert replies[4]
+    assert all(m.get("Backend") != 70 for m in replies[4]), "sent to a draining endpoint"
+    assert replies[5] == []
+    assert [m["m"] for m in replies[6]] == ["Relay"] * 2
 
 
-def test_one_process_or_several_and_any_hash_seed() -> None:
+def test_actions_do_not_depend_on_other_instances_or_the_hash_seed() -> None:
     def by_instance(batches: list[list[Message]]) -> dict[int, list[Message]]:
         return {i: [m for b in batches for m in b if m["ProxyId"] == i] for i in (0, 1)}
 
-    together = by_instance(replies(conversation([0, 1]), PYTHONHASHSEED="1"))
-    assert together == by_instance(replies(conversation([0, 1]), PYTHONHASHSEED="2"))
-    alone = {i: by_instance(replies(conversation([i])))[i] for i in (0, 1)}
+    together = by_instance(replies_to(restart_scenario([0, 1]), PYTHONHASHSEED="1"))
+    assert together == by_instance(replies_to(restart_scenario([0, 1]), PYTHONHASHSEED="2"))
+    alone = {i: by_instance(replies_to(restart_scenario([i])))[i] for i in (0, 1)}
     assert together == alone
     assert together[0] != together[1]
 
 
 @pytest.mark.parametrize(("field", "row"), [("BoundTo", "Hw"), ("AllowedIn", "FailureDomain")])
-def test_placement_is_passed_on(field: str, row: str) -> None:
+def test_placement_of_a_class_restricts_its_endpoints(field: str, row: str) -> None:
     settings = json.loads(json.dumps(SETTINGS)) | {"Zones": ["here", "there"], "HostTypes": ["k", "l"]}
     settings["Services"][0][field] = [1]
-    events = opened(0, settings)
-    events[1] = {**events[1], "Rows": [{**r, row: n % 2} for n, r in enumerate(ROWS)]}
-    got = replies(batch(10.0, events) + batch(10.1, calls(0, 0, 40)))[1]
-    to = {n % 2: {m["Backend"] % 2 for m in got if int(m["Ref"][3:]) % 2 == n} for n in (0, 1)}
-    assert to == {0: {1}, 1: {0, 1}}
+    events = open_events(0, settings)
+    events[1] = {**events[1], "Rows": [{**r, row: n % 2} for n, r in enumerate(ENDPOINT_ROWS)]}
+    actions = replies_to(batch(10.0, events) + batch(10.1, call_events(0, 0, 40)))[1]
+    backends_by_class = {
+        n % 2: {m["Backend"] % 2 for m in actions if int(m["Ref"][3:]) % 2 == n} for n in (0, 1)
+    }
+    assert backends_by_class == {0: {1}, 1: {0, 1}}
 
 
-def test_names_change_no_action() -> None:
+def test_names_in_the_settings_do_not_affect_actions() -> None:
     renamed = json.loads(json.dumps(SETTINGS))
     for row, name in zip(renamed["Services"], ("p", "q"), strict=True):
         row["Name"] = name
     renamed["Orgs"][0]["Name"] = "r"
     renamed |= {"Tiers": ["zwei"], "Zones": ["elsewhere"], "HostTypes": ["odd"]}
-    tail = batch(10.1, calls(0, 0, 30))
-    assert replies(batch(10.0, opened(0)) + tail) == replies(batch(10.0, opened(0, renamed)) + tail)
+    calls = batch(10.1, call_events(0, 0, 30))
+    assert replies_to(batch(10.0, open_events(0)) + calls) == replies_to(
+        batch(10.0, open_events(0, renamed)) + calls
+    )
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "says"),
+    ("text", "line", "problem"),
     [
         ("{\n", 1, "line 1"),
         ("[1]\n", 1, "not a message"),
@@ -171,22 +177,36 @@
         ('{"m":"Tick","Time":1}\n{"m":"Tick","Time":2}\n', 2, "a Tick inside a batch"),
         (batch(5.0, []) + batch(4.0, []), 3, "the clock goes backwards"),
         ('{"m":"Tick","Time":1}\n{"m":"Call"}\n', 2, "missing field 'ProxyId'"),
-        ('{"m":"Tick","Time":1}\n{"m":"Call","ProxyId":5,"Ref":"a"}\n', 2, "instance 5 was never opened"),
-        (batch(1.0, opened(0)) + batch(2.0, [{"m": "Hum", "ProxyId": 0}]), 7, "unknown message 'Hum'"),
-        (batch(1.0, opened(0)) + batch(2.0, [{"m": "Call", "ProxyId": 0}]), 7, "missing field 'Ref'"),
         (
-            batch(1.0, opened(0))
+            '{"m":"Tick","Time":1}\n{"m":"Call","ProxyId":5,"Ref":"a"}\n',
+            2,
+            "instance 5 was never opened",
+        ),
+        (
+            batch(1.0, open_events(0)) + batch(2.0, [{"m": "Hum", "ProxyId": 0}]),
+            7,
+            "unknown message 'Hum'",
+        ),
+        (
+            batch(1.0, open_events(0)) + batch(2.0, [{"m": "Call", "ProxyId": 0}]),
+            7,
+            "missing field 'Ref'",
+        ),
+        (
+            batch(1.0, open_events(0))
             + batch(2.0, [{"m": "Members", "ProxyId": 0, "Mode": "whole", "Version": 2, "List": 9}]),
             7,
             "unknown list number 9",
         ),
         (
-            batch(1.0, opened(0)) + batch(2.0, [{"m": "Returned", "ProxyId": 0, "Ref": "a", "How": "odd"}]),
+            batch(1.0, open_events(0))
+            + batch(2.0, [{"m": "Returned", "ProxyId": 0, "Ref": "a", "How": "odd"}]),
             7,
             "How: 'odd' is none of success, failure",
         ),
         (
-            batch(1.0, opened(0)) + batch(2.0, [{"m": "Members", "ProxyId": 0, "Mode": "odd", "List": 0}]),
+            batch(1.0, open_events(0))
+            + batch(2.0, [{"m": "Members", "ProxyId": 0, "Mode": "odd", "List": 0}]),
             7,
             "Mode: 'odd' is none of stale_copy, whole",
         ),
@@ -198,23 +218,25 @@
         ('{"m":"Tick","Time":1}\n', 1, "the input ended inside a batch"),
     ],
 )
-def test_a_line_that_the_wire_does_not_allow(text: str, line: int, says: str) -> None:
-    done = converse(text)
-    assert done.returncode == 2
-    [message] = done.stderr.splitlines()
+def test_protocol_violation_ends_the_process_with_the_number_of_its_line(
+    text: str, line: int, problem: str
+) -> None:
+    completed = run_simulator(text)
+    assert completed.returncode == 2
+    [message] = completed.stderr.splitlines()
     assert f"line {line}" in message
-    assert says in message
+    assert problem in message
     assert "Traceback" not in message
 
 
-def test_an_exception_in_the_balancer_bails_out() -> None:
-    bad = [{"m": "Call", "ProxyId": 0, "Ref": "a", "Kind": 9, "Deadline": 3.0}]
-    [_, [message]] = replies(batch(1.0, opened(0)) + batch(2.0, bad))
+def test_invalid_request_is_reported_for_its_instance() -> None:
+    invalid_calls = [{"m": "Call", "ProxyId": 0, "Ref": "a", "Kind": 9, "Deadline": 3.0}]
+    [_, [message]] = replies_to(batch(1.0, open_events(0)) + batch(2.0, invalid_calls))
     assert message["m"] == "BailOut"
     assert message["NoteText"].startswith("InvalidValueError: class_index")
 
 
-def test_a_closed_output_ends_the_process_quietly() -> None:
+def test_closed_output_ends_the_process_without_an_error_message() -> None:
     process = subprocess.Popen(
         [sys.executable, "-m", "balancer.simulator"],
         cwd=PROJECT_ROOT,
@@ -236,7 +258,7 @@
     process.stderr.close()
 
 
-def test_settings_of_the_wire() -> None:
+def test_settings_are_read_from_the_keys_of_the_platform() -> None:
     settings = read_settings(
         {
             **SETTINGS,
@@ -285,7 +307,7 @@
     def perform(message: Message, now: float) -> list[Action]:
         return session.read(cast("EventMessage", message))(now)
 
-    for event in opened(0):
+    for event in open_events(0):
         perform(event, 1.0)
     perform({"m": "Call", "ProxyId": 0, "Ref": "a", "Deadline": 3.0, "Effort": 0.5, "Retry": True}, 2.0)
     perform({"m": "Returned", "ProxyId": 0, "Ref": "a", "How": "success", "Telemetry": [3, 1]}, 2.0)
