--- a/tests/balancer/test_reconfigure_invalid.py
+++ b/tests/balancer/test_reconfigure_invalid.py
@@ -1,4 +1,4 @@
-"""Reconfiguration: settings that a running balancer can not load change nothing."""
+"""Reconfiguration: settings that a running balancer rejects change nothing."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from tests.support.reconfiguration import (
     BASE,
     IDEMPOTENT,
-    learned,
+    endpoints_sent_to,
+    learned_state,
     make_checker,
     respond_to_requests,
-    sent,
 )
 
-BAD: list[tuple[str, Settings]] = [
+INVALID_SETTINGS: list[tuple[str, Settings]] = [
     ("classes", replace(BASE, classes=())),
     (
         r"classes\[0\].latency_objective",
@@ -46,17 +46,19 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "bad"), BAD)
-def test_settings_that_cannot_be_loaded_change_nothing(name: str, bad: Settings) -> None:
+@pytest.mark.parametrize(("name", "invalid"), INVALID_SETTINGS)
+def test_invalid_settings_are_rejected_and_change_nothing(name: str, invalid: Settings) -> None:
     checker, twin = make_checker(), make_checker()
-    for one in (checker, twin):
-        respond_to_requests(one, 0, 0.1)
-        request_id = one.request(1, 4.0)
+    for each in (checker, twin):
+        respond_to_requests(each, 0, 0.1)
+        request_id = each.request(1, 4.0)
     with pytest.raises(ValueError, match=name):
-        checker.balancer.reconfigure(checker.now, bad)
+        checker.balancer.reconfigure(checker.now, invalid)
     assert checker.balancer.settings is BASE
-    assert learned(checker) == learned(twin)
+    assert learned_state(checker) == learned_state(twin)
     assert checker.finish_attempt(request_id, 0, Outcome.TIMEOUT) == twin.finish_attempt(
         request_id, 0, Outcome.TIMEOUT
     )
-    assert sent(checker, checker.request(0, 4.0)) == sent(twin, twin.request(0, 4.0))
+    assert endpoints_sent_to(checker, checker.request(0, 4.0)) == endpoints_sent_to(
+        twin, twin.request(0, 4.0)
+    )
--- a/tests/balancer/test_reconfigure_pools.py
+++ b/tests/balancer/test_reconfigure_pools.py
@@ -1,4 +1,4 @@
-"""Reconfiguration: which pools the classes and the requests in flight draw from."""
+"""Reconfiguration: which pools the classes and the requests in flight use."""
 
 from __future__ import annotations
 
@@ -15,53 +15,54 @@
     ENDPOINTS,
     IDEMPOTENT,
     OTHER,
+    endpoints_sent_to,
     make_checker,
-    sent,
 )
 
 ONE_ZONE = RequestClass("bound", 1.0, 4.0, Idempotency.IDEMPOTENT, allowed_zones=(0,))
 
 
-def test_a_pool_stays_with_its_classes_and_is_not_given_to_others() -> None:
-    bound = Settings(classes=(IDEMPOTENT, ONE_ZONE), zone_count=2)
-    checker = make_checker(bound)
+def test_pool_stays_with_its_class_and_is_not_assigned_to_another_one() -> None:
+    settings = Settings(classes=(IDEMPOTENT, ONE_ZONE), zone_count=2)
+    checker = make_checker(settings)
     request_id = checker.request(1, 4.0)
-    free, zoned = checker.balancer.assignment.by_class
-    checker.reconfigure(replace(bound, classes=(IDEMPOTENT, OTHER, ONE_ZONE)))
-    assert checker.balancer.assignment.by_class == [free, free, zoned]
-    checker.reconfigure(replace(bound, classes=(replace(ONE_ZONE, name="another"), IDEMPOTENT)))
-    another = checker.balancer.assignment.by_class[0]
-    assert another is not zoned
-    assert another.pending == 0
-    assert zoned.pending == 1
+    unrestricted_pool, zone_pool = checker.balancer.assignment.by_class
+    checker.reconfigure(replace(settings, classes=(IDEMPOTENT, OTHER, ONE_ZONE)))
+    assert checker.balancer.assignment.by_class == [unrestricted_pool, unrestricted_pool, zone_pool]
+    checker.reconfigure(replace(settings, classes=(replace(ONE_ZONE, name="another"), IDEMPOTENT)))
+    other_pool = checker.balancer.assignment.by_class[0]
+    assert other_pool is not zone_pool
+    assert other_pool.pending == 0
+    assert zone_pool.pending == 1
     checker.finish_attempt(request_id, 0, Outcome.SUCCESS)
-    assert zoned.pending == 0
-    assert another.pending == 0
-    checker.reconfigure(bound)
-    assert zoned not in checker.balancer.assignment.pools  # nothing draws from it any more
+    assert zone_pool.pending == 0
+    assert other_pool.pending == 0
+    checker.reconfigure(settings)
+    assert zone_pool not in checker.balancer.assignment.pools  # nothing uses it any more
 
 
-def test_a_retry_goes_where_both_settings_allow_it() -> None:
+def test_retry_is_sent_only_to_endpoints_that_both_settings_allow() -> None:
     checker = make_checker(Settings(classes=(ONE_ZONE,), zone_count=2))
     request_ids = [checker.request(0, 4.0) for _ in range(3)]
-    one = next(row.id for row in ENDPOINTS if row.zone == 0 and row.id not in sent(checker, request_ids[0]))
-    checker.update_endpoints(
-        UpdateKind.DELTA, [replace(row, machine_type=1) for row in ENDPOINTS if row.id == one]
-    )
+    first_endpoints = endpoints_sent_to(checker, request_ids[0])
+    allowed = next(each for each in ENDPOINTS if each.zone == 0 and each.id not in first_endpoints)
+    checker.update_endpoints(UpdateKind.DELTA, [replace(allowed, machine_type=1)])
     checker.reconfigure(
         Settings(classes=(replace(ONE_ZONE, allowed_zones=None, allowed_machine_types=(1,)),), zone_count=2)
     )
-    assert len(checker.balancer.assignment.pools) == 2  # one for all requests that were narrowed alike
+    assert len(checker.balancer.assignment.pools) == 2  # all restricted requests share one pool
     assert sum(pool.pending for pool in checker.balancer.assignment.pools) == 3
     misplaced_attempts = checker.balancer.misplaced_attempts()
     assert misplaced_attempts == [
-        MisplacedAttempt(request_id, 0) for request_id in request_ids if sent(checker, request_id) != [one]
+        MisplacedAttempt(request_id, 0)
+        for request_id in request_ids
+        if endpoints_sent_to(checker, request_id) != [allowed.id]
     ]
     checker.finish_attempt(request_ids[0], 0, Outcome.NOT_SENT)
-    assert sent(checker, request_ids[0])[1:] == [one]
+    assert endpoints_sent_to(checker, request_ids[0])[1:] == [allowed.id]
 
 
-def test_reloads_leave_nothing_behind() -> None:
+def test_many_reloads_do_not_accumulate_pools_or_statistics() -> None:
     checker = make_checker()
     for n in range(200):
         checker.request(0, 4.0)
--- a/tests/balancer/test_reconfigure_rules.py
+++ b/tests/balancer/test_reconfigure_rules.py
@@ -1,4 +1,4 @@
-"""Reconfiguration: the rules hold over random events and changes of settings; broken balancers are caught."""
+"""Reconfiguration: the rules hold over random events and reloads; the checker detects faulty balancers."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
     is_polled=st.booleans(),
     endpoint_count=st.integers(0, 14),
 )
-def test_the_rules_hold_while_settings_change(
+def test_rules_hold_over_random_events_and_reloads(
     *, steps: list[Step | SettingsChange], seed: int, is_polled: bool, endpoint_count: int
 ) -> None:
     limits = Limits(cancel=True, hedging=True, max_attempts=4)
-    stated = random_settings(RULES, limits, seed % 3, seed % 2, is_polled=is_polled)
-    checker = RulesChecker(stated, seed, endpoints_in_two_zones(endpoint_count))
+    initial_settings = random_settings(RULES, limits, seed % 3, seed % 2, is_polled=is_polled)
+    checker = RulesChecker(initial_settings, seed, endpoints_in_two_zones(endpoint_count))
     for step in steps:
         if isinstance(step, SettingsChange):
             checker.reconfigure(change_settings(checker.settings, step))
@@ -58,31 +58,33 @@
 
 
 @pytest.mark.parametrize(
-    ("first", "now", "message"),
+    ("class_index", "change", "message"),
     [
         (0, "later", "sent twice"),
         (1, "later", "rejected although"),
         (0, "places", "not open"),
     ],
 )
-def test_a_balancer_that_applies_only_one_of_both_classes_is_caught(
-    monkeypatch: pytest.MonkeyPatch, first: int, now: str, message: str
+def test_checker_detects_a_balancer_that_applies_only_one_of_both_classes(
+    monkeypatch: pytest.MonkeyPatch, class_index: int, change: str, message: str
 ) -> None:
-    later = {
+    new_classes = {
         "later": (
             replace(IDEMPOTENT, idempotency=Idempotency.NON_IDEMPOTENT),
             replace(NON_IDEMPOTENT, idempotency=Idempotency.IDEMPOTENT),
         ),
         "places": (replace(IDEMPOTENT, allowed_zones=(1,)), NON_IDEMPOTENT),
-    }[now]
-    # What a balancer does that keeps to the class as admitted, or to the one in force.
-    wrong = (lambda admitted, _stated: admitted) if first == 0 else (lambda _admitted, stated: stated)
-    monkeypatch.setattr("balancer.reconfiguration.restrict_class", wrong)
-    endpoints = [row for row in ENDPOINTS if row.zone == 0] if now == "places" else ENDPOINTS
+    }[change]
+    # A balancer that applies only the class as admitted, or only the class in force.
+    faulty_restrict_class = (
+        (lambda admitted, _current: admitted) if class_index == 0 else (lambda _admitted, current: current)
+    )
+    monkeypatch.setattr("balancer.reconfiguration.restrict_class", faulty_restrict_class)
+    endpoints = [each for each in ENDPOINTS if each.zone == 0] if change == "places" else ENDPOINTS
     checker = make_checker(
-        replace(BASE, limits=Limits(max_attempts=1 if first else 3), zone_count=2), endpoints
+        replace(BASE, limits=Limits(max_attempts=1 if class_index else 3), zone_count=2), endpoints
     )
-    request_id = checker.request(first, 4.0)
-    checker.reconfigure(replace(checker.settings, classes=later))
+    request_id = checker.request(class_index, 4.0)
+    checker.reconfigure(replace(checker.settings, classes=new_classes))
     with pytest.raises(AssertionError, match=message):
         checker.finish_attempt(request_id, 0, Outcome.TIMEOUT)
--- a/tests/support/reconfiguration.py
+++ b/tests/support/reconfiguration.py
@@ -1,4 +1,4 @@
-"""Classes, settings and helpers that the tests of reconfiguration share."""
+"""Classes, settings and helpers for the tests of reconfiguration."""
 
 from __future__ import annotations
 
@@ -20,34 +20,34 @@
 ENDPOINTS = [Endpoint(i, zone=i % 2, cell=i % 3) for i in range(1, 7)]
 
 
-def make_checker(stated: Settings = BASE, endpoints: list[Endpoint] = ENDPOINTS) -> RulesChecker:
+def make_checker(settings: Settings = BASE, endpoints: list[Endpoint] = ENDPOINTS) -> RulesChecker:
     """Return a checker of a balancer with these settings and endpoints."""
-    return RulesChecker(stated, 1, endpoints)
+    return RulesChecker(settings, 1, endpoints)
 
 
-def sent(checker: RulesChecker, request_id: str) -> list[int]:
-    """Return the endpoints that a request went to."""
+def endpoints_sent_to(checker: RulesChecker, request_id: str) -> list[int]:
+    """Return the ids of the endpoints that a request was sent to, in order."""
     return [attempt.endpoint.id for attempt in checker.requests[request_id].attempts]
 
 
-def learned(checker: RulesChecker) -> dict[str, tuple[float, int, int, int]]:
-    """Return what is known of each class, by its name."""
+def learned_state(checker: RulesChecker) -> dict[str, tuple[float, int, int, int]]:
+    """Return what the balancer has learned about each class, by the name of the class."""
     balancer = checker.balancer
     return {
-        row.name: (
-            balancer.statistics.class_latency[n],
-            balancer.statistics.class_samples[n],
-            balancer.client_timeouts.usual_buckets[n],
-            len(balancer.client_timeouts.bucket_counts[n]),
+        request_class.name: (
+            balancer.statistics.class_latency[index],
+            balancer.statistics.class_samples[index],
+            balancer.client_timeouts.usual_buckets[index],
+            len(balancer.client_timeouts.bucket_counts[index]),
         )
-        for n, row in enumerate(balancer.settings.classes)
+        for index, request_class in enumerate(balancer.settings.classes)
     }
 
 
-def respond_to_requests(checker: RulesChecker, class_index: int, after: float, times: int = 8) -> None:
-    """Send requests one after another, each answered `after` so many seconds."""
-    for _ in range(times):
+def respond_to_requests(checker: RulesChecker, class_index: int, latency: float, count: int = 8) -> None:
+    """Send requests one after another, each of which succeeds after `latency` seconds."""
+    for _ in range(count):
         request_id = checker.request(class_index, 4.0)
-        checker.advance(after)
-        for number in [n for r, n in checker.open_attempts() if r == request_id]:
+        checker.advance(latency)
+        for number in [number for open_id, number in checker.open_attempts() if open_id == request_id]:
             checker.finish_attempt(request_id, number, Outcome.SUCCESS)
--- a/tests/support/settings_changes.py
+++ b/tests/support/settings_changes.py
@@ -27,8 +27,8 @@
 
     Attributes:
         kind: What changes, from 0 to 11: see `change_classes` (0 to 6) and `change_settings` (7 to 11).
-        first: Chooses the class or the value; its meaning depends on the kind.
-        second: Chooses the value; likewise.
+        first: Selects the class or the new value, depending on the kind.
+        second: Selects the new value, depending on the kind.
     """
 
     kind: int
@@ -37,9 +37,9 @@
 
 
 CHANGES = st.builds(SettingsChange, st.integers(0, 11), st.integers(0, 3), st.integers(0, 3))
-PLACES: tuple[tuple[int, ...] | None, ...] = (None, (0,), (1,), (0, 1))
-MACHINE_TYPES: tuple[tuple[int, ...] | None, ...] = (None, (0,), (1, 2), (9,))
-RULES_TO_SET = (
+ALLOWED_ZONES: tuple[tuple[int, ...] | None, ...] = (None, (0,), (1,), (0, 1))
+ALLOWED_MACHINE_TYPES: tuple[tuple[int, ...] | None, ...] = (None, (0,), (1, 2), (9,))
+RULES_CHOICES = (
     RULES,
     RULES_WITH_RETRY_BUDGET,
     replace(RULES_WITH_RETRY_BUDGET, retry_budget_window=4.0),
@@ -57,7 +57,7 @@
     if kind == 1:
         return [*before, *after] or [chosen]
     if kind == 2:
-        missing = [row for row in CLASSES if row.name not in {known.name for known in classes}]
+        missing = [each for each in CLASSES if each.name not in {present.name for present in classes}]
         return [*before, *missing[:1], chosen, *after]
     return [*before, change_class(chosen, kind, second), *after]
 
@@ -71,24 +71,24 @@
             scope = list(DeduplicationScope)[value % 3]
             return replace(request_class, deduplication_scope=scope, deduplication_window=0.2 + value)
         case 5:
-            return replace(request_class, allowed_zones=PLACES[value])
+            return replace(request_class, allowed_zones=ALLOWED_ZONES[value])
         case _:
-            return replace(request_class, allowed_machine_types=MACHINE_TYPES[value])
+            return replace(request_class, allowed_machine_types=ALLOWED_MACHINE_TYPES[value])
 
 
-def change_settings(stated: Settings, change: SettingsChange) -> Settings:
-    """Return the settings after one change of their classes, tenants, limits, rules or places."""
+def change_settings(settings: Settings, change: SettingsChange) -> Settings:
+    """Return the settings after one change of their classes, tenants, limits, rules or fleet size."""
     kind, first, second = change
     if kind <= 6:
-        return replace(stated, classes=tuple(change_classes(list(stated.classes), change)))
+        return replace(settings, classes=tuple(change_classes(list(settings.classes), change)))
     if kind == 7:
-        return replace(stated, fleet_size=1 + 3 * first, ordinal=second % (1 + 3 * first))
+        return replace(settings, fleet_size=1 + 3 * first, ordinal=second % (1 + 3 * first))
     if kind == 8:
         limits = Limits(cancel=bool(first & 1), hedging=bool(first & 2), max_attempts=1 + second)
-        return replace(stated, limits=limits)
+        return replace(settings, limits=limits)
     if kind == 9:
-        return replace(stated, rules=RULES_TO_SET[second])
+        return replace(settings, rules=RULES_CHOICES[second])
     if kind == 10:
         tenants = (Tenant("b", 0.4, 3.0 * first), Tenant("a", 0.6, 5.0), Tenant("c"))
-        return replace(stated, tenants=tenants[second % 3 :])
-    return replace(stated)
+        return replace(settings, tenants=tenants[second % 3 :])
+    return replace(settings)
