--- a/tests/support/pool_scenario.py
+++ b/tests/support/pool_scenario.py
@@ -1,4 +1,4 @@
-"""Helpers of the tests on attempts: a connection pool with one backend, scripts and settings."""
+"""Helpers for the tests of attempts: a connection pool with one backend, response scripts and settings."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 def respond_to_first_request(response: bytes | None) -> Callable[[bytes], bytes | None]:
-    """Return a script that several backends share: this response to the first request, then OK."""
+    """Return a script that backends can share: this response to the first request, then OK_RESPONSE."""
     responses = [response]
     return lambda _: responses.pop() if responses else OK_RESPONSE
 
 
 def settings_with(**changed: Any) -> Settings:
-    """Return the usual settings with changes, in the form of the configuration file."""
+    """Return RAW_SETTINGS with changes, given by the keys of the configuration file."""
     return read_settings(RAW_SETTINGS | changed)
 
 
@@ -51,7 +51,7 @@
         self.use_another_backend()
 
     def use_another_backend(self) -> None:
-        """Send the attempts from now on to another backend, which has the same address."""
+        """Send further attempts to another backend with the same address."""
         self.backend = PoolBackend(self._address)
         self.pool.update_backend(self.backend, self._address, 0.0, in_service=True)
 
@@ -80,17 +80,17 @@
         return attempt
 
     async def next_outcome(self) -> Outcome:
-        """Wait for an attempt to finish."""
+        """Wait for the next attempt to finish, and return its outcome."""
         return await with_timeout(self.outcomes.get())
 
     async def run_concurrently(self, count: int) -> None:
-        """Start several attempts at once, and wait until all of them have succeeded."""
+        """Start several attempts at once, and require all of them to succeed."""
         for _ in range(count):
             self.start()
         for _ in range(count):
             assert await self.next_outcome() is Outcome.SUCCESS
 
     async def run(self, request: bytes = b"", *, retryable: bool = True) -> Outcome:
-        """Start an attempt and wait for one to finish."""
+        """Start an attempt, and return the outcome of the next attempt that finishes."""
         self.start(request, retryable=retryable)
         return await self.next_outcome()
