--- a/tests/balancer/test_bad_input.py
+++ b/tests/balancer/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Invalid input: rejected with the name of the field, or answered by the rules; no other exception."""
+"""Invalid input is rejected with the name of the field; unusual input causes no other exception."""
 
 from __future__ import annotations
 
@@ -13,41 +13,41 @@
 from balancer.events import Fail, IncomingRequest, Outcome, Reject, StartAttempt
 from balancer.settings import Limits, RequestClass, Rules, Settings, Tenant
 
-BAD_NUMBERS: list[Any] = [math.nan, math.inf, -math.inf, -1.0, "1", None]
+INVALID_NUMBERS: list[Any] = [math.nan, math.inf, -math.inf, -1.0, "1", None]
 
 
-@pytest.mark.parametrize("value", BAD_NUMBERS)
+@pytest.mark.parametrize("value", INVALID_NUMBERS)
 @pytest.mark.parametrize("name", [item.name for item in fields(Rules)])
-def test_a_bad_number_in_the_rules_is_named(name: str, value: Any) -> None:
+def test_invalid_number_in_the_rules_is_rejected_with_its_path(name: str, value: Any) -> None:
     with pytest.raises(ValueError, match=rf"rules\.{name}"):
         Balancer(Settings(rules=Rules(**{name: value})), 1)
 
 
-@pytest.mark.parametrize("value", BAD_NUMBERS)
+@pytest.mark.parametrize("value", INVALID_NUMBERS)
 @pytest.mark.parametrize(
     "name", ["latency_objective", "deadline", "deduplication_window", "priority_weight", "late_weight"]
 )
-def test_a_bad_number_in_a_class_is_named(name: str, value: Any) -> None:
+def test_invalid_number_in_a_class_is_rejected_with_its_path(name: str, value: Any) -> None:
     with pytest.raises(ValueError, match=rf"classes\[1\]\.{name}"):
         Balancer(Settings(classes=(RequestClass(), RequestClass(**{name: value}))), 1)
 
 
-@pytest.mark.parametrize("value", BAD_NUMBERS)
+@pytest.mark.parametrize("value", INVALID_NUMBERS)
 @pytest.mark.parametrize("name", ["max_attempts", "max_retry_after"])
-def test_a_bad_number_in_the_limits_is_named(name: str, value: Any) -> None:
+def test_invalid_number_in_the_limits_is_rejected_with_its_path(name: str, value: Any) -> None:
     with pytest.raises(ValueError, match=rf"limits\.{name}"):
         Balancer(Settings(limits=Limits(**{name: value})), 1)
 
 
 @pytest.mark.parametrize("value", [math.nan, 2.0, -1.0, "x"])
-def test_a_bad_number_in_a_tenant_is_named(value: Any) -> None:
+def test_invalid_number_in_a_tenant_is_rejected_with_its_path(value: Any) -> None:
     with pytest.raises(ValueError, match=r"tenants\[0\]\.share"):
         Balancer(Settings(tenants=(Tenant("t", value),)), 1)
 
 
 @pytest.mark.parametrize("name", ["ordinal", "tier", "zone"])
 @pytest.mark.parametrize("value", [-1, 1, 0.5, True, "0"])
-def test_an_index_out_of_range_is_named(name: str, value: Any) -> None:
+def test_index_out_of_range_is_rejected_with_its_name(name: str, value: Any) -> None:
     with pytest.raises(ValueError, match=name):
         Balancer(Settings(**{name: value}), 1)
 
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "bad"),
+    ("name", "invalid"),
     [
         ("class_index", IncomingRequest("new", class_index=1)),
         ("class_index", IncomingRequest("new", class_index=-1)),
@@ -78,19 +78,19 @@
         ("request_id", IncomingRequest("open")),
     ],
 )
-def test_a_request_that_makes_no_sense_changes_nothing(name: str, bad: IncomingRequest) -> None:
+def test_invalid_request_is_rejected_and_changes_nothing(name: str, invalid: IncomingRequest) -> None:
     balancer, twin = ready_balancer(), ready_balancer()
-    for one in (balancer, twin):
-        one.on_request(2.0, IncomingRequest("open"))
+    for each in (balancer, twin):
+        each.on_request(2.0, IncomingRequest("open"))
     with pytest.raises(ValueError, match=name):
-        balancer.on_request(3.0, bad)
+        balancer.on_request(3.0, invalid)
     assert list(balancer.requests) == ["open"]
     assert balancer.assignment.pools[0].pending == twin.assignment.pools[0].pending
-    # the same random numbers follow: nothing was drawn either
+    # The random numbers that follow are the same: the invalid request has drawn none.
     assert balancer.on_request(4.0, IncomingRequest("next")) == twin.on_request(4.0, IncomingRequest("next"))
 
 
-def test_a_deadline_already_past_is_answered_at_once() -> None:
+def test_request_whose_deadline_has_passed_is_rejected_at_once() -> None:
     assert ready_balancer().on_request(5.0, IncomingRequest("late", deadline=4.0)) == [Reject("late")]
 
 
@@ -114,13 +114,13 @@
         [Endpoint(1, EndpointStatus.REMOVED)],
     ],
 )
-def test_a_request_is_rejected_where_no_endpoint_is_up(endpoints: list[Endpoint]) -> None:
+def test_request_is_rejected_if_no_endpoint_is_up(endpoints: list[Endpoint]) -> None:
     balancer = Balancer(Settings(), 1)
     balancer.on_endpoints_updated(1.0, UpdateKind.CACHED, endpoints)
     assert balancer.on_request(2.0, IncomingRequest("r")) == [Reject("r")]
 
 
-def test_every_request_is_answered_where_all_endpoints_warm_up() -> None:
+def test_every_request_gets_an_action_while_all_endpoints_warm_up() -> None:
     balancer = Balancer(Settings(), 1)
     balancer.on_endpoints_updated(100.0, UpdateKind.CACHED, [Endpoint(i, started=100.0) for i in range(4)])
     for n in range(50):
--- a/tests/balancer/test_endpoint_list.py
+++ b/tests/balancer/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: what stays known of an endpoint that a list no longer names."""
+"""The endpoint list: the state of endpoints that a complete list no longer contains."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.support.balancer_helpers import IDEMPOTENT, make_balancer
 
 
-def test_absence_from_a_snapshot_keeps_start_time_and_size() -> None:
+def test_endpoint_missing_from_a_snapshot_retains_its_start_time_and_size() -> None:
     balancer = make_balancer(
         Settings(classes=(IDEMPOTENT,)), [Endpoint(1, size=2.0, started=99.0), Endpoint(2)]
     )
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules hold over random legal events, and the checker catches balancers that break them."""
+"""The rules hold over random valid events, and the checker detects balancers that violate them."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     has_retry_budget=st.booleans(),
     endpoint_count=st.integers(0, 14),
 )
-def test_the_rules_hold(
+def test_rules_hold_over_random_events(
     *,
     steps: list[Step],
     seed: int,
@@ -47,11 +47,11 @@
     endpoint_count: int,
 ) -> None:
     rules = RULES_WITH_RETRY_BUDGET if has_retry_budget else RULES
-    config = random_settings(rules, limits, seed % 3, seed % 2, is_polled=is_polled)
-    run_steps(RulesChecker(config, seed, endpoints_in_two_zones(endpoint_count)), steps)
+    settings_in_force = random_settings(rules, limits, seed % 3, seed % 2, is_polled=is_polled)
+    run_steps(RulesChecker(settings_in_force, seed, endpoints_in_two_zones(endpoint_count)), steps)
 
 
-def test_a_balancer_that_ignores_drains_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_a_balancer_that_ignores_drains(monkeypatch: pytest.MonkeyPatch) -> None:
     def send_after_drain() -> None:
         checker = RulesChecker(Settings(classes=CLASSES), 1, [Endpoint(1), Endpoint(2)])
         checker.update_endpoints(UpdateKind.DELTA, [Endpoint(1, EndpointStatus.DRAINING)])
@@ -61,7 +61,7 @@
     send_after_drain()
     rebuild_pools = Balancer.rebuild_pools
 
-    def keep_all_ready(self: Balancer, now: float) -> None:
+    def rebuild_pools_as_if_all_were_up(self: Balancer, now: float) -> None:
         delivered = {state: state.endpoint for state in self.endpoints.states.values()}
         for state in delivered:
             state.endpoint = Endpoint(state.endpoint.id)
@@ -69,25 +69,27 @@
         for state, endpoint in delivered.items():
             state.endpoint = endpoint
 
-    monkeypatch.setattr(Balancer, "rebuild_pools", keep_all_ready)
+    monkeypatch.setattr(Balancer, "rebuild_pools", rebuild_pools_as_if_all_were_up)
     with pytest.raises(AssertionError, match="drains or is removed"):
         send_after_drain()
 
 
-def test_a_balancer_that_ignores_placement_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_a_balancer_that_ignores_placement(monkeypatch: pytest.MonkeyPatch) -> None:
     def send_to_restricted_classes() -> int:
         endpoints = [Endpoint(i, zone=i % 2, machine_type=i % 3) for i in range(12)]
-        config = Settings(classes=CLASSES, zone_count=2, limits=Limits(max_attempts=4))
-        checker = RulesChecker(config, 1, endpoints)
+        settings_in_force = Settings(classes=CLASSES, zone_count=2, limits=Limits(max_attempts=4))
+        checker = RulesChecker(settings_in_force, 1, endpoints)
         for n in range(40):
             fail_attempts(checker, 5 + n % 2, 4)
             checker.advance(0.5)
-        none_open = [replace(e, status=EndpointStatus.REMOVED) for e in endpoints if e.machine_type == 1]
-        checker.update_endpoints(UpdateKind.DELTA, none_open)
-        before = sum(len(starts) for starts in checker.start_times_by_endpoint.values())
+        removed = [
+            replace(each, status=EndpointStatus.REMOVED) for each in endpoints if each.machine_type == 1
+        ]
+        checker.update_endpoints(UpdateKind.DELTA, removed)
+        sent_before = sum(len(starts) for starts in checker.start_times_by_endpoint.values())
         checker.request(5, 3.0)
-        assert sum(len(starts) for starts in checker.start_times_by_endpoint.values()) == before
-        return before
+        assert sum(len(starts) for starts in checker.start_times_by_endpoint.values()) == sent_before
+        return sent_before
 
     assert send_to_restricted_classes() > 15
     monkeypatch.setattr(EndpointPool, "allows", lambda _self, _endpoint: True)
@@ -95,18 +97,18 @@
         send_to_restricted_classes()
 
 
-def test_the_checker_covers_hedged_requests_and_streams() -> None:
+def test_checker_detects_forbidden_hedged_requests_and_retries_of_streams() -> None:
     checker = RulesChecker(Settings(classes=CLASSES), 1, [Endpoint(1), Endpoint(2)])
     request_id = checker.request(0, 3.0)
     with pytest.raises(AssertionError, match="hedged request"):
         checker.check([StartAttempt(request_id, 2)])
     checker.start_response(request_id, 0)
-    checker.advance(20.0)  # a stream that has started knows no deadline...
+    checker.advance(20.0)  # a stream that has started has no deadline...
     with pytest.raises(AssertionError, match="after its response started"):
         checker.check([StartAttempt(request_id, 2)])
 
 
-def test_a_balancer_that_ignores_idempotency_or_never_answers_is_caught(
+def test_checker_detects_a_balancer_that_ignores_idempotency_or_never_responds(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     request_and_timeout = [(0, 1, 250), (4, 0, 1), (0, 4, 250), (4, 0, 1), (0, 3, 250), (4, 0, 1)]
@@ -114,13 +116,13 @@
     endpoints = [Endpoint(1000 + i, EndpointStatus.UP, i % 2, i // 3) for i in range(9)]
     tenants = (Tenant("a"), Tenant("b"))
     limits = Limits(max_attempts=4)
-    config = Settings(classes=CLASSES, zone_count=2, rules=RULES, limits=limits, tenants=tenants)
-    run_steps(RulesChecker(config, 1, endpoints), steps)
+    settings_in_force = Settings(classes=CLASSES, zone_count=2, rules=RULES, limits=limits, tenants=tenants)
+    run_steps(RulesChecker(settings_in_force, 1, endpoints), steps)
     with monkeypatch.context() as patch:
         patch.setattr(RequestState, "retry_endpoints", lambda self, _now: self.pool.ready)
         with pytest.raises(AssertionError, match=r"sent twice|another"):
-            run_steps(RulesChecker(config, 1, endpoints), steps)
+            run_steps(RulesChecker(settings_in_force, 1, endpoints), steps)
     with monkeypatch.context() as patch:
         patch.setattr(Balancer, "_respond", lambda _self, *_args: [])
         with pytest.raises(AssertionError, match="final responses"):
-            run_steps(RulesChecker(config, 1, endpoints), steps)
+            run_steps(RulesChecker(settings_in_force, 1, endpoints), steps)
