--- a/tests/balancer/test_reconfigure_learned.py
+++ b/tests/balancer/test_reconfigure_learned.py
@@ -1,4 +1,4 @@
-"""Reconfiguration: learned_state state follows the names of classes and the ids of endpoints."""
+"""Reconfiguration: learned state follows the names of classes and the ids of endpoints."""
 
 from __future__ import annotations
 
@@ -110,7 +110,7 @@
     checker.reconfigure(replace(BASE, rules=RULES, classes=(OTHER,), fleet_size=2))
     assert breakers_by_endpoint(checker.balancer) == breakers
     assert warming.warmup_tokens == tokens
-    for _ in range(60):  # the checker fails if one is endpoints_sent_to to the draining endpoint
+    for _ in range(60):  # the checker fails if one is sent to the draining endpoint
         checker.request(0, 4.0)
 
 
