--- a/Makefile
+++ b/Makefile
@@ -8,7 +8,7 @@
 	$(PYTHON) -m mypy
 	$(PYTHON) -m pytest
 
-# What the size costs on this machine, with nothing else running: results/*.json, some minutes.
+# Measures the cost of the target size on this machine, with nothing else running: results/*.json, some minutes.
 .PHONY: scale
 scale:
 	$(PYTHON) -m emulator all
@@ -18,7 +18,7 @@
 soak:
 	$(PYTHON) -m soak --seeds 3
 
-# A small edition: exits non-zero where a budget that is said to be held is over.
+# A shorter version: exits non-zero if an enforced budget is exceeded.
 .PHONY: scale-quick
 scale-quick:
 	@$(PYTHON) -m emulator all --quick --out build/scale
