--- a/testbed/discovery/registry.py
+++ b/testbed/discovery/registry.py
@@ -1,7 +1,7 @@
 """A stand-in for discovery: one control machine that serves the endpoint list (PROTOCOL, Discovery).
 
 Several instances hold the same list: each is given the same changes under the same versions. This module
-owns the machine's named endpoints and its usage; `registry_state` holds the list, `control_endpoint` a port.
+owns the machine's named endpoints and its usage; `registry_state` holds the list, `registry_endpoint` a port.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from testbed.discovery.control_endpoint import ControlEndpoint, TrafficCounts
+from testbed.discovery.registry_endpoint import RegistryEndpoint, TrafficCounts
 from testbed.discovery.registry_state import RegistryState
 
 if TYPE_CHECKING:
@@ -49,7 +49,7 @@
 
     def __init__(self, entries: Iterable[EndpointEntry], index: int = 1) -> None:
         self.state = RegistryState(entries, index)
-        self.endpoints: dict[str, ControlEndpoint] = {}
+        self.endpoints: dict[str, RegistryEndpoint] = {}
 
     async def open_endpoint(self, name: str, port: int = 0, view: Iterable[str] | None = None) -> int:
         """Open a new endpoint, or open again one that was closed.
@@ -67,7 +67,7 @@
         """
         if name not in self.endpoints:
             visible = None if view is None else frozenset(view)
-            self.endpoints[name] = ControlEndpoint(self.state, port, visible)
+            self.endpoints[name] = RegistryEndpoint(self.state, port, visible)
         endpoint = self.endpoints[name]
         endpoint.is_silent = False
         await endpoint.open()
--- a/testbed/discovery/control_endpoint.py
+++ b/testbed/discovery/registry_endpoint.py
@@ -52,7 +52,7 @@
         return TrafficCounts(*map(operator.add, astuple(self), astuple(other)))
 
 
-class ControlEndpoint:
+class RegistryEndpoint:
     """One port of a control machine, whose clients see the backends of its view.
 
     Attributes:
@@ -64,7 +64,7 @@
         self.state, self.port, self.view = state, port, view
         self.is_silent = False
         self.counts = TrafficCounts()
-        self.connections: set[ControlConnection] = set()
+        self.connections: set[RegistryConnection] = set()
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
@@ -76,7 +76,7 @@
         if self._server is not None:
             return
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: ControlConnection(self), HOST, self.port, backlog=ACCEPT_BACKLOG, reuse_address=True
+            lambda: RegistryConnection(self), HOST, self.port, backlog=ACCEPT_BACKLOG, reuse_address=True
         )
         self.port = port_of(self._server)
 
@@ -103,14 +103,14 @@
         return sum(connection.index != NO_WATCH for connection in self.connections)
 
 
-class ControlConnection(asyncio.Protocol):
+class RegistryConnection(asyncio.Protocol):
     """One client's connection: it requests the list, or a watch on it.
 
     Attributes:
         index: The version that this watch has been sent; `NO_WATCH` where it is none.
     """
 
-    def __init__(self, endpoint: ControlEndpoint) -> None:
+    def __init__(self, endpoint: RegistryEndpoint) -> None:
         self._endpoint = endpoint
         self._transport: asyncio.Transport | None = None
         self._buffer = b""
--- a/testbed/discovery/registry_state.py
+++ b/testbed/discovery/registry_state.py
@@ -1,7 +1,7 @@
 """The endpoint list of one control machine: its entries, its version and the log of its last changes.
 
 It owns which entries a client is sent (a complete snapshot, or a delta since the client's version) and
-their encoding as JSON, once for each view. It knows nothing of sockets: see `control_endpoint`.
+their encoding as JSON, once for each view. It knows nothing of sockets: see `registry_endpoint`.
 """
 
 from __future__ import annotations
--- a/tests/testbed/test_registry.py
+++ b/tests/testbed/test_registry.py
@@ -10,8 +10,8 @@
 import pytest
 
 from emulator.load.watches import WatchLoad
-from testbed.discovery.control_endpoint import HEARTBEAT_INTERVAL
 from testbed.discovery.registry import serve_static_list
+from testbed.discovery.registry_endpoint import HEARTBEAT_INTERVAL
 from testbed.discovery.registry_state import StaleVersionError
 from tests.support.loopback import ManualClock, in_event_loop, with_timeout
 from tests.support.proxy_inputs import HOST
