--- a/testbed/discovery/__init__.py
+++ b/testbed/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in for discovery: the endpoint list, its versions and the watches on it (PROTOCOL, Discovery)."""
+"""A test implementation of the discovery service: a versioned endpoint list, and watches on it over HTTP."""
--- a/testbed/discovery/entry.py
+++ b/testbed/discovery/entry.py
@@ -1,4 +1,4 @@
-"""The endpoint list's JSON objects, as discovery's protocol describes them (PROTOCOL, Discovery)."""
+"""The JSON objects of the discovery protocol: entries of the endpoint list, and update messages."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
     """One backend in the endpoint list.
 
     Attributes:
-        name: The backend's name, the same at every proxy.
-        address: Where it listens, as `host:port`.
+        name: The backend's name; every proxy uses the same name.
+        address: The address that it listens on, as `host:port`.
         zone: The name of its zone.
         type: The name of its host type.
         group: The number of its group.
-        status: Whether it is in service, draining (`terminating`) or gone (`terminated`, only among changes).
-        weight: Its capacity in relation to the others'.
-        since_ms: Its last start as Unix time in milliseconds; 0 for long ago.
+        status: In service, draining (`terminating`) or removed (`terminated`, only in a delta).
+        weight: Its capacity relative to that of the other backends.
+        since_ms: Its last start as Unix time in milliseconds; 0 if it started long ago.
     """
 
     name: str
@@ -32,7 +32,7 @@
 
 
 class EndpointChange(TypedDict, total=False):
-    """Fields of an entry that change.
+    """The fields of an entry that a change replaces.
 
     Attributes:
         address: The new address.
@@ -48,11 +48,11 @@
 
 
 class EndpointUpdate(TypedDict):
-    """One message of discovery: the complete endpoint list, or what changed in it.
+    """One discovery message: a snapshot of the endpoint list, or a delta with the changed entries.
 
     Attributes:
         index: The version of the list.
-        snapshot: Whether the message holds the complete list.
+        snapshot: Whether the message is a snapshot.
         endpoints: The entries.
     """
 
@@ -62,5 +62,5 @@
 
 
 def changed_entry(entry: EndpointEntry, change: EndpointChange) -> EndpointEntry:
-    """Return an entry with some fields changed."""
+    """Return a copy of an entry with some fields replaced."""
     return {**entry, **change}
--- a/testbed/discovery/registry.py
+++ b/testbed/discovery/registry.py
@@ -1,7 +1,7 @@
-"""A stand-in for discovery: one control machine that serves the endpoint list (PROTOCOL, Discovery).
+"""A discovery registry for tests: it serves the endpoint list on one or more ports.
 
-Several instances hold the same list: each is given the same changes under the same versions. This module
-owns the machine's named endpoints and its usage; `registry_state` holds the list, `registry_endpoint` a port.
+Several registries serve the same list if each receives the same changes with the same version numbers.
+`registry_state` stores the list, and `registry_endpoint` serves one port.
 """
 
 from __future__ import annotations
@@ -22,7 +22,13 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointAddress:
-    """An endpoint to open: its name, its port, and the names of the backends it shows (None: all)."""
+    """An endpoint to open.
+
+    Attributes:
+        name: The endpoint's name in the methods of `Registry`.
+        port: The port to listen on.
+        view: The names of the backends that its clients see; None for all.
+    """
 
     name: str
     port: int
@@ -31,11 +37,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RegistryUsage:
-    """What a control machine has spent since its start.
+    """The resources that a registry has used since its start.
 
     Attributes:
-        traffic: What it sent, over all endpoints.
-        open_watches: Watches open now.
+        traffic: The traffic of all its endpoints.
+        open_watches: The number of watches that are open now.
         processor: Processor time of its process in seconds.
     """
 
@@ -45,25 +51,30 @@
 
 
 class Registry:
-    """One control machine: the endpoint list, the endpoints that serve it, and what it spends."""
+    """One registry: the endpoint list, and the endpoints that serve it.
+
+    Attributes:
+        state: The endpoint list.
+        endpoints: The endpoints by name, including closed ones.
+    """
 
     def __init__(self, entries: Iterable[EndpointEntry], index: int = 1) -> None:
         self.state = RegistryState(entries, index)
         self.endpoints: dict[str, RegistryEndpoint] = {}
 
     async def open_endpoint(self, name: str, port: int = 0, view: Iterable[str] | None = None) -> int:
-        """Open a new endpoint, or open again one that was closed.
+        """Open an endpoint, or reopen one that was closed.
 
         Args:
-            name: Identifies it in the other methods.
-            port: The port to listen on; 0: any free one.
-            view: The names of the backends that it shows; None: all.
+            name: The endpoint's name in the other methods.
+            port: The port to listen on; 0 for any free port.
+            view: The names of the backends that its clients see; None for all.
 
         Returns:
             The port.
 
         Raises:
-            OSError: The port is taken.
+            OSError: The port is in use.
         """
         if name not in self.endpoints:
             visible = None if view is None else frozenset(view)
@@ -74,57 +85,75 @@
         return endpoint.port
 
     async def open_endpoints(self, addresses: Iterable[EndpointAddress]) -> None:
-        """Open several endpoints; OSError where a port is taken."""
+        """Open several endpoints.
+
+        Raises:
+            OSError: A port is in use.
+        """
         for address in addresses:
             await self.open_endpoint(address.name, address.port, address.view)
 
     def publish(self, index: int, entries: list[EndpointEntry]) -> float:
         """Apply a change and send it to all watches.
 
+        Args:
+            index: The version of the list with this change.
+            entries: The changed entries.
+
         Returns:
-            When that started, on the machine's monotonic clock.
+            The time when this began, on the machine's monotonic clock.
 
         Raises:
-            StaleVersionError: The version isn't newer than the current one.
+            StaleVersionError: The version is not newer than the current one.
         """
-        started = time.monotonic()
+        started_at = time.monotonic()
         self.state.change(index, entries)
         for endpoint in self.endpoints.values():
             endpoint.send_updates()
-        return started
+        return started_at
 
     def close_endpoints(self, names: Iterable[str]) -> None:
-        """Simulate the loss of the machine: watches are reset, and new connections fail."""
+        """Simulate the failure of the registry's machine: watches are reset, and new connections fail."""
         for name in names:
             self.endpoints[name].close()
 
     def silence(self, names: Iterable[str]) -> None:
-        """Simulate a network partition: open connections are sent nothing, new ones are never answered."""
+        """Simulate a network partition: connections, open and new ones, receive nothing."""
         for name in names:
             self.endpoints[name].is_silent = True
 
     def heal(self, names: Iterable[str]) -> None:
-        """End a simulated partition: connections that hung are reset, new ones are served."""
+        """End a simulated partition: open connections are reset, and new ones are served."""
         for name in names:
             self.endpoints[name].is_silent = False
             self.endpoints[name].reset_connections()
 
     def reset_connections(self, names: Iterable[str], *, forget_log: bool = False) -> None:
-        """Reset the connections of some endpoints; with `forget_log`, watches that return get a snapshot."""
+        """Reset the connections of some endpoints.
+
+        Args:
+            names: The names of the endpoints.
+            forget_log: Whether the log of changes is discarded, so that watches which resume receive a
+                snapshot.
+        """
         if forget_log:
             self.state.forget_log()
         for name in names:
             self.endpoints[name].reset_connections()
 
     def usage(self) -> RegistryUsage:
-        """Read what this process has sent and spent."""
+        """Return the resources that this process has used."""
         endpoints = self.endpoints.values()
         traffic = sum((endpoint.counts for endpoint in endpoints), TrafficCounts())
         open_watches = sum(endpoint.open_watches() for endpoint in endpoints)
         return RegistryUsage(traffic, open_watches, time.process_time())
 
     def endpoint_traffic(self, name: str) -> TrafficCounts:
-        """Count what was sent at one endpoint; KeyError where none has the name."""
+        """Return a copy of one endpoint's traffic counts.
+
+        Raises:
+            KeyError: No endpoint has this name.
+        """
         return replace(self.endpoints[name].counts)
 
     def close(self) -> None:
@@ -133,12 +162,15 @@
 
 
 async def serve_static_list(stack: AsyncExitStack, snapshot: EndpointUpdate) -> int:
-    """Serve an endpoint list that never changes, until the stack ends; each watch receives the complete list.
+    """Serve an endpoint list that never changes until the stack is closed.
+
+    Every watch receives the complete list.
 
     Returns:
         The port.
     """
     registry = Registry(snapshot["endpoints"], snapshot["index"])
-    registry.state.forget_log()  # else a watch from this version on would receive an empty delta
+    # Without this, a watch that resumes from this version would receive an empty delta.
+    registry.state.forget_log()
     stack.callback(registry.close)
     return await registry.open_endpoint("all")
--- a/testbed/discovery/registry_endpoint.py
+++ b/testbed/discovery/registry_endpoint.py
@@ -1,7 +1,8 @@
-"""The listening side of a control machine: one port with its connections, and the traffic it sends.
+"""One listening port of a registry: its connections, the HTTP of discovery, and counts of its traffic.
 
-It owns the HTTP of discovery's protocol (a list on request, a watch with heartbeats) and the ways in which
-a port can fail: closed, silent, connections reset. What is sent is decided in `registry_state`.
+A client requests the endpoint list once, or opens a watch on it. A watch receives every update as one chunk
+of its response, and an empty line as a heartbeat when it is idle. A port can be made to fail: it can be
+closed or silent, and its connections can be reset. `registry_state` builds the messages.
 """
 
 from __future__ import annotations
@@ -18,27 +19,27 @@
 if TYPE_CHECKING:
     from testbed.discovery.registry_state import EncodedUpdate, RegistryState, View
 
-HEARTBEAT_INTERVAL = 2.0  # seconds without a change after which an empty line is due
-TIMER_TOLERANCE = 0.001  # seconds by which a timer may be early
-MAX_REQUEST_BYTES = 4096  # of a request's head
-ACCEPT_BACKLOG = 1024
+HEARTBEAT_INTERVAL = 2.0  # seconds after the last line until a watch is sent a heartbeat
+TIMER_TOLERANCE = 0.001  # seconds by which the event loop may call a timer early
+MAX_REQUEST_BYTES = 4096  # bytes of a request that is not complete yet
+ACCEPT_BACKLOG = 1024  # connections that can wait to be accepted
 LIST_PATH = "/v1/servers"
 OK_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
-NO_WATCH = -1  # the version of a connection that doesn't watch
+NO_WATCH = -1  # the list version of a connection without a watch
 
 
 @dataclass(slots=True)
 class TrafficCounts:
-    """What was sent at some endpoints.
+    """Counts of the traffic that one or more endpoints have sent.
 
     Attributes:
-        sent_bytes: Bytes, heads and framing included.
-        updates: Messages sent in watches.
-        heartbeats: Empty lines.
-        snapshots: Complete lists, in watches and on request.
-        watches: Watches opened.
-        list_requests: Lists requested without a watch.
+        sent_bytes: Bytes, including response heads and chunk framing.
+        updates: Messages sent to watches.
+        heartbeats: Heartbeats sent to watches.
+        snapshots: Complete lists, sent to watches or on request.
+        watches: Watches that were opened.
+        list_requests: Requests for the list without a watch.
     """
 
     sent_bytes: int = 0
@@ -53,11 +54,16 @@
 
 
 class RegistryEndpoint:
-    """One port of a control machine, whose clients see the backends of its view.
+    """One port of a registry; its clients see the backends of its view.
 
     Attributes:
-        port: The port that it listens on; 0 before the first `open` if any free one was asked for.
-        is_silent: Whether it is cut off: it accepts connections, but sends nothing.
+        state: The endpoint list, shared by all endpoints of the registry.
+        port: The port to listen on; 0 for any free port, which `open` replaces by the port that it chose.
+        view: The names of the backends that clients see; None for all.
+        is_silent: Whether the endpoint simulates a network partition: it accepts connections, but sends
+            nothing.
+        counts: The traffic so far.
+        connections: The open connections.
     """
 
     def __init__(self, state: RegistryState, port: int, view: View) -> None:
@@ -68,10 +74,10 @@
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        """Start listening, unless it listens already.
+        """Start listening; no effect if the endpoint is open.
 
         Raises:
-            OSError: The port is taken.
+            OSError: The port is in use.
         """
         if self._server is not None:
             return
@@ -81,33 +87,33 @@
         self.port = port_of(self._server)
 
     def close(self) -> None:
-        """Stop listening and reset all connections, as the loss of the machine does."""
+        """Stop listening and reset all connections, as if the registry's machine had failed."""
         if self._server is not None:
             self._server.close()
             self._server = None
         self.reset_connections()
 
     def reset_connections(self) -> None:
-        """Reset all connections; new ones are accepted."""
+        """Reset all connections; new connections are still accepted."""
         for connection in tuple(self.connections):
             connection.abort()
 
     def send_updates(self) -> None:
-        """Send each watch what it hasn't been sent yet, unless the endpoint is cut off."""
+        """Send each watch the changes since its version, unless the endpoint is silent."""
         if not self.is_silent:
             for connection in tuple(self.connections):
                 connection.send_update()
 
     def open_watches(self) -> int:
-        """Count the connections that watch now."""
+        """Return the number of open watches."""
         return sum(connection.index != NO_WATCH for connection in self.connections)
 
 
 class RegistryConnection(asyncio.Protocol):
-    """One client's connection: it requests the list, or a watch on it.
+    """One client's connection: it requests the list, or opens a watch on it.
 
     Attributes:
-        index: The version that this watch has been sent; `NO_WATCH` where it is none.
+        index: The list version that the watch was last sent; `NO_WATCH` without a watch.
     """
 
     def __init__(self, endpoint: RegistryEndpoint) -> None:
@@ -119,13 +125,13 @@
         self.index = NO_WATCH
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the endpoint."""
+        """Add the connection to the endpoint's set."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._endpoint.connections.add(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Leave the endpoint and stop the heartbeats."""
+        """Remove the connection from the endpoint's set, and stop the heartbeats."""
         self._endpoint.connections.discard(self)
         if self._heartbeat_timer is not None:
             self._heartbeat_timer.cancel()
@@ -136,15 +142,15 @@
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Answer each complete request; a head that grows too long resets the connection."""
+        """Respond to each complete request; reset the connection if a request is too long."""
         self._buffer += data
         while END_OF_HEAD in self._buffer and not self._endpoint.is_silent:
             head, _, self._buffer = self._buffer.partition(END_OF_HEAD)
-            self._answer(head)
+            self._respond(head)
         if len(self._buffer) > MAX_REQUEST_BYTES:
             self.abort()
 
-    def _answer(self, head: bytes) -> None:
+    def _respond(self, head: bytes) -> None:
         request_line = head.partition(b"\r\n")[0].decode("latin-1")
         method, _, target_and_version = request_line.partition(" ")
         target = urlsplit(target_and_version.partition(" ")[0])
@@ -172,7 +178,7 @@
         self._heartbeat_timer = loop.call_later(HEARTBEAT_INTERVAL, self._on_heartbeat_timer)
 
     def _on_heartbeat_timer(self) -> None:
-        """Send a heartbeat if the watch has been idle for long enough, and restart the watch's one timer."""
+        """Send a heartbeat if the watch has been idle for the interval, and restart its timer."""
         loop = asyncio.get_running_loop()
         if loop.time() - self._last_line_at >= HEARTBEAT_INTERVAL - TIMER_TOLERANCE:
             if not self._endpoint.is_silent:
@@ -183,7 +189,7 @@
         self._heartbeat_timer = loop.call_at(due_at, self._on_heartbeat_timer)
 
     def send_update(self) -> None:
-        """Send what this watch hasn't been sent yet."""
+        """Send the changes since the watch's version, if there are any."""
         state = self._endpoint.state
         if self.index in (NO_WATCH, state.index):
             return
@@ -208,7 +214,7 @@
 
 
 def _requested_version(query: dict[str, list[str]]) -> int:
-    """Return the version that a watch asks to resume from; 0, before all of them, where it names none."""
+    """Return the version that a watch resumes from; 0, which is before every version, if it names none."""
     try:
         return int(query["since"][0])
     except (KeyError, ValueError):
--- a/testbed/discovery/registry_state.py
+++ b/testbed/discovery/registry_state.py
@@ -1,7 +1,7 @@
-"""The endpoint list of one control machine: its entries, its version and the log of its last changes.
+"""The endpoint list of one registry: its entries, its version, and a log of its recent changes.
 
-It owns which entries a client is sent (a complete snapshot, or a delta since the client's version) and
-their encoding as JSON, once for each view. It knows nothing of sockets: see `registry_endpoint`.
+The module builds the messages for clients as JSON: a snapshot of the list, or a delta since the client's
+version. `registry_endpoint` sends them.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
     from testbed.discovery.entry import EndpointEntry, EndpointUpdate
 
-MAX_LOG_ENTRIES = 4096  # changed entries that a watch can resume over
-View = frozenset[str] | None  # the names of the backends that a client sees; None: all of them
+MAX_LOG_ENTRIES = 4096  # changed entries in the log; a watch that needs older ones receives a snapshot
+View = frozenset[str] | None  # the names of the backends that a client sees; None for all
 
 
 class StaleVersionError(ValueError):
-    """A change has a version that is not newer than the list's."""
+    """A change has a version that is not newer than the version of the list."""
 
     def __init__(self, index: int, current: int) -> None:
         super().__init__(f"version {index} is not newer than {current}")
@@ -35,8 +35,8 @@
 
     Attributes:
         line: The message as one line of JSON.
-        is_snapshot: Whether it holds the complete list rather than a delta.
-        has_entries: Whether there is anything in it for this view.
+        is_snapshot: Whether it is a snapshot rather than a delta.
+        has_entries: Whether it has any entries for its view.
     """
 
     line: bytes
@@ -45,21 +45,25 @@
 
 
 class RegistryState:
-    """The endpoint list, its version, and the log that deltas are made from."""
+    """The endpoint list, its version, and the log that deltas are built from.
+
+    Attributes:
+        index: The version of the list.
+    """
 
     def __init__(self, entries: Iterable[EndpointEntry], index: int = 1) -> None:
         self.index = index
         self._entries = {entry["name"]: entry for entry in entries}
         self._log: deque[tuple[int, EndpointEntry]] = deque()
-        self._oldest_index = index  # the oldest version from which the log holds every change
-        self._oldest_resumable = index  # the oldest version that a new watch may resume from
+        self._oldest_index = index  # the log has every change after this version
+        self._oldest_resumable = index  # a new watch from an older version receives a snapshot
         self._encoded: dict[tuple[View, int], EncodedUpdate | None] = {}
 
     def change(self, index: int, entries: list[EndpointEntry]) -> None:
-        """Apply one version's entries.
+        """Apply the changed entries of one version.
 
         Raises:
-            StaleVersionError: The version isn't newer than the current one.
+            StaleVersionError: The version is not newer than the current one.
         """
         if index <= self.index:
             raise StaleVersionError(index, self.index)
@@ -78,7 +82,10 @@
             self._entries[entry["name"]] = entry
 
     def forget_log(self) -> None:
-        """Discard the log, as a restart does: a watch that resumes from this version or before gets all."""
+        """Discard the log, as a restart does.
+
+        A new watch that resumes from the current version or an older one receives a snapshot.
+        """
         self._log.clear()
         self._oldest_index, self._oldest_resumable = self.index, self.index + 1
         self._encoded.clear()
@@ -89,13 +96,13 @@
         return EncodedUpdate(self._encode(entries, is_snapshot=True), is_snapshot=True, has_entries=True)
 
     def resume(self, index: int, view: View) -> EncodedUpdate:
-        """Encode what a new watch that resumes from a version is sent first."""
+        """Encode the first message for a new watch that resumes from a version."""
         if index < self._oldest_resumable:
             return self.snapshot(view)
         return self.since(index, view)
 
     def since(self, index: int, view: View) -> EncodedUpdate:
-        """Encode what changed after a version; a snapshot if the log doesn't reach back that far."""
+        """Encode the changes after a version; a snapshot if the log no longer has all of them."""
         if not self._oldest_index <= index <= self.index:
             return self.snapshot(view)
         latest: dict[str, EndpointEntry] = {}
@@ -109,9 +116,9 @@
         return EncodedUpdate(line, is_snapshot=False, has_entries=bool(entries))
 
     def pending_update(self, index: int, view: View) -> EncodedUpdate | None:
-        """Return what an open watch at a version has yet to be sent; None if nothing concerns its view.
+        """Return the changes after an open watch's version; None if none of them is in its view.
 
-        It is encoded once for all watches with the same view and version.
+        The message is encoded once for all watches with the same view and version.
         """
         key = (view, index)
         if key not in self._encoded:
