--- a/testbed/child_process.py
+++ b/testbed/child_process.py
@@ -1,6 +1,6 @@
-"""Child processes that each run one object: calls go over a pipe, one by one, into the child's event loop.
+"""Child processes that each run one object, whose methods the parent calls over a pipe.
 
-This module owns the processes and the calls; it knows nothing of the objects that run there.
+The child performs the calls in order, one at a time, in its event loop.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
     from multiprocessing.connection import Connection
     from types import TracebackType
 
-CALL_TIMEOUT = 120.0  # seconds that one call may take
-EXIT_TIMEOUT = 5.0  # seconds in which a child ends by itself
+CALL_TIMEOUT = 120.0  # seconds to wait for the result of a call
+EXIT_TIMEOUT = 5.0  # seconds to wait for a child to exit, before and after SIGKILL
 
 
 class ChildError(RuntimeError):
@@ -36,7 +36,7 @@
 
 
 class ChildTimeoutError(ChildError):
-    """A call took too long."""
+    """A call returned no result before its timeout."""
 
     def __init__(self, seconds: float) -> None:
         super().__init__(f"no result within {seconds:g} s")
@@ -47,7 +47,7 @@
     """A call raised an exception in the child.
 
     Attributes:
-        traceback: The exception's traceback, as text.
+        traceback: The exception's traceback as text.
     """
 
     def __init__(self, traceback: str) -> None:
@@ -64,14 +64,17 @@
 
 @dataclass(slots=True, frozen=True)
 class _Reply:
-    """What a call returned, or the traceback of what it raised."""
+    """The return value of a call, or the traceback of the exception that it raised."""
 
     value: Any = None
     error: str | None = None
 
 
 class ChildProcess:
-    """A process that runs the object `factory(*args)`, whose methods and coroutines are called by name."""
+    """A process that runs the object `factory(*args)`.
+
+    The parent calls the object's methods and coroutines by name.
+    """
 
     def __init__(self, factory: Callable[..., Any], *args: Any) -> None:
         context = multiprocessing.get_context("spawn")
@@ -82,7 +85,7 @@
         self.pid = self._process.pid or 0
 
     def send(self, method: str, *args: Any, **kwargs: Any) -> None:
-        """Start a call; each one must be followed by one `result`.
+        """Start a call without waiting for its result; each `send` needs one `result`.
 
         Raises:
             ChildEndedError: The child has ended.
@@ -93,14 +96,14 @@
             raise ChildEndedError from error
 
     def result(self, timeout: float = CALL_TIMEOUT) -> Any:
-        """Wait for the result of the oldest call that was started.
+        """Wait for the result of the oldest call whose result has not been read.
 
         Args:
-            timeout: Seconds to wait at most.
+            timeout: Seconds to wait.
 
         Raises:
             CallFailedError: The call raised an exception.
-            ChildTimeoutError: The call takes longer.
+            ChildTimeoutError: There was no result before the timeout.
             ChildEndedError: The child has ended.
         """
         try:
@@ -117,17 +120,17 @@
         """Call a method and wait for its result.
 
         Raises:
-            ChildError: As in `send` and `result`.
+            ChildError: The call failed; see `send` and `result`.
         """
         self.send(method, *args, **kwargs)
         return self.result()
 
     def usage(self) -> Usage:
-        """Read what the process has spent, without calling into it."""
+        """Return the process's resource usage, read from the operating system without a call to the child."""
         return process_usage(self.pid)
 
     def close(self) -> None:
-        """End the process."""
+        """Stop the process: close the pipe, and send SIGKILL if the child does not exit."""
         self._pipe.close()
         self._process.join(EXIT_TIMEOUT)
         if self._process.is_alive():
@@ -144,20 +147,20 @@
 
 
 def call_all(children: Iterable[ChildProcess], method: str, *args: Any, **kwargs: Any) -> list[Any]:
-    """Make the same call in several children at once, and return their results in order."""
-    called = list(children)
-    for child in called:
+    """Make the same call in several children concurrently, and return their results in the given order."""
+    targets = list(children)
+    for child in targets:
         child.send(method, *args, **kwargs)
-    return [child.result() for child in called]
+    return [child.result() for child in targets]
 
 
 def _serve(pipe: Connection, factory: Callable[..., Any], args: tuple[Any, ...]) -> None:
     with contextlib.suppress(KeyboardInterrupt):
-        asyncio.run(_answer_calls(pipe, factory, args))
+        asyncio.run(_serve_calls(pipe, factory, args))
 
 
-async def _answer_calls(pipe: Connection, factory: Callable[..., Any], args: tuple[Any, ...]) -> None:
-    """Answer calls until the parent has closed its end of the pipe."""
+async def _serve_calls(pipe: Connection, factory: Callable[..., Any], args: tuple[Any, ...]) -> None:
+    """Perform calls and send their results until the parent closes its end of the pipe."""
     calls: asyncio.Queue[_Call | None] = asyncio.Queue()
     loop = asyncio.get_running_loop()
 
--- a/testbed/deploy_file.py
+++ b/testbed/deploy_file.py
@@ -1,4 +1,4 @@
-"""The deploy file of a tree: how its program is built and run."""
+"""Reads the deploy file of a source tree, which says how the tree's program is built and run."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from testbed.paths import PROJECT_ROOT
 
-DEPLOY_FILE = Path("deploy", "balancer.toml")  # in a tree
+DEPLOY_FILE = Path("deploy", "balancer.toml")  # relative to the root of a source tree
 DEPLOYED_INTERPRETER = ".venv/bin/python"
 DEPLOYED_PROGRAM = f"{DEPLOYED_INTERPRETER} -m proxy"
 
@@ -19,7 +19,7 @@
 
 
 class UnreadableDeployFileError(DeployFileError):
-    """A deploy file can't be read, or is no TOML."""
+    """A deploy file can't be read, or is not valid TOML."""
 
     def __init__(self, path: Path, error: Exception) -> None:
         super().__init__(f"{path} can't be read: {error}")
@@ -27,7 +27,7 @@
 
 
 class MissingDeployKeyError(DeployFileError):
-    """A deploy file lacks a key, or its value is no text."""
+    """A deploy file lacks a key, or the key's value is not a non-empty string."""
 
     def __init__(self, path: Path, key: str) -> None:
         super().__init__(f"{path} has no {key}")
@@ -35,7 +35,7 @@
 
 
 class UnknownRunCommandError(DeployFileError):
-    """This tree's `run` does not start the program in the expected way."""
+    """The `run` key of this tree's deploy file does not contain `DEPLOYED_PROGRAM`."""
 
     def __init__(self, command: str) -> None:
         super().__init__(f"run in the deploy file does not contain {DEPLOYED_PROGRAM!r}: {command}")
@@ -43,10 +43,10 @@
 
 
 def read_deploy_file(root: Path) -> dict[str, object]:
-    """Read the deploy file of a tree.
+    """Read the deploy file of a source tree.
 
     Raises:
-        UnreadableDeployFileError: There is none, or it is no TOML.
+        UnreadableDeployFileError: The file does not exist, can't be read, or is not valid TOML.
     """
     path = root / DEPLOY_FILE
     try:
@@ -56,10 +56,10 @@
 
 
 def deploy_text(deploy: dict[str, object], key: str, root: Path) -> str:
-    """Return the text of a key in the deploy file of a tree.
+    """Return the string that the deploy file of a source tree has under a key.
 
     Raises:
-        MissingDeployKeyError: The key is missing or empty, or its value is no text.
+        MissingDeployKeyError: The key is missing or empty, or its value is not a string.
     """
     value = deploy.get(key)
     if not isinstance(value, str) or not value:
@@ -68,13 +68,14 @@
 
 
 def run_command(module: str = "proxy") -> str:
-    """Return this tree's `run` as a shell command, with the present interpreter.
+    """Return this tree's `run` command for the shell, with the interpreter of this process.
 
     Args:
-        module: The module that runs in place of the program.
+        module: The module to run instead of `proxy`.
 
     Raises:
-        UnknownRunCommandError: `run` does not name the program in the expected way.
+        DeployFileError: The deploy file can't be read, or lacks the key.
+        UnknownRunCommandError: `run` does not contain `DEPLOYED_PROGRAM`.
     """
     command = deploy_text(read_deploy_file(PROJECT_ROOT), "run", PROJECT_ROOT)
     if DEPLOYED_PROGRAM not in command:
--- a/testbed/processes.py
+++ b/testbed/processes.py
@@ -1,7 +1,4 @@
-"""Real processes: starting and stopping them, lines over their pipes, and what they have used.
-
-This module knows nothing of what the processes do or of the meaning of their lines.
-"""
+"""Starts and stops child processes, exchanges lines with them over pipes, and reads their resource usage."""
 
 from __future__ import annotations
 
@@ -22,18 +19,18 @@
     from collections.abc import Mapping, Sequence
     from contextlib import AsyncExitStack
 
-STARTUP_TIMEOUT = 10.0  # seconds in which a process has to be ready
-LINE_LIMIT = 16 << 20  # bytes of one line that a process prints
-CONFIGURATION_PREFIX = "RELAY_"  # of the environment variables that configure a proxy
-HANGUP_BIT = 1 << (signal.SIGHUP - 1)  # in the signal masks of /proc
+STARTUP_TIMEOUT = 10.0  # seconds until a process has to be ready
+LINE_LIMIT = 16 << 20  # bytes of one line of a process's output
+CONFIGURATION_PREFIX = "RELAY_"  # prefix of the environment variables that configure a proxy
+HANGUP_BIT = 1 << (signal.SIGHUP - 1)  # bit of SIGHUP in the signal masks of /proc
 
 
 class ProcessError(RuntimeError):
-    """A process did not start in time, or has ended."""
+    """Base class of errors of child processes."""
 
 
 class NoOutputError(ProcessError):
-    """A process printed no line in time."""
+    """A process printed no line before the timeout."""
 
     def __init__(self, pid: int, seconds: float) -> None:
         super().__init__(f"process {pid} printed no line within {seconds:.0f} s")
@@ -41,7 +38,7 @@
 
 
 class OutputEndedError(ProcessError):
-    """A process closed its standard output, most likely because it ended."""
+    """A process closed its standard output, probably because it ended."""
 
     def __init__(self, pid: int) -> None:
         super().__init__(f"process {pid} ended early")
@@ -49,7 +46,7 @@
 
 
 class ProcessEndedError(ProcessError):
-    """A process has ended, so that it can't be sent a signal."""
+    """A signal can't be sent because the process has ended."""
 
     def __init__(self, pid: int, exit_code: int) -> None:
         super().__init__(f"process {pid} ended with {exit_code}")
@@ -57,7 +54,7 @@
 
 
 class UnreadableUsageError(ProcessError):
-    """What a process has used can't be read, most likely because it has ended."""
+    """The resource usage of a process can't be read, probably because the process has ended."""
 
     def __init__(self, pid: int, error: psutil.Error) -> None:
         super().__init__(f"the usage of process {pid} can't be read: {error}")
@@ -66,13 +63,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessUsage:
-    """What a process has used since its start.
+    """The resources that a process has used since its start.
 
     Attributes:
-        processor: Processor time in seconds, user and system; in steps of 10 ms on Linux, unlike that of
-            `testbed.meter`, which is exact.
-        resident: Bytes of memory that are resident now.
-        preemptions: Involuntary context switches.
+        processor: Processor time in seconds, user and system. It has steps of 10 ms on Linux; the time that
+            `testbed.meter` reads is exact.
+        resident: Current resident memory in bytes.
+        preemptions: Number of involuntary context switches.
     """
 
     processor: float
@@ -81,7 +78,7 @@
 
 
 class ManagedProcess:
-    """A process that talks in lines over its standard input and output."""
+    """A child process that exchanges lines over its standard input and output."""
 
     def __init__(self, process: Process) -> None:
         self._process = process
@@ -97,7 +94,7 @@
         return self._process.returncode
 
     async def write_line(self, line: bytes) -> None:
-        """Write one line, given with its end, to the standard input."""
+        """Write one line, which includes its newline, to the standard input."""
         assert self._process.stdin is not None
         self._process.stdin.write(line)
         await self._process.stdin.drain()
@@ -105,9 +102,12 @@
     async def read_line(self, within: float) -> bytes:
         """Read the next line of the standard output.
 
+        Args:
+            within: The timeout in seconds.
+
         Raises:
-            NoOutputError: There is none within so many seconds.
-            OutputEndedError: The output has ended.
+            NoOutputError: The process printed no line before the timeout.
+            OutputEndedError: The process closed its standard output.
         """
         assert self._process.stdout is not None
         try:
@@ -120,13 +120,21 @@
         return line
 
     def send_signal(self, number: int) -> None:
-        """Send a signal; ProcessEndedError where the process has ended."""
+        """Send a signal.
+
+        Raises:
+            ProcessEndedError: The process has ended.
+        """
         if self.returncode is not None:
             raise ProcessEndedError(self.pid, self.returncode)
         self._process.send_signal(number)
 
     def usage(self) -> ProcessUsage:
-        """Read what the process has used so far; UnreadableUsageError where it has ended."""
+        """Return the resources that the process has used.
+
+        Raises:
+            UnreadableUsageError: The process has ended.
+        """
         try:
             process = psutil.Process(self.pid)
             times = process.cpu_times()
@@ -136,7 +144,7 @@
             raise UnreadableUsageError(self.pid, error) from error
 
     async def stop(self) -> None:
-        """Kill the process, and wait until it is gone."""
+        """Send SIGKILL to the process if it still runs, and wait until it has ended."""
         if self.returncode is None:
             self._process.kill()
         await self._process.wait()
@@ -148,10 +156,10 @@
 
 
 def survives_hangup(pid: int) -> bool:
-    """Return whether a process ignores or handles SIGHUP now; False where there is no such process.
+    """Return whether a process ignores or handles SIGHUP now; False if the process does not exist.
 
-    The shell that runs the deploy file's command does neither in its first moments, which the program can't
-    change.
+    The shell that runs the deploy file's command does neither at its start, so SIGHUP ends it. The program
+    can't prevent that.
     """
     try:
         status = Path(f"/proc/{pid}/status").read_text()
@@ -162,7 +170,7 @@
 
 
 def python_command(*arguments: str) -> tuple[str, ...]:
-    """Return the command that runs this interpreter with the arguments."""
+    """Return the command that runs the interpreter of this process with the arguments."""
     return (sys.executable, *arguments)
 
 
@@ -175,15 +183,15 @@
     environment: Mapping[str, str] | None = None,
     discard_stderr: bool = False,
 ) -> ManagedProcess:
-    """Start a process that is killed when the stack ends.
+    """Start a process.
 
     Args:
-        stack: Ends the process.
+        stack: Kills the process when it is closed.
         command: The program and its arguments.
-        cores: The processor cores that it may run on.
-        cwd: Its working directory; Python modules come from there first.
-        environment: Variables beside those inherited.
-        discard_stderr: Whether its standard error is discarded; otherwise it is this process's.
+        cores: The processor cores that the process may run on.
+        cwd: The working directory; `python -m` searches it for modules first.
+        environment: Environment variables in addition to the inherited ones.
+        discard_stderr: Whether standard error is discarded; otherwise the process inherits it.
     """
     process = await asyncio.create_subprocess_exec(
         *command,
--- a/testbed/proxy_config.py
+++ b/testbed/proxy_config.py
@@ -1,4 +1,4 @@
-"""The configuration file of a real proxy: its form, and writing it while a proxy may read it."""
+"""Writes the configuration file of a proxy, atomically, because the proxy can read it at any time."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     from testbed.discovery.entry import EndpointUpdate
 
-LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
+LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}  # the `limits` object of every file
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,12 +24,12 @@
 
     Attributes:
         name: The proxy's name.
-        port: Where it listens.
-        discovery_port: Where its discovery listens.
-        seed: Hexadecimal digits.
+        port: The port that it listens on.
+        discovery_port: The port of the registry that it watches.
+        seed: The seed of its random generator, as hexadecimal digits.
         known: The endpoint list that it starts with.
-        settings: Its settings, in the form of the file.
-        version: The label of the file's version; None where it has none.
+        settings: The `settings` object of the file.
+        version: The version label of the file; None for no label.
     """
 
     name: str
@@ -41,10 +41,10 @@
     version: str | None = None
 
     def write(self, path: Path) -> None:
-        """Write the file in one step: a reader sees either the old file or the new one."""
-        new = path.with_suffix(".new")
-        new.write_bytes(orjson.dumps(self._as_dict()))
-        new.replace(path)
+        """Write the file atomically: a reader sees either the old file or the new one."""
+        temporary_path = path.with_suffix(".new")
+        temporary_path.write_bytes(orjson.dumps(self._as_dict()))
+        temporary_path.replace(path)
 
     def _as_dict(self) -> dict[str, object]:
         return {
--- a/testbed/proxy_program.py
+++ b/testbed/proxy_program.py
@@ -1,6 +1,6 @@
-"""The program of a proxy: the tree that it comes from, and the command that starts it.
+"""The program of a proxy: its source tree, and the command that starts it.
 
-The command comes from each tree's own deploy file, so that a tree whose packages have other names can be
+The command comes from the deploy file of the source tree, so that a tree with other package names can be
 measured too.
 """
 
@@ -20,11 +20,11 @@
 
 
 class ProgramError(RuntimeError):
-    """The command of a tree's deploy file can't start its proxy."""
+    """The `run` command of a source tree can't start its proxy."""
 
 
 class UnparsableRunError(ProgramError):
-    """A deploy file's `run` is no shell command."""
+    """The `run` command of a deploy file can't be parsed as a shell command."""
 
     def __init__(self, root: Path, error: ValueError) -> None:
         super().__init__(f"{root / DEPLOY_FILE}: run can't be read: {error}")
@@ -32,7 +32,7 @@
 
 
 class MissingModuleError(ProgramError):
-    """A deploy file's `run` names no Python module."""
+    """The `run` command of a deploy file does not name a Python module with `-m`."""
 
     def __init__(self, root: Path) -> None:
         super().__init__(f"{root / DEPLOY_FILE}: run names no module by -m")
@@ -40,7 +40,7 @@
 
 
 class TreeNotBuiltError(ProgramError):
-    """A tree lacks the interpreter that its deploy file's `build` creates."""
+    """A source tree lacks the interpreter that its `build` command creates."""
 
     def __init__(self, root: Path, interpreter: Path, build: str) -> None:
         super().__init__(f"{root} has no {interpreter}: build it first, from there, by {build}")
@@ -49,26 +49,32 @@
 
 @dataclass(slots=True, frozen=True)
 class ProxyProgram:
-    """The proxy of one tree; `command` is run from the tree's root."""
+    """The proxy of one source tree.
+
+    Attributes:
+        root: The root of the tree, which is the working directory of the command.
+        command: The command that starts the proxy.
+    """
 
     root: Path
     command: tuple[str, ...]
 
     @classmethod
     def of_tree(cls, root: Path) -> ProxyProgram:
-        """Find the command that starts the proxy of a tree.
+        """Find the command that starts the proxy of a source tree.
 
-        The proxy of this tree runs in the present interpreter, which needs no build and has the versions of
-        the libraries that a result names. That of any other tree runs by its own deploy file's `run`, in a
-        shell; `exec` in that command makes the process the proxy itself, which gets the signals.
+        The proxy of this tree runs in the interpreter of this process. It needs no build, and it uses the
+        library versions that a result names. The proxy of any other tree is started by a shell with the `run`
+        command of its deploy file. The `exec` in that command replaces the shell, so that signals reach the
+        proxy itself.
 
         Raises:
             DeployFileError: The deploy file can't be read, or lacks a key.
-            ProgramError: Its command can't start the proxy, or the tree has not been built.
+            ProgramError: The command can't start the proxy, or the tree has not been built.
         """
         deploy = read_deploy_file(root)
         run = deploy_text(deploy, "run", root)
-        words = _words(run, root)
+        words = _command_words(run, root)
         if root.resolve() == PROJECT_ROOT:
             return cls(root, python_command("-m", _module(words, root)))
         interpreter = Path(words[0]) if words else Path()
@@ -84,7 +90,14 @@
         *,
         discard_stderr: bool = False,
     ) -> ManagedProcess:
-        """Start a proxy with a configuration file, on these cores; it is killed when the stack ends."""
+        """Start a proxy with a configuration file.
+
+        Args:
+            stack: Kills the proxy when it is closed.
+            cores: The processor cores that the proxy may run on.
+            configuration: The path of the configuration file.
+            discard_stderr: Whether the proxy's standard error is discarded.
+        """
         return await start_process(
             stack,
             self.command,
@@ -95,8 +108,8 @@
         )
 
 
-def _words(run: str, root: Path) -> list[str]:
-    """Split a command into the words of the program that the shell becomes by `exec`."""
+def _command_words(run: str, root: Path) -> list[str]:
+    """Return the words of a shell command, from after `exec` if it has one."""
     try:
         words = shlex.split(run)
     except ValueError as error:
@@ -105,7 +118,7 @@
 
 
 def _module(words: list[str], root: Path) -> str:
-    """Return the module that a command of the form `PYTHON -m MODULE` runs."""
+    """Return the module name of a command of the form `PYTHON -m MODULE`."""
     if "-m" not in words[:-1]:
         raise MissingModuleError(root)
     return words[words.index("-m") + 1]
