--- a/testbed/__init__.py
+++ b/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what surrounds a proxy, and the start of real ones: for emulator, soak and tests."""
+"""Stub backends, a discovery registry and process control for the emulator, the soak test and the tests."""
--- a/testbed/backend_stub.py
+++ b/testbed/backend_stub.py
@@ -1,8 +1,9 @@
-"""A stub backend: one process that listens on many ports and answers every request with 200 at once.
+"""A stub backend: one process that listens on many ports and responds 200 to every request immediately.
 
-Run as `python -m testbed.backend_stub --ports N --seconds S`; it prints its ports as one JSON line. It
-simulates no work and no failures, because it must cost little where a proxy is measured: the backends of
-`soak.backends`, which record and misbehave, and the scripted ones of the tests are separate for that reason.
+Run it as `python -m testbed.backend_stub --ports N --seconds S`. It prints its ports as one line of JSON.
+It simulates no work and no failures, so that it uses little processor time while a proxy is measured.
+For that reason it is separate from `soak.backends`, which records requests and simulates failures, and from
+the scripted backends of the tests.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 from testbed.loopback import HOST, port_of
 
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndone\n"
-BACKLOG = 1024  # connections that may wait to be accepted at each port
+ACCEPT_BACKLOG = 1024  # connections that can wait to be accepted, for each port
 
 
 class BackendConnection(asyncio.Protocol):
-    """One persistent connection: each complete request receives the same small response."""
+    """One persistent connection; every complete request receives the same small response."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport, and create a request parser."""
@@ -30,14 +31,14 @@
         self._parser = httptools.HttpRequestParser(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has arrived; a malformed request ends the connection."""
+        """Parse received bytes; a malformed request resets the connection."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self._transport.abort()
 
     def on_message_complete(self) -> None:
-        """Parser callback: a request is complete with its body; respond to it."""
+        """Respond to a request whose body is complete; called by the parser."""
         self._transport.write(RESPONSE)
         if not self._parser.should_keep_alive():
             self._transport.close()
@@ -47,17 +48,21 @@
         del self._parser
 
 
-async def listen(count: int) -> list[asyncio.Server]:
-    """Serve on so many free ports of the loopback address."""
+async def listen(port_count: int) -> list[asyncio.Server]:
+    """Listen on `port_count` free ports of the loopback address."""
     loop = asyncio.get_running_loop()
-    return [await loop.create_server(BackendConnection, HOST, 0, backlog=BACKLOG) for _ in range(count)]
+    return [
+        await loop.create_server(BackendConnection, HOST, 0, backlog=ACCEPT_BACKLOG)
+        for _ in range(port_count)
+    ]
 
 
-async def serve(count: int, seconds: float) -> None:
-    """Print the ports, then serve for `seconds` at most."""
-    servers = await listen(count)
+async def serve(port_count: int, seconds: float) -> None:
+    """Print the ports, then serve for `seconds`."""
+    servers = await listen(port_count)
     print(json.dumps([port_of(server) for server in servers]), flush=True)
-    # A full collection over all imported objects takes milliseconds, which would show in measured latencies.
+    # A full garbage collection of all imported objects takes milliseconds, which would distort the measured
+    # latencies. Freezing excludes these objects from later collections.
     gc.collect()
     gc.freeze()
     await asyncio.sleep(seconds)
@@ -65,9 +70,9 @@
 
 @click.command()
 @click.option("--ports", type=click.IntRange(1, 1024), required=True, help="How many ports to listen on.")
-@click.option("--seconds", type=click.FloatRange(0, 3600), required=True, help="When to end at the latest.")
+@click.option("--seconds", type=click.FloatRange(0, 3600), required=True, help="How long to serve.")
 def command(ports: int, seconds: float) -> None:
-    """Answer 200 on so many free ports, which are printed as one JSON line."""
+    """Respond 200 to every request on free ports, which are printed as one line of JSON."""
     asyncio.run(serve(ports, seconds))
 
 
--- a/testbed/http_messages.py
+++ b/testbed/http_messages.py
@@ -1,4 +1,4 @@
-"""Pieces of HTTP/1.1 messages that the stand-ins read and write."""
+"""Reads and writes the HTTP/1.1 messages of stub backends, registries and test clients."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
     import asyncio
 
 END_OF_HEAD = b"\r\n\r\n"
-CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"  # of a watch's response
+CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"  # head of the response to a watch
 
 
 def read_headers(head: bytes) -> dict[bytes, bytes]:
-    """Return the headers of a message's head, by their names in lower case."""
+    """Return the header values of a message's head by header name in lower case."""
     pairs = (line.partition(b":") for line in head.split(b"\r\n")[1:])
     return {name.lower(): value.strip() for name, _, value in pairs}
 
 
 def content_length(headers: dict[bytes, bytes]) -> int:
-    """Return the length of a message's body in bytes; 0 where the headers name none."""
+    """Return the length of a message's body in bytes; 0 without a Content-Length header."""
     return int(headers.get(b"content-length", b"0"))
 
 
 async def read_message(reader: asyncio.StreamReader) -> bytes:
-    """Read one message whose body's length is its Content-Length, and return its bytes.
+    """Read one message with the body that its Content-Length announces, and return its bytes.
 
     Raises:
         asyncio.IncompleteReadError: The connection was closed before the message was complete.
--- a/testbed/loopback.py
+++ b/testbed/loopback.py
@@ -1,7 +1,4 @@
-"""The loopback address that all stand-ins and proxies of a testbed listen on, its ports and its sockets.
-
-This module neither listens nor connects: servers and clients are in the modules of their roles.
-"""
+"""The loopback address that backends, registries and proxies listen on, and helpers for its ports."""
 
 from __future__ import annotations
 
@@ -16,14 +13,15 @@
 
 HOST = "127.0.0.1"
 
-#: Below the ephemeral ports: a client that connects to a closed port must not be connected to itself.
+#: The range is below the ephemeral ports. A client that connects to a closed port in the ephemeral range can
+#: be connected to itself, because its own port is drawn from that range.
 PORTS = range(20000, 32000)
 
-LINGER_FOR_NO_TIME = struct.pack("ii", 1, 0)  # the socket option's value: on, 0 seconds
+ZERO_LINGER = struct.pack("ii", 1, 0)  # value of SO_LINGER: enabled, 0 seconds
 
 
 class NoFreePortsError(OSError):
-    """There are not enough free ports."""
+    """Not enough ports of `PORTS` are free."""
 
     def __init__(self, count: int) -> None:
         super().__init__(f"no {count} free ports from {PORTS.start} to {PORTS.stop}")
@@ -36,21 +34,21 @@
 
 
 def reset_on_close(sock: socket.socket) -> None:
-    """Have a socket reset its connection when it is closed."""
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_FOR_NO_TIME)
+    """Make a socket reset its connection when it is closed."""
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
 
 
 def free_ports(count: int, rng: np.random.Generator) -> list[int]:
-    """Find ports of the loopback address that nothing listens on now.
+    """Find free ports of the loopback address.
 
     Args:
-        count: How many are needed.
-        rng: Draws where the search begins, so that two runs at once seldom try the same ports.
+        count: The number of ports.
+        rng: Chooses the port at which the search begins, so that concurrent runs rarely try the same ports.
 
     Raises:
-        NoFreePortsError: There are not enough.
+        NoFreePortsError: Not enough ports are free.
     """
-    found: list[int] = []
+    free: list[int] = []
     for port in np.roll(np.array(PORTS), int(rng.integers(len(PORTS)))):
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -58,7 +56,7 @@
                 sock.bind((HOST, int(port)))
             except OSError:
                 continue
-        found.append(int(port))
-        if len(found) == count:
-            return found
+        free.append(int(port))
+        if len(free) == count:
+            return free
     raise NoFreePortsError(count)
--- a/testbed/meter.py
+++ b/testbed/meter.py
@@ -1,7 +1,4 @@
-"""What a process spends: processor time and resident memory, and the worst ten seconds of a growing sum.
-
-This module owns the readings; its callers decide which process is read when.
-"""
+"""Measures a process's processor time and resident memory, and the growth rate of a cumulative value."""
 
 from __future__ import annotations
 
@@ -15,17 +12,17 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-WORST_WINDOW = 10.0  # seconds: the length of the window with the largest growth
+WORST_WINDOW = 10.0  # seconds in which the largest growth of a series is measured
 MB = 1 << 20
 
 
 @dataclass(slots=True, frozen=True)
 class Usage:
-    """What a process has spent.
+    """The resources that a process uses.
 
     Attributes:
         processor: Processor time since its start in seconds, user and system.
-        memory: Resident memory now in bytes.
+        memory: Current resident memory in bytes.
     """
 
     processor: float
@@ -33,15 +30,18 @@
 
 
 def own_usage() -> Usage:
-    """Read what this process has spent; its processor time to the clock's resolution."""
+    """Return the usage of this process; its processor time has the resolution of the clock."""
     return Usage(time.process_time(), psutil.Process().memory_info().rss)
 
 
 def process_usage(pid: int) -> Usage:
-    """Read what another process has spent; psutil.Error where it has ended.
+    """Return the usage of another process.
+
+    The processor time is the exact time that the scheduler reports for the process's current threads. If the
+    kernel does not report it, the time is in ticks of 10 ms.
 
-    Its processor time is the scheduler's, exact, of the threads it has now; where the kernel does not report
-    that, it is in ticks of 10 ms.
+    Raises:
+        psutil.Error: The process has ended.
     """
     process = psutil.Process(pid)
     with process.oneshot():
@@ -54,49 +54,50 @@
 
 
 def _scheduled_seconds(pid: int) -> float | None:
-    """Sum the time that the scheduler gave to a process's threads; None if the kernel doesn't report it."""
+    """Return the sum of the running times of a process's threads; None if the kernel does not report it."""
     try:
-        texts = [file.read_text() for file in Path(f"/proc/{pid}/task").glob("*/schedstat")]
+        schedstats = [file.read_text() for file in Path(f"/proc/{pid}/task").glob("*/schedstat")]
     except OSError:
         return None
-    return sum(int(text.split()[0]) for text in texts) / 1e9 if texts else None
+    # The first field of each file is the thread's running time in nanoseconds.
+    return sum(int(schedstat.split()[0]) for schedstat in schedstats) / 1e9 if schedstats else None
 
 
 def total_usage(pids: Iterable[int]) -> Usage:
-    """Sum what several processes have spent."""
+    """Return the sum of the usages of several processes."""
     usages = [process_usage(pid) for pid in pids]
     return Usage(sum(usage.processor for usage in usages), sum(usage.memory for usage in usages))
 
 
 class Series:
-    """Readings of a sum that only grows, each with its time in seconds."""
+    """Readings of a cumulative value, each with its time in seconds."""
 
     def __init__(self) -> None:
         self._readings: list[tuple[float, float]] = []
 
     def add(self, at: float, value: float) -> None:
-        """Append a reading; times must ascend."""
+        """Append a reading; the times must be in ascending order."""
         self._readings.append((at, value))
 
     def mean(self) -> float:
-        """Return the growth a second over all readings; 0 where they span no time."""
+        """Return the mean growth per second over all readings; 0 if they span no time."""
         return _mean_growth(self._readings)
 
     def growth(self) -> float:
-        """Return the growth from the first reading to the last."""
+        """Return the growth from the first reading to the last; 0 without readings."""
         return self._readings[-1][1] - self._readings[0][1] if self._readings else 0.0
 
     def worst(self, window: float = WORST_WINDOW) -> float:
-        """Return the growth a second in the worst `window` seconds.
+        """Return the growth per second in the `window` seconds with the largest growth.
 
-        A shorter series counts as standing still before and after.
+        The value counts as constant before the first reading and after the last one.
         """
-        worst, first = 0.0, 0
+        max_growth, first = 0.0, 0
         for at, value in self._readings:
             while at - self._readings[first][0] > window:
                 first += 1
-            worst = max(worst, value - self._readings[first][1])
-        return worst / window
+            max_growth = max(max_growth, value - self._readings[first][1])
+        return max_growth / window
 
 
 def _mean_growth(readings: Sequence[tuple[float, float]]) -> float:
--- a/testbed/paths.py
+++ b/testbed/paths.py
@@ -1,4 +1,4 @@
-"""Where the project's files are."""
+"""Paths of the project."""
 
 from __future__ import annotations
 
