--- a/soak/client_connection.py
+++ b/soak/client_connection.py
@@ -9,9 +9,9 @@
 from testbed.http_messages import END_OF_HEAD, content_length, read_headers
 from testbed.loopback import HOST, reset_on_close
 
-SLOW_READ_BYTES = 20_000  # that a slow reader reads at once
-SLOW_READ_PAUSE = 0.02  # seconds between two of its reads
-SMALL_RECEIVE_BUFFER = 4096  # bytes, of a slow reader
+SLOW_READ_BYTES = 20_000  # bytes of one read of a slow reader
+SLOW_READ_PAUSE = 0.02  # seconds between two reads of a slow reader
+SMALL_RECEIVE_BUFFER = 4096  # bytes of a slow reader's receive buffer
 
 
 @dataclass(slots=True, frozen=True)
@@ -19,9 +19,9 @@
     """One response as a client received it.
 
     Attributes:
-        status: Its status.
-        body: Its body.
-        keeps_connection: Whether the connection stays open after it.
+        status: The status code.
+        body: The body.
+        keeps_connection: Whether the connection stays open after the response.
     """
 
     status: int
@@ -44,7 +44,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether neither side has closed it yet."""
+        """Whether neither side has closed the connection."""
         return not self.reader.at_eof() and not self.writer.is_closing()
 
     def close(self) -> None:
@@ -57,13 +57,20 @@
         self.writer.transport.abort()
 
     async def send(self, data: bytes) -> None:
-        """Write bytes, and wait until the connection takes more; OSError where the connection has ended."""
+        """Write bytes, and wait until the write buffer has room again.
+
+        Raises:
+            OSError: The connection has ended.
+        """
         self.writer.write(data)
         await self.writer.drain()
 
     async def read_response(self, *, slowly: bool) -> Response:
         """Read the next response.
 
+        Args:
+            slowly: Whether to pause between reads.
+
         Raises:
             OSError: The connection was reset.
             asyncio.IncompleteReadError: The connection was closed before the response was complete.
@@ -82,9 +89,17 @@
 
 
 async def open_client_connection(port: int, *, small_buffer: bool) -> ClientConnection:
-    """Open a connection to a proxy, maybe with a small receive buffer; OSError where that fails."""
+    """Open a connection to a proxy.
+
+    Args:
+        port: The port of the proxy.
+        small_buffer: Whether the connection has a small receive buffer.
+
+    Raises:
+        OSError: The connection can't be established.
+    """
     sock = socket.socket()
-    sock.settimeout(0.0)  # non-blocking, as the event loop needs it
+    sock.settimeout(0.0)  # the event loop requires a non-blocking socket
     if small_buffer:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_RECEIVE_BUFFER)
     await asyncio.get_running_loop().sock_connect(sock, (HOST, port))
--- a/soak/client_mix.py
+++ b/soak/client_mix.py
@@ -1,4 +1,4 @@
-"""What the clients of a run do, as probabilities."""
+"""The behaviour of the clients in a run, as probabilities."""
 
 from __future__ import annotations
 
@@ -7,18 +7,20 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientMix:
-    """What clients do; the probabilities are for each request.
+    """How clients behave. Each probability applies to every request.
 
     Attributes:
         rate: Requests per second, over all proxies.
-        timeouts: Seconds that clients wait; each request draws one of them.
-        disconnect_probability: That the client disconnects before its response, by a close or a reset.
-        slow_write_probability: That the request is written in pieces.
-        slow_read_probability: That the response is read slowly, through a small buffer.
-        pipeline_probability: That several requests are sent without waiting for responses.
-        max_pipelined: How many requests are pipelined at most.
-        close_probability: That the client asks for its connection to be closed after the response.
-        stall_probability: That the client sends a part of a request and then nothing more.
+        timeouts: Client timeouts in seconds; each request uses one of them, chosen at random.
+        disconnect_probability: Probability that the client closes or resets the connection before the
+            response.
+        slow_write_probability: Probability that the request is written in two pieces.
+        slow_read_probability: Probability that the response is read slowly, through a small buffer.
+        pipeline_probability: Probability that several requests are sent without waiting for responses.
+        max_pipelined: The largest number of requests in a pipeline.
+        close_probability: Probability that the client asks for its connection to be closed after the
+            response.
+        stall_probability: Probability that the client sends an incomplete request and then nothing more.
     """
 
     rate: float = 300.0
--- a/soak/client_pipeline.py
+++ b/soak/client_pipeline.py
@@ -1,4 +1,4 @@
-"""Clients that pipeline: they send several requests on a connection without waiting for responses."""
+"""Clients that pipeline requests: they send several on a connection without waiting for responses."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     from soak.history import Request
 
 MIN_PIPELINED = 2  # requests
-MAX_PAUSES = (0.0, 0.0, 0.5)  # seconds: the longest pause between two requests of a pipeline, one of these
+MAX_PAUSES = (0.0, 0.0, 0.5)  # seconds between two requests at most; each pipeline uses one of these limits
 
 
 async def perform_pipeline(exchange: RequestExchange, proxy: int) -> None:
-    """Send several requests to a proxy without waiting, and receive their responses in order."""
+    """Send several requests to a proxy without waiting for responses, and receive the responses in order."""
     rng, mix = exchange.rng, exchange.mix
     requests = [exchange.create(proxy) for _ in range(rng.randint(MIN_PIPELINED, mix.max_pipelined))]
     connection = await exchange.connections.checkout(requests[0])
@@ -28,7 +28,8 @@
     sending = asyncio.create_task(_send_pipeline(exchange, connection, requests, sent))
     slowly = rng.random() < mix.slow_read_probability
     stays_open = True
-    # Clients retry what was not read before the connection ended; these retries are not simulated.
+    # A real client retries the requests that the proxy did not read before the connection ended. These
+    # retries are not simulated.
     while stays_open and (request := await sent.get()) is not None:
         stays_open = await exchange.receive(connection, request, slowly=slowly)
     await sending
@@ -42,8 +43,8 @@
     requests: list[Request],
     sent: asyncio.Queue[Request | None],
 ) -> None:
-    """Write the requests, at once or with pauses, and put each one into `sent`, then None."""
-    longest_pause = exchange.rng.choice(MAX_PAUSES)
+    """Write the requests, with random pauses, and put each one into the queue `sent`; end it with None."""
+    max_pause = exchange.rng.choice(MAX_PAUSES)
     response_due_at = 0.0
     for position, request in enumerate(requests):
         if not connection.is_open:
@@ -56,5 +57,5 @@
             await connection.send(encode_request(request, closes=False))
         except OSError:
             break
-        await asyncio.sleep(exchange.rng.uniform(0.0, longest_pause))
+        await asyncio.sleep(exchange.rng.uniform(0.0, max_pause))
     sent.put_nowait(None)
--- a/soak/client_pool.py
+++ b/soak/client_pool.py
@@ -11,7 +11,7 @@
     from soak.history import Request
     from soak.proxy_fleet import ProxyFleet
 
-MAX_IDLE_CONNECTIONS = 6  # of the clients, to one proxy
+MAX_IDLE_CONNECTIONS = 6  # to each proxy
 
 
 class ClientConnectionPool:
@@ -22,10 +22,10 @@
         self._idle: dict[int, list[ClientConnection]] = defaultdict(list)
 
     async def checkout(self, request: Request, *, slow_reader: bool = False) -> ClientConnection | None:
-        """Return an idle connection to the request's proxy, or a new one; None where none is established.
+        """Return an idle connection to the request's proxy, or a new one; None if none can be opened.
 
         Args:
-            request: The request; it records whether the connection is new.
+            request: The request; its `new_connection` is set if the connection is new.
             slow_reader: Whether a new connection with a small receive buffer is needed.
         """
         idle = self._idle[request.proxy]
@@ -44,7 +44,7 @@
             return None
 
     def release(self, connection: ClientConnection, proxy: int) -> None:
-        """Make a connection available to later requests, or close it where there are enough."""
+        """Make a connection available to later requests, or close it if enough connections are idle."""
         idle = self._idle[proxy]
         if len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append(connection)
--- a/soak/client_requests.py
+++ b/soak/client_requests.py
@@ -1,4 +1,4 @@
-"""Requests of the clients: creating their records, sending one, and receiving its response."""
+"""Requests of the clients: creates their records, sends them, and receives their responses."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
     from soak.history import History
     from soak.proxy_fleet import ProxyFleet
 
-RESPONSE_GRACE = 0.7  # seconds after its timeout for which a client still waits for a response
+#: Seconds after its timeout for which a client waits for a response, so that a late one can be recorded.
+RESPONSE_GRACE = 0.7
 MIN_RETRY_TIMEOUT = 0.01  # seconds
 MAX_WRITE_PAUSE = 0.2  # seconds between the two pieces of a request that is written slowly
-RESET_PROBABILITY = 0.5  # that a client which stops waiting resets its connection rather than closes it
+RESET_PROBABILITY = 0.5  # probability that a client which stops waiting resets its connection
 
 
 class RequestExchange:
@@ -30,8 +31,8 @@
 
     Attributes:
         connections: The clients' idle connections.
-        mix: What the clients do.
-        rng: Draws everything random of the clients.
+        mix: How the clients behave.
+        rng: The random generator of all clients.
     """
 
     def __init__(
@@ -55,7 +56,7 @@
         return request
 
     def _create_retry(self, request: Request, proxy: int) -> Request:
-        """Create and record a retry of a request, maybe to another proxy, in the time that remains."""
+        """Create and record a retry of a request to a proxy, with the remaining time as its timeout."""
         remaining = request.sent_at + request.timeout - time.monotonic()
         retry = Request(request.id, request.safety, proxy, max(MIN_RETRY_TIMEOUT, remaining))
         self._history.requests.append(retry)
@@ -64,9 +65,9 @@
     async def perform(self, request: Request, *, may_retry: bool = True) -> None:
         """Send one request and receive its response.
 
-        It is retried once where its connection had served before and ended without a response: the proxy may
-        have closed the connection while the request was on its way, unread. What a killed process had in
-        flight is lost and not retried.
+        The client retries the request once if a connection that had served earlier requests ends without a
+        response: the proxy may have closed the idle connection before it read the request. Requests that were
+        in flight at a proxy that was killed are not retried.
         """
         rng, mix = self.rng, self.mix
         slow_reader = rng.random() < mix.slow_read_probability
@@ -88,7 +89,7 @@
             await self._retry(request)
 
     def _draw_disconnect(self, request: Request) -> float | None:
-        """Return after how many seconds the client disconnects; None where it waits for its response."""
+        """Return the seconds after which the client disconnects; None if it waits for its response."""
         if self.rng.random() >= self.mix.disconnect_probability:
             return None
         return self.rng.uniform(0.0, request.timeout) * self.rng.random()
@@ -101,15 +102,19 @@
             await self.perform(retry, may_retry=False)
 
     async def _send(self, connection: ClientConnection, request: Request, *, closes: bool) -> None:
-        """Write a request, at once or in two pieces; OSError where the connection has ended."""
+        """Write a request, complete or in two pieces.
+
+        Raises:
+            OSError: The connection has ended.
+        """
         data = encode_request(request, closes=closes)
         request.began_at = time.monotonic()
         if self.rng.random() < self.mix.slow_write_probability:
-            cut = self.rng.randrange(1, len(data))
-            connection.writer.write(data[:cut])
+            first_length = self.rng.randrange(1, len(data))
+            connection.writer.write(data[:first_length])
             await asyncio.sleep(self.rng.uniform(0.0, MAX_WRITE_PAUSE))
-            data = data[cut:]
-        # A client's timeout counts from the first byte, because the request's head names the timeout.
+            data = data[first_length:]
+        # A client's timeout counts from the first byte, because the request's head states the timeout.
         request.sent_at = request.began_at
         await connection.send(data)
 
@@ -121,13 +126,13 @@
         slowly: bool,
         disconnects_after: float | None = None,
     ) -> bool:
-        """Wait for a response and record how the request ends.
+        """Wait for a response, and record how the request ends.
 
         Args:
             connection: The connection that the request was sent on.
             request: The request.
             slowly: Whether the response is read slowly.
-            disconnects_after: Seconds after which the client disconnects; None where it does not.
+            disconnects_after: Seconds after which the client disconnects; None if it does not.
 
         Returns:
             Whether the connection can be used again.
@@ -148,7 +153,7 @@
         return _complete(connection, request, response)
 
     def _stop_waiting(self, connection: ClientConnection, request: Request, outcome: RequestOutcome) -> None:
-        """Close or reset the connection of a request whose client waits no longer."""
+        """Close or reset the connection of a request whose client stops waiting."""
         if self.rng.random() < RESET_PROBABILITY:
             connection.reset()
         else:
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -1,7 +1,6 @@
-"""All clients of a run: when each one acts, and what it does.
+"""All clients of a run: starts requests at random times, and simulates idle and stalled clients.
 
-It owns the arrivals of clients and the clients that misbehave; requests are in `client_requests` and
-`client_pipeline`.
+`client_requests` and `client_pipeline` send the requests.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
     from soak.history import History
     from soak.proxy_fleet import ProxyFleet
 
-STALLED_CLIENT_TIMEOUT = 6.0  # seconds for which a stalled client waits
+STALLED_CLIENT_TIMEOUT = 6.0  # seconds for which a stalled client waits for an error or a close
 
 
 class Clients:
@@ -39,7 +38,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, until: float) -> None:
-        """Send requests until a moment on the monotonic clock, and wait until all of them have ended."""
+        """Send requests until a time on the monotonic clock, and wait until all of them have ended."""
         arrives_at = time.monotonic()
         while (arrives_at := arrives_at + self._rng.expovariate(self._mix.rate)) < until:
             await asyncio.sleep(max(0.0, arrives_at - time.monotonic()))
@@ -48,7 +47,13 @@
         self._connections.close()
 
     async def open_idle_connections(self, proxy: int, count: int, until: float) -> None:
-        """Open connections to a proxy without sending anything, and close them at a moment."""
+        """Open connections to a proxy, send nothing, and close them at a time on the monotonic clock.
+
+        Args:
+            proxy: The number of the proxy.
+            count: The number of connections.
+            until: When they are closed.
+        """
         writers = []
         for _ in range(count):
             try:
@@ -66,7 +71,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _act(self) -> None:
-        """Perform one client's action, drawn by the probabilities of the mix."""
+        """Perform one client's action, chosen at random with the probabilities of the mix."""
         proxy = self._fleet.pick(self._rng)
         if proxy is None:
             return
@@ -79,7 +84,7 @@
             await self._exchange.perform(self._exchange.create(proxy))
 
     async def _stall(self, proxy: int) -> None:
-        """Send a part of a request on a new connection, and wait for an error or a close."""
+        """Send an incomplete request on a new connection, and wait for an error or a close."""
         if not self._fleet[proxy].accepts_connections():
             return
         request = Request("stalled", RetrySafety.IDEMPOTENT, proxy, timeout=1.0)
@@ -97,7 +102,7 @@
 
 
 async def _wait_for_response_or_close(reader: asyncio.StreamReader) -> float:
-    """Return when anything was received or the connection ended; `NEVER` after a timeout."""
+    """Return the time when a byte was received or the connection ended; `NEVER` after a timeout."""
     try:
         async with asyncio.timeout(STALLED_CLIENT_TIMEOUT):
             await reader.read(1)
--- a/soak/request_encoding.py
+++ b/soak/request_encoding.py
@@ -1,4 +1,4 @@
-"""The form of the requests that clients of a run send."""
+"""Encodes the requests that the clients of a run send."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     Args:
         request: The request.
-        closes: Whether it asks for its connection to be closed after the response.
+        closes: Whether the request asks for its connection to be closed after the response.
     """
     is_read_only = request.safety is RetrySafety.IDEMPOTENT
     method, body = ("GET", "") if is_read_only else ("POST", f"body of {request.id}")
