--- a/soak/backend_behaviour.py
+++ b/soak/backend_behaviour.py
@@ -1,4 +1,4 @@
-"""How the stand-in backends of a run behave, as probabilities."""
+"""The behaviour of the test backends in a run, as probabilities."""
 
 from __future__ import annotations
 
@@ -7,20 +7,22 @@
 
 @dataclass(slots=True, frozen=True)
 class BackendBehaviour:
-    """How backends respond; the probabilities are for each request.
+    """How backends respond. Each probability applies to every request.
 
     Attributes:
-        work_time: The shortest and the longest time of work in seconds.
-        reset_probability: That the connection is reset after the work.
-        rejection_probability: That the backend responds that it did not execute the request.
-        error_probability: That the response is a 500.
-        close_delimited_probability: That the response has no Content-Length and is complete.
-        truncated_probability: That the response has no Content-Length and the connection is reset within it.
-        duplicate_response_probability: That the response is sent twice, some milliseconds apart.
-        large_body_probability: That the response is large.
-        hang_probability: That the backend does not respond for `hang_time`.
+        work_time: The shortest and the longest processing time in seconds.
+        reset_probability: Probability that the connection is reset after the processing time.
+        rejection_probability: Probability that the backend rejects the request without executing it.
+        error_probability: Probability that the response is a 500.
+        close_delimited_probability: Probability of a complete response without a Content-Length.
+        truncated_probability: Probability of a response without a Content-Length whose connection is reset
+            instead of closed.
+        duplicate_response_probability: Probability that the response is sent twice, some milliseconds apart.
+        large_body_probability: Probability that the response has a large body.
+        hang_probability: Probability that the response is delayed by `hang_time`.
         hang_time: Seconds.
-        idle_close_probability: That the connection is closed some milliseconds after the response.
+        idle_close_probability: Probability that the connection is closed some milliseconds after the
+            response.
     """
 
     work_time: tuple[float, float] = (0.004, 0.05)
--- a/soak/backends.py
+++ b/soak/backends.py
@@ -1,7 +1,6 @@
-"""Stand-in backends of a run, all in one process: they respond, misbehave by chance, and record what arrives.
+"""The test backends of a run, all in one process: they respond, fail at random, and record every request.
 
-This module owns the listening sockets, the responses and the arrivals. `FaultInjector` decides which backend
-hangs or restarts and when, and calls the fleet over a pipe.
+`FaultInjector` decides when a backend hangs or restarts, and calls the `BackendFleet` over a pipe.
 """
 
 from __future__ import annotations
@@ -22,20 +21,20 @@
 
 NOT_PROCESSED = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 ERROR = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
-ACCEPT_BACKLOG = 1024  # connections that may wait to be accepted
+ACCEPT_BACKLOG = 1024  # connections that can wait to be accepted
 LARGE_BODY_BYTES = 300_000
-TRUNCATION_DELAY = 0.01  # seconds after which a response without a Content-Length is cut off
-DUPLICATE_DELAYS = (0.001, 0.008)  # seconds until a response is sent again, from and to
-MAX_IDLE_CLOSE_DELAY = 0.02  # seconds until an idle connection is closed
+TRUNCATION_DELAY = 0.01  # seconds from a truncated response to the reset of its connection
+DUPLICATE_DELAYS = (0.001, 0.008)  # shortest and longest time in seconds until a response is sent again
+MAX_IDLE_CLOSE_DELAY = 0.02  # seconds from a response until its idle connection is closed
 
 
 @dataclass(slots=True, frozen=True)
 class BackendResults:
-    """What a run's backends have recorded.
+    """The records of a run's backends.
 
     Attributes:
-        arrivals: The requests that they received.
-        scheduling_delays: When their process was scheduled late.
+        arrivals: The requests that the backends received.
+        scheduling_delays: The scheduling delays of the backends' process.
     """
 
     arrivals: list[Arrival]
@@ -43,12 +42,12 @@
 
 
 class BackendFleet:
-    """All backends of a run; one that restarts listens at a new port.
+    """All backends of a run. A backend that restarts listens on a new port.
 
     Attributes:
-        behaviour: How they respond.
-        rng: Draws everything random of the backends.
-        arrivals: The requests that they have received.
+        behaviour: How the backends respond.
+        rng: The random generator of all backends.
+        arrivals: The requests that the backends have received.
     """
 
     def __init__(self, names: list[str], seed: int, behaviour: BackendBehaviour) -> None:
@@ -63,11 +62,11 @@
         self._delay_meter = SchedulingDelayMeter()
 
     async def start(self) -> dict[str, int]:
-        """Start all backends and return the port of each."""
+        """Start all backends, and return the port of each by name."""
         return {name: await self.restart(name) for name in self._connections}
 
     async def restart(self, name: str) -> int:
-        """End a backend, which resets its connections, start it again, and return its new port."""
+        """Stop a backend, which resets its connections, start it again, and return its new port."""
         if name in self._servers:
             self._servers[name].close()
         connections = self._connections[name]
@@ -81,18 +80,18 @@
         return port_of(server)
 
     def set_hanging(self, name: str, *, hangs: bool) -> None:
-        """Make a backend accept requests without responding, or respond again."""
+        """Set whether a backend accepts requests without responding."""
         if hangs:
             self._responsive[name].clear()
         else:
             self._responsive[name].set()
 
     async def wait_until_responsive(self, name: str) -> None:
-        """Wait while a backend hangs."""
+        """Wait until a backend does not hang."""
         await self._responsive[name].wait()
 
     def results(self) -> BackendResults:
-        """Return what has been recorded."""
+        """Return the records so far."""
         return BackendResults(self.arrivals, self._delay_meter.delays)
 
 
@@ -106,13 +105,13 @@
         self._task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the fleet."""
+        """Add the connection to the backend's set."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._connections.add(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Stop working on a request whose connection has ended."""
+        """Remove the connection from the backend's set, and cancel the processing of its request."""
         self._connections.discard(self)
         if self._task is not None:
             self._task.cancel()
@@ -125,7 +124,7 @@
         self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Buffer bytes, and start working on a request once it is complete."""
+        """Buffer bytes, and start processing a request once it is complete."""
         if not self._buffer:
             self._began_at = time.monotonic()
         self._buffer += data
@@ -153,7 +152,7 @@
         return arrival
 
     async def _respond(self, arrival: Arrival) -> None:
-        """Work on a request and respond, or misbehave in one of the ways of `BackendBehaviour`."""
+        """Process a request and respond, or fail in one of the ways of `BackendBehaviour`."""
         behaviour, rng = self._fleet.behaviour, self._fleet.rng
         draw = rng.random()
         if draw < behaviour.rejection_probability:
@@ -177,11 +176,12 @@
         await self._respond_ok(arrival, draw)
 
     async def _respond_ok(self, arrival: Arrival, draw: float) -> None:
-        """Respond with a 200, which names its length or is delimited by the connection's end.
+        """Respond 200, with a Content-Length or with a body that ends with the connection.
 
         Args:
             arrival: The request.
-            draw: A random number, less the probabilities of what the backend could have done instead.
+            draw: The random number that selects the behaviour, minus the probabilities of the behaviours that
+                `_respond` has ruled out.
         """
         behaviour, rng = self._fleet.behaviour, self._fleet.rng
         body = f"{arrival.id} by {arrival.backend}".encode()
@@ -204,7 +204,7 @@
         self._transport.write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
 
     async def _respond_with_length(self, arrival: Arrival, body: bytes) -> None:
-        """Send a response with a Content-Length; then maybe send it again, or close the idle connection."""
+        """Send a response with a Content-Length; at random, send it again or close the idle connection."""
         behaviour, rng = self._fleet.behaviour, self._fleet.rng
         response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
         self._transport.write(response)
--- a/soak/endpoint_list.py
+++ b/soak/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list of a run, as discovery serves it to the proxies.
+"""The endpoint list of a run: changes it, and records when each proxy counts as notified of a drain.
 
-It owns the list's changes and when each proxy counts as notified of a drain. `testbed.discovery.registry`
-serves the list. Each proxy has two places of discovery, and a reload may switch between them.
+`testbed.discovery.registry` serves the list to the proxies. Each proxy has two discovery agents, which are
+ports of the registry; a reload can switch a proxy between them.
 """
 
 from __future__ import annotations
@@ -21,15 +21,17 @@
     from soak.history import History
     from testbed.discovery.entry import EndpointChange, EndpointEntry, EndpointUpdate
 
-MIN_REACHABLE_TIME = 0.3  # seconds that an agent must have been reachable for its proxy to count as notified
-GROUPS = 3
+#: Seconds for which an agent must stay reachable after a drain's notification. If it becomes silent earlier,
+#: its proxy does not count as notified, because the notification may not have been delivered.
+MIN_REACHABLE_TIME = 0.3
+GROUPS = 3  # of backends
 
 
 class EndpointList:
-    """The endpoint list and its discovery.
+    """The endpoint list and the registry that serves it.
 
     Attributes:
-        registry: Serves the list.
+        registry: The registry.
     """
 
     def __init__(self, ports: dict[str, int], proxies: int, history: History) -> None:
@@ -39,11 +41,12 @@
         self._history = history
         self._proxies = range(proxies)
         self._last_lists: dict[int, EndpointUpdate] = {}  # the last list of each unreachable proxy, by number
-        self._notified_at: dict[str, dict[int, float]] = {}  # of each draining backend: by proxy number
+        # For each draining backend: when each proxy was notified, by the proxy's number.
+        self._notified_at: dict[str, dict[int, float]] = {}
         self.registry = Registry(self._entries.values())
 
     def snapshot(self) -> EndpointUpdate:
-        """Return the complete list, in discovery's form."""
+        """Return the complete list as a discovery message."""
         return {
             "index": self.registry.state.index,
             "snapshot": True,
@@ -51,7 +54,7 @@
         }
 
     def last_list_of(self, proxy: int) -> EndpointUpdate:
-        """Return the list that a proxy received last, with which its next process is started."""
+        """Return the list that a proxy received last; the next process of the proxy starts with it."""
         return self._last_lists.get(proxy) or self.snapshot()
 
     def names_in_service(self) -> list[str]:
@@ -59,9 +62,9 @@
         return [name for name, entry in self._entries.items() if entry["status"] == "in_service"]
 
     async def open_agents(self, ports: list[tuple[int, int]]) -> None:
-        """Open discovery for each proxy, at its two places."""
-        for proxy, pair in enumerate(ports):
-            for name, port in zip(_agent_names([proxy]), pair, strict=True):
+        """Open the two discovery agents of each proxy, on the given ports."""
+        for proxy, agent_ports in enumerate(ports):
+            for name, port in zip(_agent_names([proxy]), agent_ports, strict=True):
                 await self.registry.open_endpoint(name, port)
 
     def drain(self, name: str) -> None:
@@ -73,7 +76,7 @@
         }
 
     def return_to_service(self, name: str, port: int) -> None:
-        """Put a backend back in service, as another process at another port."""
+        """Return a backend to service as a new process on a new port, and record its drain."""
         notified_at = self._notified_at.pop(name, None)
         if notified_at is not None:
             self._history.drains.append(Drain(name, notified_at, time.monotonic()))
@@ -81,12 +84,12 @@
         self._publish(name, {"status": "in_service", "address": f"{HOST}:{port}", "since_ms": started_ms})
 
     def record_open_drains(self) -> None:
-        """Record the drains that have not ended."""
+        """Record the drains that have not ended when the run ends."""
         for name, notified_at in self._notified_at.items():
             self._history.drains.append(Drain(name, notified_at))
 
     def silence(self, proxies: list[int]) -> None:
-        """Cut the agents of some proxies off: they send nothing."""
+        """Make the agents of some proxies silent: they send nothing."""
         for proxy in proxies:
             self._last_lists.setdefault(proxy, self.snapshot())
         now = time.monotonic()
@@ -97,7 +100,7 @@
         self.registry.silence(_agent_names(proxies))
 
     def heal(self, proxies: list[int]) -> None:
-        """Make these agents reachable again; their proxies count as notified of all drains from now on."""
+        """Make the agents of some proxies reachable again; these proxies count as notified of all drains."""
         now = time.monotonic()
         for proxy in proxies:
             self._last_lists.pop(proxy, None)
@@ -107,7 +110,11 @@
         self.registry.heal(_agent_names(proxies))
 
     def reset_watches(self, *, forget_log: bool) -> None:
-        """Reset all watches; with `forget_log` they receive the complete list when they are opened again."""
+        """Reset all watches.
+
+        Args:
+            forget_log: Whether watches receive the complete list when they are opened again.
+        """
         self.registry.reset_connections(list(self.registry.endpoints), forget_log=forget_log)
 
     def _publish(self, name: str, change: EndpointChange) -> None:
@@ -130,5 +137,5 @@
 
 
 def _agent_names(proxies: Iterable[int]) -> list[str]:
-    """Return the names of the two places of discovery of each of the proxies."""
-    return [f"{proxy}-{place}" for proxy in proxies for place in ("one", "two")]
+    """Return the names of the two discovery agents of each of the proxies."""
+    return [f"{proxy}-{agent}" for proxy in proxies for agent in ("one", "two")]
--- a/soak/environment.py
+++ b/soak/environment.py
@@ -1,4 +1,4 @@
-"""The test environment of a run: the parts that faults are injected into."""
+"""The test environment of a run: the components into which faults are injected."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(slots=True)
 class TestEnvironment:
-    """The parts of a run.
+    """The components of a run.
 
     Attributes:
         proxies: The proxies.
         backends: The process of the backends, which runs a `BackendFleet`.
-        endpoints: The endpoint list and its discovery.
+        endpoints: The endpoint list and the registry that serves it.
         clients: The clients.
-        discovery_ports: The two places of discovery of each proxy, by its number.
+        discovery_ports: The ports of the two discovery agents of each proxy, by the proxy's number.
     """
 
     proxies: ProxyFleet
--- a/soak/neighbour_faults.py
+++ b/soak/neighbour_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the proxies' neighbours: backends that drain or hang, and discovery that fails."""
+"""Faults of backends and discovery: backends drain or hang, and discovery fails."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
     from soak.environment import TestEnvironment
     from soak.fault_log import FaultLog
 
-DRAIN_TIMES = (0.1, 3.0)  # seconds from a drain to the return to service, from and to
-HANG_TIMES = (0.2, 2.5)  # seconds for which a backend hangs, from and to
-SILENCE_TIMES = (0.5, 4.0)  # seconds for which discovery is silent, from and to
-MIN_IN_SERVICE = 4  # backends that stay in service
-FORGET_LOG_PROBABILITY = 0.5  # that watches receive the complete list after a reset
+DRAIN_TIMES = (0.1, 3.0)  # shortest and longest time in seconds from a drain to the return to service
+HANG_TIMES = (0.2, 2.5)  # shortest and longest time in seconds for which a backend hangs
+SILENCE_TIMES = (0.5, 4.0)  # shortest and longest time in seconds for which discovery is silent
+MIN_IN_SERVICE = 4  # backends that are always in service
+FORGET_LOG_PROBABILITY = 0.5  # probability that watches receive the complete list after a reset
 
 
 class BackendFaults:
@@ -25,7 +25,7 @@
         self._environment, self._rng, self._log = environment, rng, log
 
     async def drain(self) -> None:
-        """Drain a backend, and return it to service under its name as another process."""
+        """Drain a backend, restart it on a new port, and return it to service under its name."""
         name = self._pick_in_service()
         if name is None:
             return
@@ -37,7 +37,7 @@
         self._environment.endpoints.return_to_service(name, port)
 
     async def hang(self) -> None:
-        """Make a backend accept requests without responding, for a while."""
+        """Make a backend accept requests without responding for a random time."""
         name = self._pick_in_service()
         if name is None:
             return
@@ -46,7 +46,7 @@
         self._environment.backends.call("set_hanging", name, hangs=False)
 
     def _pick_in_service(self) -> str | None:
-        """Return the name of a backend in service; None if too few are."""
+        """Return the name of a random backend in service; None if too few backends are in service."""
         names = self._environment.endpoints.names_in_service()
         return self._rng.choice(names) if len(names) > MIN_IN_SERVICE else None
 
@@ -58,7 +58,7 @@
         self._environment, self._rng, self._log = environment, rng, log
 
     async def silence(self) -> None:
-        """Cut the discovery of some proxies off for a while."""
+        """Make the discovery agents of some proxies silent for a random time."""
         proxies = range(len(self._environment.proxies))
         chosen = self._rng.sample(proxies, self._rng.randint(1, len(proxies)))
         self._log.write(f"discovery silent: {sorted(chosen)}")
@@ -68,6 +68,6 @@
         self._environment.endpoints.heal(chosen)
 
     async def reset_watches(self) -> None:
-        """Reset all watches; by chance they receive the complete list when they are opened again."""
+        """Reset all watches; at random, they receive the complete list when they are opened again."""
         forget_log = self._rng.random() < FORGET_LOG_PROBABILITY
         self._environment.endpoints.reset_watches(forget_log=forget_log)
