--- a/soak/fault_injection.py
+++ b/soak/fault_injection.py
@@ -1,7 +1,7 @@
-"""Fault injection: a schedule of faults, drawn from a seed so that several overlap.
+"""Fault injection: starts faults at random times, so that several overlap. A seed determines the schedule.
 
-It owns which fault begins when. The courses of the faults are in `proxy_faults` and `neighbour_faults`.
-Faults of system calls are injected inside the proxies: see `system_call_faults`.
+`proxy_faults` and `neighbour_faults` implement the faults. Faults of system calls are injected inside the
+proxies; see `system_call_faults`.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 
     from soak.environment import TestEnvironment
 
-MEAN_INTERVAL = 0.25  # seconds between the beginnings of two faults
-SETTLING_TIME = 1.0  # seconds at a run's end in which no fault begins
+MEAN_INTERVAL = 0.25  # seconds between the starts of two faults
+SETTLING_TIME = 1.0  # seconds before the end of a run in which no fault starts
 
 
 class FaultInjector:
-    """Draws faults and injects them.
+    """Chooses faults at random and injects them.
 
     Attributes:
         counts: How many faults of each kind have begun.
-        log: What happened and when.
+        log: The log of the faults.
     """
 
     def __init__(
@@ -57,7 +57,11 @@
         }
 
     async def run(self, until: float) -> None:
-        """Begin faults until shortly before a moment on the monotonic clock, and wait for the last to end."""
+        """Start faults until `SETTLING_TIME` before the end of the run, and wait until all have ended.
+
+        Args:
+            until: The end of the run on the monotonic clock.
+        """
         async with asyncio.TaskGroup() as group:
             while time.monotonic() < until - SETTLING_TIME:
                 await asyncio.sleep(self._rng.expovariate(1.0 / MEAN_INTERVAL))
--- a/soak/fault_kinds.py
+++ b/soak/fault_kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of faults that a run's schedule is drawn from."""
+"""The kinds of faults that are injected into a run."""
 
 from __future__ import annotations
 
@@ -8,18 +8,19 @@
 class FaultKind(StrEnum):
     """A kind of fault.
 
-    The schedule draws from the members in this order: another order would change the schedule of every seed.
+    The schedule is drawn from the members in this order. Another order would change the schedule of each
+    seed.
     """
 
-    DRAIN = "drain"  # a backend drains and returns as another process
+    DRAIN = "drain"  # a backend drains and returns to service as a new process
     HANG = "hang"  # a backend does not respond for a while
-    PAUSE = "pause"  # proxies are paused by SIGSTOP for a moment each
+    PAUSE = "pause"  # some proxies are paused by SIGSTOP for a short time
     IDLE_CLIENTS = "idle_clients"  # many idle connections are opened to one proxy
-    KILL = "kill"  # a proxy is ended by SIGKILL and started again
+    KILL = "kill"  # a proxy is stopped by SIGKILL and started again
     RELOAD = "reload"  # a proxy is reconfigured several times in quick succession
-    RESET_WATCHES = "reset_watches"  # all watches of discovery are reset
-    SILENCE = "silence"  # the discovery of some proxies is cut off
-    TERMINATE = "terminate"  # a proxy is ended by SIGTERM and started again
+    RESET_WATCHES = "reset_watches"  # all discovery watches are reset
+    SILENCE = "silence"  # the discovery agents of some proxies send nothing
+    TERMINATE = "terminate"  # a proxy is stopped by SIGTERM and started again
 
 
 ALL_FAULTS = tuple(FaultKind)
--- a/soak/fault_log.py
+++ b/soak/fault_log.py
@@ -1,4 +1,4 @@
-"""The log of injected faults, to trace a violation with."""
+"""The log of injected faults, which helps to find the cause of a violation."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class FaultLog:
-    """Lines on what happened and when, on the monotonic clock.
+    """Log lines, each with its time on the monotonic clock.
 
     Attributes:
         lines: The lines, in the order of time.
@@ -16,5 +16,5 @@
         self.lines: list[str] = []
 
     def write(self, text: str) -> None:
-        """Add a line with the present time."""
+        """Add a line with the current time."""
         self.lines.append(f"{time.monotonic():.3f} {text}")
--- a/soak/managed_proxy.py
+++ b/soak/managed_proxy.py
@@ -1,6 +1,6 @@
-"""One proxy of a run: its configuration file and its process, which is started, signalled and stopped.
+"""One proxy of a run: writes its configuration file, and starts, signals and stops its process.
 
-It owns the process and the file. `FaultInjector` decides when something happens to them.
+`FaultInjector` decides when these methods are called.
 """
 
 from __future__ import annotations
@@ -30,26 +30,27 @@
     from soak.system_call_faults import SystemCallFaults
     from testbed.proxy_config import ProxyConfig
 
-ACCEPTING_AFTER_TERMINATION = 0.3  # seconds for which clients still open connections after SIGTERM
+ACCEPTING_AFTER_TERMINATION = 0.3  # seconds after SIGTERM in which clients still open connections
 SHIM = "soak.shim"  # the module that runs in place of the program
 HEALTH_POLL_INTERVAL = 0.03  # seconds
 START_TIMEOUT = 15.0  # seconds
-MAX_LOG_LINES = 200  # recorded of each process
-START_SEED_STRIDE = 1000  # between the seeds of two runs: each start in a run has a seed of its own
+MAX_LOG_LINES = 200  # recorded lines of the standard error of each process
+#: Distance between the fault seeds of two runs, so that each start within a run has a seed of its own.
+START_SEED_STRIDE = 1000
 INVALID_CONFIGURATION = b'{"name": '
 EVENT_LOG_VARIABLE = "RELAY_EVENT_LOG"
 
 
 @dataclass(slots=True)
 class LaunchOptions:
-    """What all proxies of a run are started with.
+    """The options that all proxies of a run share.
 
     Attributes:
-        folder: Where their configuration files and event logs are written.
-        history: Where their processes are recorded.
-        faults: The faults of their system calls.
-        log_events: Whether they write event logs.
-        start_numbers: Numbers the starts of the run, from 1.
+        folder: The folder of the configuration files and event logs.
+        history: The history that records the processes.
+        faults: The faults of the proxies' system calls.
+        log_events: Whether the proxies write event logs.
+        start_numbers: The numbers of the starts in the run, from 1.
     """
 
     folder: Path
@@ -60,10 +61,10 @@
 
 
 class ManagedProxy:
-    """One proxy: its configuration, and its present or latest process.
+    """One proxy: its configuration, and its current or latest process.
 
     Attributes:
-        incarnation: The record of the present or latest process; None before the first start.
+        incarnation: The record of the current or latest process; None before the first start.
     """
 
     def __init__(self, number: int, config: ProxyConfig, options: LaunchOptions) -> None:
@@ -75,7 +76,7 @@
 
     @property
     def port(self) -> int:
-        """Where the proxy listens."""
+        """The port that the proxy listens on."""
         return self._config.port
 
     def accepts_connections(self) -> bool:
@@ -88,7 +89,7 @@
         return now < incarnation.terminated_at + ACCEPTING_AFTER_TERMINATION
 
     def reconfigure(self, **changed: Any) -> None:
-        """Write a changed configuration without sending a signal.
+        """Write a changed configuration file without sending a signal.
 
         Args:
             **changed: Fields of `ProxyConfig` and their new values.
@@ -97,15 +98,15 @@
         self.repair_config()
 
     def spoil_config(self) -> None:
-        """Write a file that is no valid configuration."""
+        """Replace the configuration file by an invalid one."""
         self._path.write_bytes(INVALID_CONFIGURATION)
 
     def repair_config(self) -> None:
-        """Write the latest valid configuration again."""
+        """Write the latest valid configuration."""
         self._config.write(self._path)
 
     async def start(self) -> None:
-        """Start a process, and wait until it is ready or `START_TIMEOUT` has passed."""
+        """Start a process, and wait until it is ready, it has exited or `START_TIMEOUT` has passed."""
         self.repair_config()
         environment = self._environment(next(self._options.start_numbers))
         self.incarnation = incarnation = ProxyIncarnation(self._number, time.monotonic())
@@ -134,12 +135,12 @@
             await asyncio.sleep(HEALTH_POLL_INTERVAL)
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if one runs."""
+        """Send a signal to the process if it runs."""
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
 
     def survives_hangup(self) -> bool:
-        """Return whether the process ignores or handles SIGHUP; shortly after its start it may not."""
+        """Return whether the process ignores or handles SIGHUP; SIGHUP may end it shortly after its start."""
         return self._process is not None and survives_hangup(self._process.pid)
 
     async def pause(self, seconds: float) -> None:
@@ -153,7 +154,7 @@
             incarnation.paused.append(TimeSpan(paused_at, time.monotonic()))
 
     async def terminate(self, kill_after: float) -> None:
-        """Send SIGTERM, then SIGKILL where the process has not ended after `kill_after` seconds."""
+        """Send SIGTERM, then SIGKILL if the process has not ended after `kill_after` seconds."""
         process, incarnation = self._process, self.incarnation
         if process is None or incarnation is None:
             return
@@ -167,7 +168,7 @@
         await self._record_end(process, incarnation)
 
     async def kill(self) -> None:
-        """End the process by SIGKILL."""
+        """Stop the process by SIGKILL."""
         process, incarnation = self._process, self.incarnation
         if process is None or incarnation is None:
             return
@@ -191,7 +192,7 @@
                 incarnation.resident = process_usage(process.pid).memory
 
     def reap(self) -> None:
-        """Record the end of a process that has exited by itself."""
+        """Record the end of a process that has exited without a signal of the run."""
         if self._process is None or self.incarnation is None or self._process.returncode is None:
             return
         self.incarnation.ended_at = min(self.incarnation.ended_at, time.monotonic())
@@ -199,12 +200,12 @@
 
 
 def was_killed(incarnation: ProxyIncarnation | None) -> bool:
-    """Return whether a process has been sent SIGKILL, or never existed."""
+    """Return whether SIGKILL has been sent to a process, or there never was a process."""
     return incarnation is None or incarnation.killed_at <= time.monotonic()
 
 
 async def _record_log(process: Process, incarnation: ProxyIncarnation) -> None:
-    """Record the first lines that a process writes to standard error, and read the others."""
+    """Record the first lines that a process writes to standard error, and discard the others."""
     assert process.stderr is not None
     async for line in process.stderr:
         if len(incarnation.log) < MAX_LOG_LINES:
--- a/soak/proxy_faults.py
+++ b/soak/proxy_faults.py
@@ -1,4 +1,4 @@
-"""Faults of proxies: restarts, reloads, pauses, and connections that clients leave idle."""
+"""Faults of proxies: restarts, reloads, pauses, and idle connections of clients."""
 
 from __future__ import annotations
 
@@ -17,51 +17,56 @@
     from soak.fault_log import FaultLog
     from soak.managed_proxy import ManagedProxy
 
-KILL_DELAY = 0.7  # seconds after the longest deadline at which SIGKILL follows SIGTERM (PROTOCOL, Figures)
-MAX_COUNTED_DEADLINE = 3.0  # seconds: a longer deadline does not delay SIGKILL further
-MAX_RESTARTING_SHARE = 0.4  # of the proxies, at once
-MAX_VERSION = 1000  # of a configuration file, exclusive
-RECONFIGURE_PROBABILITY = 0.3  # that a proxy is reconfigured during its restart
-HANGUP_PROBABILITY = 0.5  # that a proxy receives several SIGHUPs during its restart
-HANGUPS = 20  # in such a restart
-MAX_HANGUP_INTERVAL = 0.4  # seconds between two of them
-MAX_RELOADS = 4  # in quick succession
-INVALID_RELOAD_PROBABILITY = 0.2  # that a reload finds an invalid file
-KEYED_RETRIES_PROBABILITY = 0.5  # that a reload's settings allow retries with an idempotency key
-CANCELLING_PROBABILITY = 0.8  # that a reload's settings allow attempts to be cancelled
-RELOAD_INTERVALS = (0.0, 0.01, 0.1, 0.5)  # seconds between two reloads, one of these
-PROXIES_PER_PAUSE = 3  # at most one in so many proxies is paused at once
-PAUSE_TIMES = (0.05, 0.14)  # seconds, from and to
-IDLE_CONNECTIONS = 300
-IDLE_TIMES = (0.5, 3.0)  # seconds for which these connections stay open, from and to
+#: After SIGTERM, a proxy has the longest deadline of its request classes plus this many seconds to end. Then
+#: it receives SIGKILL.
+KILL_DELAY = 0.7
+MAX_COUNTED_DEADLINE = 3.0  # seconds; a longer deadline does not delay SIGKILL further
+MAX_RESTARTING_FRACTION = 0.4  # of the proxies, at the same time
+MAX_VERSION = 1000  # exclusive upper bound of the version label of a configuration file
+RECONFIGURE_PROBABILITY = 0.3  # probability that a proxy is reconfigured during its restart
+HANGUP_PROBABILITY = 0.5  # probability that a proxy receives SIGHUPs during its restart
+HANGUPS = 20  # SIGHUPs during such a restart
+MAX_HANGUP_INTERVAL = 0.4  # seconds between two of these SIGHUPs
+MAX_RELOADS = 4  # reloads in quick succession
+INVALID_RELOAD_PROBABILITY = 0.2  # probability that the file of a reload is invalid
+KEYED_RETRIES_PROBABILITY = 0.5  # probability that reloaded settings allow retries with an idempotency key
+CANCELLING_PROBABILITY = 0.8  # probability that reloaded settings allow attempts to be cancelled
+RELOAD_INTERVALS = (0.0, 0.01, 0.1, 0.5)  # possible times in seconds between two reloads
+PROXIES_PER_PAUSE = 3  # a pause affects at most one in this many proxies
+PAUSE_TIMES = (0.05, 0.14)  # shortest and longest pause in seconds
+IDLE_CONNECTIONS = 300  # connections that are opened to one proxy
+IDLE_TIMES = (0.5, 3.0)  # shortest and longest time in seconds for which these connections stay open
 
 
 class ProxyFaults:
-    """Injects faults into proxies; a proxy is in one restart at a time."""
+    """Injects faults into proxies; restarts of the same proxy do not overlap."""
 
     def __init__(self, environment: TestEnvironment, rng: random.Random, log: FaultLog) -> None:
         self._environment, self._rng, self._log = environment, rng, log
         self._restarting: set[int] = set()
 
     def _pick_running(self) -> int | None:
-        """Return the number of a proxy that is not being restarted; None if too many are."""
+        """Return the number of a random proxy that is not restarting; None if too many proxies restart."""
         count = len(self._environment.proxies)
         running = [number for number in range(count) if number not in self._restarting]
-        if len(self._restarting) >= MAX_RESTARTING_SHARE * count:
+        if len(self._restarting) >= MAX_RESTARTING_FRACTION * count:
             return None
         return self._rng.choice(running)
 
     async def terminate(self) -> None:
-        """End a proxy by SIGTERM, and by SIGKILL where that takes too long; start it again."""
+        """Stop a proxy by SIGTERM, or by SIGKILL if SIGTERM takes too long, and start it again."""
         kill_after = min(DEADLINE, MAX_COUNTED_DEADLINE) + KILL_DELAY
         await self._restart(lambda proxy: proxy.terminate(kill_after))
 
     async def kill(self) -> None:
-        """End a proxy by SIGKILL, and start it again."""
+        """Stop a proxy by SIGKILL, and start it again."""
         await self._restart(lambda proxy: proxy.kill())
 
     async def _restart(self, stop: Callable[[ManagedProxy], Awaitable[None]]) -> None:
-        """End a proxy by `stop` and start it; by chance, reconfigure it and send it SIGHUPs meanwhile."""
+        """Stop a proxy by `stop` and start it again.
+
+        At random, the proxy is reconfigured and receives SIGHUPs during the restart.
+        """
         number = self._pick_running()
         if number is None:
             return
@@ -83,14 +88,17 @@
         await proxy.start()
 
     async def _send_hangups(self, proxy: ManagedProxy) -> None:
-        """Send SIGHUPs at random times, but none that would end the process."""
+        """Send SIGHUPs at random times, except when SIGHUP would end the process."""
         for _ in range(HANGUPS):
             await asyncio.sleep(self._rng.uniform(0.0, MAX_HANGUP_INTERVAL))
             if proxy.survives_hangup():
                 proxy.signal(signal.SIGHUP)
 
     async def reload(self) -> None:
-        """Reload new configurations in quick succession, with invalid ones and other places of discovery."""
+        """Reload a proxy several times in quick succession.
+
+        At random, a configuration is invalid or names the other discovery agent.
+        """
         number = self._pick_running()
         if number is None:
             return
@@ -106,7 +114,7 @@
         proxy.repair_config()
 
     def _reconfigure(self, number: int) -> None:
-        """Write a configuration with random settings and one of the two places of discovery."""
+        """Write a configuration with random settings and one of the proxy's two discovery agents."""
         settings = proxy_settings(
             len(self._environment.proxies),
             number,
@@ -122,7 +130,7 @@
         return str(self._rng.randrange(MAX_VERSION))
 
     async def pause(self) -> None:
-        """Pause some proxies for a moment each."""
+        """Pause some random proxies for a short time each."""
         proxies = self._environment.proxies
         count = self._rng.randint(1, max(1, len(proxies) // PROXIES_PER_PAUSE))
         chosen = self._rng.sample(range(len(proxies)), count)
@@ -133,7 +141,7 @@
         )
 
     async def open_idle_connections(self) -> None:
-        """Open many connections to one proxy without sending anything, and close them after a while."""
+        """Open many connections to one proxy, send nothing, and close them after a random time."""
         number = self._pick_running()
         if number is not None:
             until = time.monotonic() + self._rng.uniform(*IDLE_TIMES)
--- a/soak/proxy_fleet.py
+++ b/soak/proxy_fleet.py
@@ -1,4 +1,4 @@
-"""All proxies of a run, by their number."""
+"""All proxies of a run, by number."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         self._proxies.append(ManagedProxy(len(self._proxies), config, self._options))
 
     def __len__(self) -> int:
-        """Return how many proxies there are."""
+        """Return the number of proxies."""
         return len(self._proxies)
 
     def __getitem__(self, number: int) -> ManagedProxy:
@@ -38,7 +38,7 @@
         return rng.choice(accepting) if accepting else None
 
     async def start_all(self) -> None:
-        """Start all proxies and wait until each is ready."""
+        """Start all proxies, and wait until each is ready or its start has timed out."""
         await asyncio.gather(*(proxy.start() for proxy in self._proxies))
 
     async def stop_all(self, kill_after: float) -> None:
@@ -46,6 +46,6 @@
         await asyncio.gather(*(proxy.terminate(kill_after) for proxy in self._proxies))
 
     def reap(self) -> None:
-        """Record the ends of processes that have exited by themselves."""
+        """Record the ends of processes that have exited without a signal of the run."""
         for proxy in self._proxies:
             proxy.reap()
--- a/soak/proxy_settings.py
+++ b/soak/proxy_settings.py
@@ -1,12 +1,12 @@
-"""The settings of a run's proxies, in the form of their configuration file."""
+"""The `settings` object of the configuration files of a run's proxies."""
 
 from __future__ import annotations
 
 from soak.history import RetrySafety
 
 ZONES = ("a", "b")
-DEADLINE = 2.0  # seconds, of each request class
-DEDUPLICATION_WINDOW = 0.8  # seconds
+DEADLINE = 2.0  # seconds; the same for each request class
+DEDUPLICATION_WINDOW = 0.8  # seconds for which backends recognise a repeated idempotency key
 WARMUP = 1.0  # seconds
 
 Settings = dict[str, object]  # a JSON object of the configuration file
@@ -18,10 +18,10 @@
     """Return the `settings` of one proxy's configuration file.
 
     Args:
-        proxies: How many proxies there are.
-        number: The number of this one.
-        allows_keyed_retries: Whether requests with an idempotency key may be retried; else they must not be
-            executed twice.
+        proxies: The number of proxies in the run.
+        number: The number of this proxy.
+        allows_keyed_retries: Whether requests with an idempotency key may be retried; otherwise they are
+            treated like non-idempotent requests.
         allows_cancelling: Whether attempts may be cancelled.
     """
     return {
@@ -49,7 +49,7 @@
 
 
 def _request_classes(*, allows_keyed_retries: bool) -> list[Settings]:
-    """Return one class for each degree of retry safety, named for it."""
+    """Return one request class for each member of `RetrySafety`, with its value as the class name."""
     keyed = RetrySafety.KEYED if allows_keyed_retries else RetrySafety.NON_IDEMPOTENT
     retry_rules: dict[RetrySafety, Settings] = {
         RetrySafety.IDEMPOTENT: {"Repeat": str(RetrySafety.IDEMPOTENT)},
--- a/soak/shim.py
+++ b/soak/shim.py
@@ -1,8 +1,8 @@
-"""Runs the proxy in this process with faulty system calls and a stepping clock: `python -m soak.shim`.
+"""Runs the proxy in this process with faults of system calls and a clock step: `python -m soak.shim`.
 
-The faults are read from the environment and drawn from a seed. The shim wraps methods of `socket.socket`, the
-event loop's connecting and `time.time`, as the standard library calls them, and nothing of the proxy. A fault
-does what Linux documents: the call fails with that error, transfers less, or takes longer.
+The faults come from an environment variable, and a seed determines when they happen. The shim wraps methods
+of `socket.socket`, the event loop's `sock_connect` and `time.time`, and no code of the proxy. Each fault is
+one that Linux documents for the call: an error, a short transfer, or a delay.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 CONNECT_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ECONNREFUSED, errno.ENOBUFS)
 READ_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
 MAX_SHORT_TRANSFER = 64  # bytes of a short read or write
-FAULT_FREE_TIME = 1.0  # seconds after the start without faults: faults of the start itself are not simulated
+FAULT_FREE_TIME = 1.0  # seconds after the start without faults; faults during the start are not simulated
 
 
 class SystemCallFaultInjector:
@@ -39,10 +39,10 @@
         self._faults = faults
         self._rng = random.Random(faults.seed)
         self._started_at = time.monotonic()
-        self._outgoing: WeakSet[socket.socket] = WeakSet()  # sockets that this process connected
+        self._outgoing: WeakSet[socket.socket] = WeakSet()  # sockets of connections that this process opened
 
     def install(self) -> None:
-        """Wrap all calls that may fail."""
+        """Wrap all calls that can have a fault."""
         faults = self._faults
         self._wrap_failing("accept", faults.accept, ACCEPT_ERRORS)
         self._wrap_failing("recv_into", faults.read, READ_ERRORS, ends_connection=True)
@@ -54,27 +54,28 @@
         self._step_clock()
 
     def _draw(self, probability: float) -> bool:
-        """Return whether the next fault with this probability happens."""
+        """Return at random, with this probability, whether a fault happens now."""
         return self._rng.random() < probability and time.monotonic() - self._started_at > FAULT_FREE_TIME
 
     def _wrap_failing(
         self, name: str, probability: float, errors: tuple[int, ...], *, ends_connection: bool = False
     ) -> None:
-        """Wrap a method of sockets, so that it fails by chance.
+        """Wrap a method of sockets so that it fails at random.
 
         Args:
             name: The method's name.
-            probability: Of a failure, for each call.
-            errors: The error numbers that a failure is drawn from.
-            ends_connection: Whether a failure ends the connection, as the kernel would.
+            probability: The probability of a failure for each call.
+            errors: The possible error numbers of a failure.
+            ends_connection: Whether a failure also shuts the connection down, as the kernel does.
         """
         call: Callable[..., Any] = getattr(socket.socket, name)
         outgoing = self._outgoing
 
         def failing(sock: socket.socket, *args: Any, **kwargs: Any) -> Any:
-            """Fail by chance, or call the method."""
-            is_new = kwargs.get("fileno") is None  # `accept` wraps an existing descriptor in a socket
-            # A client whose connection fails can't be sent a response: only outgoing connections are ended.
+            """Fail at random, or call the method."""
+            is_new = kwargs.get("fileno") is None  # `accept` creates a socket for an existing descriptor
+            # Only outgoing connections are shut down, because a client whose connection has failed can't
+            # receive a response.
             may_fail = is_new and (sock in outgoing or not ends_connection)
             if may_fail and self._draw(probability):
                 number = self._rng.choice(errors)
@@ -88,16 +89,16 @@
             setattr(socket.socket, name, failing)
 
     def _shorten_transfers(self) -> None:
-        """Wrap sending and receiving, so that they transfer only a few bytes by chance."""
+        """Wrap sending and receiving so that they transfer only a few bytes at random."""
         send, receive_into = socket.socket.send, socket.socket.recv_into
 
         def short_send(sock: socket.socket, data: Any, *args: Any) -> int:
-            """Send a few bytes by chance, or as many as can be sent."""
+            """Send only a few bytes at random, or as many as possible."""
             short = self._draw(self._faults.short)
             return send(sock, memoryview(data)[:MAX_SHORT_TRANSFER] if short else data, *args)
 
         def short_receive_into(sock: socket.socket, buffer: Any, *args: Any) -> int:
-            """Receive a few bytes by chance, or as many as there are."""
+            """Receive only a few bytes at random, or as many as possible."""
             short = self._draw(self._faults.short)
             return receive_into(sock, memoryview(buffer)[:MAX_SHORT_TRANSFER] if short else buffer, *args)
 
@@ -106,12 +107,12 @@
             socket.socket.recv_into = short_receive_into  # type: ignore[method-assign, assignment]
 
     def _delay_connects(self) -> None:
-        """Wrap the event loop's connecting, so that connections are established late by chance."""
+        """Wrap the event loop's `sock_connect` so that connections are established late at random."""
         loop_class: Any = asyncio.SelectorEventLoop
         connect = loop_class.sock_connect
 
         async def slow_connect(loop: Any, sock: socket.socket, address: Any) -> None:
-            """Connect, after a delay by chance."""
+            """Connect, at random after a delay."""
             self._outgoing.add(sock)
             is_punctual = address[1] in self._faults.punctual_ports
             if not is_punctual and self._draw(self._faults.slow_connect):
@@ -121,16 +122,16 @@
         loop_class.sock_connect = slow_connect
 
     def _step_clock(self) -> None:
-        """Wrap the wall clock, so that it steps once."""
-        read = time.time
+        """Wrap the wall clock so that it steps once."""
+        read_clock = time.time
 
-        def stepped() -> float:
-            """Return the wall clock's time, with the step once that is due."""
+        def stepped_time() -> float:
+            """Return the wall clock's time, which includes the step after `clock_step_after` seconds."""
             has_stepped = time.monotonic() - self._started_at > self._faults.clock_step_after
-            return read() + (self._faults.clock_step if has_stepped else 0.0)
+            return read_clock() + (self._faults.clock_step if has_stepped else 0.0)
 
         if self._faults.clock_step:
-            time.time = stepped
+            time.time = stepped_time
 
 
 if __name__ == "__main__":
--- a/soak/system_call_faults.py
+++ b/soak/system_call_faults.py
@@ -1,4 +1,4 @@
-"""The faults of a proxy's system calls, and how they are given to the process that runs under the shim."""
+"""The faults of a proxy's system calls, and their encoding in an environment variable for the shim."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @dataclass(slots=True, frozen=True)
 class SystemCallFaults:
-    """The probabilities of faults, for each call.
+    """The faults of system calls. Each probability applies to every call.
 
     Attributes:
-        seed: The seed of the random draws.
+        seed: The seed of the random generator.
         accept: Probability that accepting a connection fails.
         sockets: Probability that opening a socket fails.
         connect: Probability that connecting fails.
@@ -25,8 +25,8 @@
         short: Probability that a read or a write transfers only a few bytes.
         slow_connect: Probability that a connection is established late.
         max_connect_delay: The longest delay of a late connection in seconds.
-        punctual_ports: Ports to which connections are never late: those of discovery's agent, which runs on
-            the proxy's own machine.
+        punctual_ports: Ports to which connections are never late: the ports of the discovery agents, which
+            run on the proxy's own machine.
         clock_step: Seconds by which the wall clock steps; 0 for no step.
         clock_step_after: Seconds after the start at which the wall clock steps.
     """
@@ -44,10 +44,10 @@
     clock_step_after: float = 0.0
 
     def to_environment(self) -> dict[str, str]:
-        """Return the environment variables that give these faults to a process."""
+        """Return the environment variable that passes these faults to a process."""
         return {VARIABLE: json.dumps(asdict(self))}
 
     @classmethod
     def from_environment(cls, environment: Mapping[str, str]) -> SystemCallFaults:
-        """Read the faults from environment variables; without the variable there are none."""
+        """Read the faults from environment variables; there are none without the variable."""
         return cls(**json.loads(environment.get(VARIABLE, "{}")))
