--- a/soak/history.py
+++ b/soak/history.py
@@ -1,7 +1,7 @@
 """The history of a run: requests, their arrivals at backends, drains and proxy processes.
 
-`HistoryChecker` reads it once the run has ended. All times are seconds on the machine's monotonic clock,
-which all processes of a run share.
+`HistoryChecker` reads it after the run has ended. All times are seconds on the machine's monotonic clock,
+which is the same for all processes of a run.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 
 class RetrySafety(StrEnum):
-    """How far a request of a class may be retried once it may have been executed.
+    """Whether a request of a class may be retried after it may have been executed.
 
-    The values are the protocol's words, and the names of the request classes in the proxies' settings.
+    The values are the words of the settings, and the names of the request classes in the proxies' settings.
     """
 
     IDEMPOTENT = "retryable"
@@ -24,42 +24,43 @@
 
 
 class RequestOutcome(StrEnum):
-    """How a request ended for its client."""
+    """The end of a request as its client observed it."""
 
     RESPONDED = "responded"
     CONNECTION_CLOSED = "connection_closed"  # the connection ended without a response
     DISCONNECTED = "disconnected"  # the client closed the connection before the response
-    TIMED_OUT = "timed_out"  # nothing was received before the client's timeout
+    TIMED_OUT = "timed_out"  # the client received no complete response before it stopped waiting
     UNSENT = "unsent"  # no connection was established, or it ended before the request was written
 
 
 class Execution(StrEnum):
     """Whether a backend executed a request that it received."""
 
-    CONFIRMED = "confirmed"  # it produced a response
-    UNKNOWN = "unknown"  # it failed or never responded: the request may have been executed
-    NOT_EXECUTED = "not_executed"  # it stated that the request was not executed
+    CONFIRMED = "confirmed"  # the backend produced a response
+    UNKNOWN = "unknown"  # the backend failed or never responded; the request may have been executed
+    NOT_EXECUTED = "not_executed"  # the backend stated that it did not execute the request
 
 
 @dataclass(slots=True)
 class Request:
-    """One request as its client saw it.
+    """One request as its client observed it.
 
     Attributes:
-        id: The request's id; a retry after an unread request's connection ended has the same id.
-        safety: How far its class may be retried.
+        id: The id of the request. A retry by the client has the same id.
+        safety: Whether requests of its class may be retried.
         proxy: The number of the proxy that it was sent to.
         timeout: Seconds that the client waits, from `sent_at`.
         began_at: When its first byte was written.
-        sent_at: When its last byte was written.
+        sent_at: When its client's timeout begins: the same as `began_at`, because the head of the request
+            states the timeout.
         new_connection: Whether it was the first request on its connection.
-        pipelined: Whether it was sent while an earlier request on its connection had no response yet.
-        response_due_at: When the last earlier request on its connection times out. Responses are sent in the
-            order of the requests, so its own response may have to wait until then.
+        pipelined: Whether it was sent while an earlier request on its connection had no response.
+        response_due_at: When the last earlier request on its connection times out. A proxy sends responses in
+            the order of the requests, so this response may be delayed until then.
         ended_at: When its response was complete, its connection ended or its client disconnected.
         outcome: How it ended.
-        status: The response's status; 0 without a response.
-        body_is_genuine: Whether a 200's body is one that a backend produced for this id.
+        status: The status of the response; 0 without a response.
+        body_is_genuine: Whether the body of a 200 is one that a backend produced for this id.
     """
 
     id: str
@@ -79,19 +80,19 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """One request that a backend received completely.
+    """One complete request that a backend received.
 
     Attributes:
-        id: The request's id.
+        id: The id of the request.
         proxy: The number of the proxy that forwarded it.
         backend: The backend's name.
         began_at: When its first byte was read.
         received_at: When its last byte was read.
-        timeout: Seconds that the proxy gave as the time it would wait.
+        timeout: The timeout in seconds that the proxy sent with the request.
         execution: Whether the backend executed it.
         has_length: Whether the response had a Content-Length.
-        response_completed: Whether the response was written completely and, where it had no Content-Length,
-            the connection was closed rather than reset.
+        response_completed: Whether the complete response was written and, if it had no Content-Length, the
+            connection was closed rather than reset.
     """
 
     id: str
@@ -107,12 +108,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """A period in which a backend is draining: no new requests may be forwarded to it.
+    """A period in which a backend drains, so that proxies must not forward new requests to it.
 
     Attributes:
         backend: The backend's name.
-        notified_at: For each proxy, by number, when it counts as notified.
-        ended_at: When a backend was in service again under this name; `NEVER` if none was.
+        notified_at: When each proxy counts as notified, by the proxy's number.
+        ended_at: When a backend with this name was in service again; `NEVER` if that did not happen.
     """
 
     backend: str
@@ -135,14 +136,14 @@
     Attributes:
         proxy: The proxy's number.
         started_at: When the process was started.
-        ready_at: When its health check first succeeded; `NEVER` if it did not.
-        terminated_at: When SIGTERM was sent; `NEVER` if it was not.
-        killed_at: When SIGKILL was sent; `NEVER` if it was not.
+        ready_at: When its health check first succeeded; `NEVER` if it did not succeed.
+        terminated_at: When SIGTERM was sent; `NEVER` if it was not sent.
+        killed_at: When SIGKILL was sent; `NEVER` if it was not sent.
         ended_at: When the process had ended; `NEVER` while it runs.
-        exit_code: Its exit code; None while it runs.
-        paused: The spans between SIGSTOP and SIGCONT.
-        log: The first lines that it wrote to standard error.
-        resident: Resident memory in bytes just before it was stopped.
+        exit_code: The exit code; None while the process runs.
+        paused: The time spans between SIGSTOP and SIGCONT.
+        log: The first lines that the process wrote to standard error.
+        resident: Resident memory in bytes immediately before the process was stopped.
     """
 
     proxy: int
@@ -159,12 +160,12 @@
 
 @dataclass(slots=True, frozen=True)
 class StalledClient:
-    """A client that sent a part of a request and then nothing more.
+    """A client that sent an incomplete request and then nothing more.
 
     Attributes:
         proxy: The proxy's number.
-        stopped_at: When it sent its last byte.
-        ended_at: When it received an error or its connection ended; `NEVER` if neither happened.
+        stopped_at: When the client sent its last byte.
+        ended_at: When the client received an error or its connection ended; `NEVER` if neither happened.
     """
 
     proxy: int
@@ -174,11 +175,11 @@
 
 @dataclass(slots=True, frozen=True)
 class SchedulingDelay:
-    """A moment at which a process of the run itself was scheduled late.
+    """A delay with which the operating system scheduled a process of the soak test itself.
 
     Attributes:
-        at: When it should have run.
-        seconds: By how much it was late.
+        at: When the measurement of the delay began.
+        seconds: The length of the delay.
     """
 
     at: float
@@ -187,16 +188,16 @@
 
 @dataclass(slots=True)
 class History:
-    """Everything recorded in a run.
+    """All records of a run.
 
     Attributes:
         requests: The clients' requests, in the order in which they were created.
         arrivals: The requests that backends received.
         drains: The drains of backends.
         incarnations: The proxies' processes, in the order of their starts.
-        stalled_clients: The clients that sent a part of a request.
-        scheduling_delays: When the run's own processes were late.
-        deduplication_window: Seconds for which backends recognise the repeat of an idempotency key.
+        stalled_clients: The clients that sent an incomplete request.
+        scheduling_delays: The scheduling delays of the soak test's own processes.
+        deduplication_window: Seconds for which backends recognise a repeated idempotency key.
     """
 
     requests: list[Request] = field(default_factory=list)
--- a/soak/history_checker.py
+++ b/soak/history_checker.py
@@ -1,7 +1,7 @@
-"""Checks a history against the rules of the protocol: every request, every arrival, every process.
+"""Checks every request, arrival and process of a history against the rules in `violations`.
 
-It owns which checks there are. It knows nothing of how a run is made. Where the run's own processes were
-scheduled late, or the run paused a proxy on purpose, `IndexedHistory.slack` allows for it.
+`IndexedHistory.slack` extends the bounds of the checks when the soak test's own processes were scheduled
+late, or when the run paused a proxy.
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
 
     def violations(self) -> list[Violation]:
         """Return all violations, in the order of time."""
-        return sorted(self._found(), key=attrgetter("at"))
+        return sorted(self._run_checks(), key=attrgetter("at"))
 
-    def _found(self) -> Iterator[Violation]:
+    def _run_checks(self) -> Iterator[Violation]:
         indexed = self._indexed
         for request in indexed.history.requests:
             yield from check_request(indexed, request)
--- a/soak/indexed_history.py
+++ b/soak/indexed_history.py
@@ -1,7 +1,7 @@
-"""A history with its indices, and the allowances for delays that are not the proxy's fault.
+"""A history with indices for the checks, and the slack for delays that the proxy did not cause.
 
-It owns how much later than its due time an event may be recorded, because the run's own processes were
-scheduled late or because the run paused the proxy on purpose. The rules are in the modules of the checks.
+Such delays occur when the soak test's own processes are scheduled late, or when the run pauses the proxy. The
+slack is the time by which they extend the bounds of the checks.
 """
 
 from __future__ import annotations
@@ -16,10 +16,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-RECORDING_SLACK = 0.05  # seconds between an event and its being recorded, on an idle machine
-DELAY_NEIGHBOURHOOD = 0.5  # seconds before and after a moment in which delays of the run count
-PAUSE_SLACK = 0.15  # seconds that a process may be paused between reading its clock and writing
-EXCUSED_AFTER_TERMINATION = 0.7  # seconds after SIGTERM; a later request that SIGKILL interrupts is lost
+RECORDING_SLACK = 0.05  # seconds between an event and its record on an idle machine
+DELAY_NEIGHBOURHOOD = 0.5  # seconds before and after an event in which delays and pauses count
+PAUSE_SLACK = 0.15  # longest pause in seconds of a process between reading its clock and writing
+#: Seconds after SIGTERM in which a request may be sent and interrupted by SIGKILL without a violation.
+EXCUSED_AFTER_TERMINATION = 0.7
 
 
 class IndexedHistory:
@@ -45,19 +46,19 @@
         self._scheduling_delays = sorted(history.scheduling_delays, key=attrgetter("at"))
 
     def slack(self, at: float, proxy: int) -> float:
-        """Return the seconds by which an event of a proxy may seem late for reasons outside of the proxy."""
+        """Return the seconds by which an event of a proxy may be late for reasons outside the proxy."""
         longest_pause = max(self._pauses_near(at, proxy), default=0.0)
         return RECORDING_SLACK + self._scheduling_delay_near(at) + min(PAUSE_SLACK, longest_pause)
 
     def _scheduling_delay_near(self, at: float) -> float:
-        """Return the longest scheduling delay near a moment, in seconds."""
+        """Return the longest scheduling delay near a time, in seconds."""
         delays, time_of = self._scheduling_delays, attrgetter("at")
         begin = bisect_left(delays, at - DELAY_NEIGHBOURHOOD, key=time_of)
         end = bisect_right(delays, at + DELAY_NEIGHBOURHOOD, key=time_of)
         return max((delay.seconds for delay in delays[begin:end]), default=0.0)
 
     def _pauses_near(self, at: float, proxy: int) -> Iterable[float]:
-        """Return the lengths of a proxy's pauses near a moment, in seconds."""
+        """Return the lengths of a proxy's pauses near a time, in seconds."""
         return [
             span.end - span.begin
             for incarnation in self._incarnations.get(proxy, [])
@@ -66,17 +67,18 @@
         ]
 
     def incarnation_at(self, proxy: int, at: float) -> ProxyIncarnation | None:
-        """Return the process that a proxy had at a moment; None if it had none."""
+        """Return the process that a proxy had at a time; None if it had none."""
         return next(
             (each for each in self._incarnations.get(proxy, []) if each.started_at <= at < each.ended_at),
             None,
         )
 
     def is_excused(self, request: Request) -> bool:
-        """Return whether a request needs no response because its proxy was killed with it.
+        """Return whether a request needs no response because its proxy was killed while it was in flight.
 
-        Where SIGTERM was sent first, only a request sent less than `EXCUSED_AFTER_TERMINATION` seconds after
-        it is excused: a proxy that reads a later one, in its graceful shutdown, has to answer it.
+        If SIGTERM was sent before SIGKILL, a request is excused only if it was sent less than
+        `EXCUSED_AFTER_TERMINATION` seconds after SIGTERM. A proxy that reads a later request during its
+        graceful shutdown has to respond to it.
         """
         for incarnation in self._incarnations.get(request.proxy, []):
             if not incarnation.started_at <= request.sent_at <= incarnation.ended_at + RECORDING_SLACK:
--- a/soak/process_checks.py
+++ b/soak/process_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the proxies as processes: exits, readiness, logged errors and the handling of stalled clients."""
+"""Checks of the proxy processes: exits, readiness, logged errors, and handling of stalled clients."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     from soak.history import ProxyIncarnation, StalledClient
     from soak.indexed_history import IndexedHistory
 
-READY_TIME = 10.0  # seconds in which `READY_SHARE` of the started processes have to be ready
-READY_SHARE = 0.9
+READY_TIME = 10.0  # seconds in which `MIN_READY_FRACTION` of the started processes have to be ready
+MIN_READY_FRACTION = 0.9
 STALLED_CLIENT_TIME = 3.0  # seconds in which a stalled client has to receive an error or a close
-MAX_SHOWN_LINES = 30  # of a log, from a line on that shows a defect
+MAX_SHOWN_LINES = 30  # lines of a log that a violation shows, from the line with the error
 ERROR_MARKS = ("violation", "Traceback", "exception was never retrieved", "Fatal error")
-LAST_LOG_LINES = 3  # shown of a process that exited unexpectedly
+LAST_LOG_LINES = 3  # lines that a violation shows of a process that exited unexpectedly
 
 
 def check_incarnation(incarnation: ProxyIncarnation) -> Iterator[Violation]:
-    """Check that a process ended only by a signal of the run, without an error, and logged no defect."""
+    """Check that a process ended only by a signal of the run and without an error, and logged no error."""
     was_killed = incarnation.killed_at < NEVER
     was_stopped = incarnation.terminated_at < NEVER or was_killed
     ended_by_error = incarnation.exit_code != 0 and not was_killed
@@ -38,15 +38,15 @@
 
 
 def check_readiness(history: IndexedHistory) -> Iterator[Violation]:
-    """Check that enough of the processes that ran for long enough were ready in time."""
-    long_enough = [
+    """Check that enough of the processes that ran for longer than `READY_TIME` were ready in that time."""
+    long_running = [
         each
         for each in history.history.incarnations
         if min(each.ended_at, each.killed_at) - each.started_at > READY_TIME
     ]
-    late = [each for each in long_enough if each.ready_at - each.started_at > READY_TIME]
-    if len(late) > (1.0 - READY_SHARE) * len(long_enough):
-        detail = f"{len(late)} of {len(long_enough)} are not ready"
+    late = [each for each in long_running if each.ready_at - each.started_at > READY_TIME]
+    if len(late) > (1.0 - MIN_READY_FRACTION) * len(long_running):
+        detail = f"{len(late)} of {len(long_running)} are not ready"
         yield Violation(Rule.NOT_READY, late[0].started_at, detail)
 
 
@@ -58,5 +58,5 @@
         return
     waited = client.ended_at - client.stopped_at
     if waited > STALLED_CLIENT_TIME + history.slack(due_at, client.proxy):
-        detail = f"proxy {client.proxy}: kept its connection open for {waited:.3f} s"
+        detail = f"proxy {client.proxy}: connection of a stalled client was open for {waited:.3f} s"
         yield Violation(Rule.STALLED_CLIENT_NOT_CLOSED, client.stopped_at, detail)
--- a/soak/request_checks.py
+++ b/soak/request_checks.py
@@ -1,4 +1,4 @@
-"""Checks of what clients received: every request is answered, in time, by what a backend produced for it."""
+"""Checks of the responses that clients received: each request has a genuine response, in time."""
 
 from __future__ import annotations
 
@@ -14,9 +14,11 @@
     from soak.history import Request
     from soak.indexed_history import IndexedHistory
 
-RESPONSE_SLACK = 0.5  # seconds after its client's timeout by which a request has to be answered
+RESPONSE_SLACK = 0.5  # seconds after its client's timeout until which a response counts as in time
 REJECTION_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
-MIN_FORWARDED_SHARE = 0.5  # of the complete close-delimited responses whose clients waited for one
+#: Smallest fraction of the complete close-delimited responses that the proxies have to forward, among those
+#: whose clients received a response.
+MIN_FORWARDED_FRACTION = 0.5
 
 
 def check_request(history: IndexedHistory, request: Request) -> Iterator[Violation]:
@@ -30,26 +32,26 @@
         yield Violation(Rule.NO_RESPONSE, request.ended_at, detail)
     elif request.outcome is RequestOutcome.RESPONDED:
         if request.ended_at > due_at + history.slack(request.ended_at, request.proxy):
-            detail = f"{label}: answered {request.ended_at - due_at:.3f} s late"
+            detail = f"{label}: response {request.ended_at - due_at:.3f} s late"
             yield Violation(Rule.LATE_RESPONSE, request.ended_at, detail)
         yield from _check_response(history, request)
 
 
 def _check_response(history: IndexedHistory, request: Request) -> Iterator[Violation]:
-    """Check the response that a request received."""
+    """Check that a response is genuine, and that no executed request was rejected."""
     label = _label(request)
     if request.status == HTTPStatus.OK and not request.body_is_genuine:
         yield Violation(
             Rule.FORGED_RESPONSE, request.ended_at, f"{label}: a body that no backend produced for it"
         )
     if request.status in REJECTION_STATUSES and request.safety is RetrySafety.NON_IDEMPOTENT:
-        executed = [
+        possibly_executed = [
             each
             for each in history.arrivals.get(request.id, [])
             if each.execution is not Execution.NOT_EXECUTED
         ]
-        if executed:
-            detail = f"{label}: {request.status} after {executed[0]}"
+        if possibly_executed:
+            detail = f"{label}: {request.status} after {possibly_executed[0]}"
             yield Violation(Rule.REJECTED_AFTER_EXECUTION, request.ended_at, detail)
 
 
@@ -60,8 +62,9 @@
 def _is_lost(history: IndexedHistory, request: Request) -> bool:
     """Return whether a request whose connection ended without a response counts as lost.
 
-    A connection that has served before may have been closed while the request was on its way, unread; its
-    client then retries. The request was read if a backend received it from this proxy.
+    A proxy may close an idle connection that has served earlier requests before it reads the next request.
+    The client then retries the request, and it is not lost. The proxy has read the request if a backend
+    received it from this proxy.
     """
     if history.is_excused(request):
         return False
@@ -75,13 +78,13 @@
 def check_close_delimited(history: IndexedHistory) -> Iterator[Violation]:
     """Check that clients received at least half of the complete responses that had no Content-Length."""
     completed = [each for each in history.history.arrivals if not each.has_length and each.response_completed]
-    waited = [
+    responded = [
         request
         for each in completed
         for request in history.requests.get(each.id, [])
         if request.proxy == each.proxy and request.outcome is RequestOutcome.RESPONDED
     ]
-    forwarded = sum(request.status == HTTPStatus.OK for request in waited)
-    if forwarded < len(waited) * MIN_FORWARDED_SHARE:
-        detail = f"{forwarded} of {len(waited)} responses without a length were forwarded"
+    forwarded_count = sum(request.status == HTTPStatus.OK for request in responded)
+    if forwarded_count < len(responded) * MIN_FORWARDED_FRACTION:
+        detail = f"{forwarded_count} of {len(responded)} responses without a length were forwarded"
         yield Violation(Rule.CLOSE_DELIMITED_RESPONSES_LOST, 0.0, detail)
--- a/soak/scheduling_delay.py
+++ b/soak/scheduling_delay.py
@@ -1,4 +1,4 @@
-"""Measures how late a process of the run is itself scheduled, so that no proxy is blamed for it."""
+"""Measures the scheduling delays of the soak test's own processes, which the checks allow for."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from soak.history import SchedulingDelay
 
 INTERVAL = 0.01  # seconds between two measurements
-MIN_DELAY = 0.01  # seconds from which a delay is recorded
+MIN_DELAY = 0.01  # seconds; shorter delays are not recorded
 
 
 class SchedulingDelayMeter:
-    """Records when this process's event loop ran late.
+    """Records the delays with which this process's event loop ran.
 
     Attributes:
         delays: The delays so far, in the order of time.
--- a/soak/violations.py
+++ b/soak/violations.py
@@ -1,4 +1,4 @@
-"""The rules of the protocol that a run is checked against, and a violation of one."""
+"""The rules that a run is checked against, and the record of a violation."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """One violated rule.
+    """One violation of a rule.
 
     Attributes:
         rule: The rule.
         at: When it was violated, on the monotonic clock.
-        detail: What happened, with the ids and times to look for in the logs.
+        detail: A description, with the ids and times to search for in the logs.
     """
 
     rule: Rule
