--- a/soak/cli.py
+++ b/soak/cli.py
@@ -1,6 +1,6 @@
 """The command line of the soak test: `python -m soak`.
 
-Exits 0 where no rule was violated, 1 where one was, 2 on bad arguments.
+The exit code is 0 if no rule was violated, 1 if a rule was violated, and 2 for invalid arguments.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from soak.run import RunOptions, RunReport, run
 from soak.scenarios import SCENARIOS
 
-MAX_SHOWN = 20  # violations of a run that are printed
+MAX_PRINTED_VIOLATIONS = 20  # for each run
 MB = 1 << 20
 
 SCENARIO_HELP = "\b\n" + "\n".join(f"{name}: {SCENARIOS[name].help}" for name in sorted(SCENARIOS))
@@ -34,19 +34,19 @@
 def command(
     names: tuple[str, ...], seed: int, seeds: int, seconds: float, proxies: int, keep: Path | None
 ) -> None:
-    """Run scenarios, all by default, with real processes, and check every request.
+    """Run scenarios with real processes and check every request. The default is all scenarios.
 
-    Nothing else should run on the machine meanwhile.
+    Nothing else should run on the machine at the same time.
     """
-    failed = 0
+    failed_runs = 0
     for name in names or sorted(SCENARIOS):
         for number in range(seed, seed + seeds):
             folder = keep / f"{name}-{number}" if keep is not None else None
             report = asyncio.run(run(SCENARIOS[name], RunOptions(number, seconds, proxies, folder)))
             print_report(f"{name} {number}", report)
-            failed += bool(report.violations)
-    click.echo(f"{failed} runs violated a rule")
-    sys.exit(1 if failed else 0)
+            failed_runs += bool(report.violations)
+    click.echo(f"{failed_runs} runs violated a rule")
+    sys.exit(1 if failed_runs else 0)
 
 
 def print_report(title: str, report: RunReport) -> None:
@@ -57,5 +57,5 @@
     click.echo(f"  faults: {faults}")
     memory = f"{report.max_resident / MB:.0f} MB"
     click.echo(f"  own scheduling delay at most {report.max_scheduling_delay:.3f} s, memory {memory}")
-    for violation in report.violations[:MAX_SHOWN]:
+    for violation in report.violations[:MAX_PRINTED_VIOLATIONS]:
         click.echo(f"  {violation.at:.3f} {violation.rule}: {violation.detail}")
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: real proxies between stand-in backends, clients and discovery, with faults; then the check."""
+"""One run: real proxies with test backends, clients, discovery and faults; then the check of its history."""
 
 from __future__ import annotations
 
@@ -36,20 +36,21 @@
     from soak.violations import Violation
 
 BACKENDS = 14
-PORTS_PER_PROXY = 3  # of the proxy itself, and of the two places of its discovery
-SEED_BITS = 64  # of the seed in a proxy's configuration
-FAULT_LOG = "faults.log"  # the fault log's file name
+PORTS_PER_PROXY = 3  # one of the proxy, and one of each of its two discovery agents
+SEED_BITS = 64  # bits of the seed in a proxy's configuration
+FAULT_LOG = "faults.log"  # name of the fault log's file
 
 
 @dataclass(slots=True, frozen=True)
 class RunOptions:
-    """How a scenario is run.
+    """The options of a run.
 
     Attributes:
-        seed: The seed of everything random in the run. The timing of the processes is not reproducible.
+        seed: The seed of all random generators in the run. The timing of the processes is not reproducible.
         seconds: How long clients send requests.
-        proxies: How many proxies there are.
-        folder: Where the proxies' files and event logs are written; None discards them.
+        proxies: The number of proxies.
+        folder: The folder of the proxies' files and event logs. None uses a temporary folder and writes no
+            event logs.
     """
 
     seed: int
@@ -64,9 +65,9 @@
 
     Attributes:
         violations: The violations of rules, in the order of time.
-        outcomes: How many requests had each outcome, with the status of responses.
-        faults: How many faults of each kind were injected.
-        max_scheduling_delay: The longest scheduling delay of the run's own processes in seconds.
+        outcomes: The number of requests by outcome and status.
+        faults: The number of injected faults by kind.
+        max_scheduling_delay: The longest scheduling delay of the soak test's own processes in seconds.
         max_resident: The largest resident memory of a proxy before it was stopped, in bytes.
     """
 
@@ -112,7 +113,7 @@
 async def _set_up(
     folder: Path, scenario: Scenario, options: RunOptions, backends: ChildProcess, history: History
 ) -> TestEnvironment:
-    """Start backends and discovery, and create the proxies, which are not started yet, and the clients."""
+    """Start backends and discovery, and create the proxies and clients without starting them."""
     count = options.proxies
     endpoints = EndpointList(backends.call("start"), count, history)
     ports = free_ports(PORTS_PER_PROXY * count, np.random.default_rng(options.seed))
--- a/soak/scenario.py
+++ b/soak/scenario.py
@@ -1,4 +1,4 @@
-"""What a scenario of the soak test consists of."""
+"""The definition of a scenario of the soak test."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Scenario:
-    """What a run consists of.
+    """A scenario: the load and the faults of a run.
 
     Attributes:
-        help: One line that describes it.
+        help: A description of one line for the command line's help.
         system_calls: The faults of the proxies' system calls.
-        clients: What clients do.
-        backends: How backends respond.
-        faults: The kinds of faults in the schedule.
+        clients: The behaviour of the clients.
+        backends: The behaviour of the backends.
+        faults: The kinds of faults that are injected.
     """
 
     help: str
--- a/soak/scenarios.py
+++ b/soak/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios that runs can perform, by name."""
+"""The scenarios of the soak test, by name."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 SCENARIOS = {
     "quiet": Scenario(
-        "Nothing but the load: no faults but reset watches, and backends that always respond.",
+        "Load without faults except reset watches; backends always respond.",
         backends=BackendBehaviour(
             reset_probability=0.0,
             rejection_probability=0.0,
@@ -26,7 +26,7 @@
         clients=ClientMix(disconnect_probability=0.0, stall_probability=0.0, pipeline_probability=0.0),
         faults=(FaultKind.RESET_WATCHES,),
     ),
-    "mixed": Scenario("All kinds of faults, overlapping; system calls do not fail."),
+    "mixed": Scenario("All kinds of faults, which overlap; system calls do not fail."),
     "dials": Scenario(
         "Connections to backends are established late or not at all.",
         system_calls=SystemCallFaults(slow_connect=0.3, max_connect_delay=0.4, connect=0.05),
@@ -39,7 +39,7 @@
         system_calls=SystemCallFaults(short=0.3, read=0.003),
     ),
     "accepts": Scenario(
-        "Accepting a connection fails now and again.", system_calls=SystemCallFaults(accept=0.05)
+        "Accepting a connection fails occasionally.", system_calls=SystemCallFaults(accept=0.05)
     ),
     "clock": Scenario(
         "The wall clock steps by an hour.",
