--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the soak test's own checks."""
+"""Tests of the soak test: its fault schedule, and its checks of a history."""
--- a/tests/soak/test_fault_injection.py
+++ b/tests/soak/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""The schedule of faults, on stand-ins and in virtual time: a seed's schedule does not change."""
+"""Tests of the fault schedule, with stubs in virtual time: a seed always produces the same schedule."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
     from testbed.child_process import ChildProcess
 
 PROXIES = 24
-RESTART_TIME = 1.0  # seconds that ending or starting a process takes
+RESTART_TIME = 1.0  # seconds to stop or to start a process
 RUN_TIME = 12.0  # seconds
 
-#: How the schedule of seed 63 begins, as it was drawn before the faults had types.
+#: The beginning of the schedule of seed 63. A change would make the seeds of earlier runs useless.
 SCHEDULE_OF_SEED_63 = """\
 0.147 kill begins
 0.147 proxy 8 restarts
@@ -56,7 +56,7 @@
 
 
 class StubProxy:
-    """A proxy that only takes time."""
+    """A proxy whose methods only take time."""
 
     def reconfigure(self, **_changed: object) -> None:
         """Change nothing."""
@@ -87,14 +87,14 @@
 
 
 class StubBackends:
-    """Backends that do nothing."""
+    """A process of backends whose calls do nothing."""
 
     def call(self, _method: str, *_args: object, **_kwargs: object) -> int:
         return 1
 
 
 class StubEndpoints:
-    """An endpoint list that knows only which backends are in service."""
+    """An endpoint list that only records which backends are draining."""
 
     def __init__(self) -> None:
         self._draining: set[str] = set()
@@ -112,7 +112,7 @@
         self._draining.discard(name)
 
     def silence(self, _proxies: list[int]) -> None:
-        """Cut nothing off."""
+        """Silence nothing."""
 
     def heal(self, _proxies: list[int]) -> None:
         """Heal nothing."""
@@ -129,7 +129,7 @@
 
 
 def stub_environment() -> environment.TestEnvironment:
-    """Return an environment in which faults have no effect but to take their time."""
+    """Return an environment in which faults take time but have no other effect."""
     proxies = [cast("ManagedProxy", StubProxy()) for _ in range(PROXIES)]
     return environment.TestEnvironment(
         cast("ProxyFleet", proxies),
@@ -140,10 +140,10 @@
     )
 
 
-def injected(
+def run_injector(
     monkeypatch: pytest.MonkeyPatch, seed: int, kinds: Collection[FaultKind] = ALL_FAULTS
 ) -> FaultInjector:
-    """Return an injector that has run in virtual time."""
+    """Run a fault injector in virtual time, and return it."""
     injector = FaultInjector(stub_environment(), seed, kinds)
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner, monkeypatch.context() as context:
         context.setattr(time, "monotonic", runner.get_loop().time)
@@ -151,25 +151,27 @@
     return injector
 
 
-def test_schedule_of_a_seed_does_not_change(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_seed_produces_the_same_schedule_as_before(monkeypatch: pytest.MonkeyPatch) -> None:
     expected = SCHEDULE_OF_SEED_63.splitlines()
-    assert injected(monkeypatch, seed=63).log.lines[: len(expected)] == expected
+    assert run_injector(monkeypatch, seed=63).log.lines[: len(expected)] == expected
 
 
-def test_kinds_left_out_are_never_injected(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_only_the_selected_kinds_of_faults_are_injected(monkeypatch: pytest.MonkeyPatch) -> None:
     kinds = {FaultKind.HANG, FaultKind.PAUSE}
-    assert set(injected(monkeypatch, seed=1, kinds=kinds).counts) == kinds
+    assert set(run_injector(monkeypatch, seed=1, kinds=kinds).counts) == kinds
 
 
-def test_every_kind_is_injected_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    injector = injected(monkeypatch, seed=63)
+def test_every_kind_of_fault_is_injected_and_every_fault_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+    injector = run_injector(monkeypatch, seed=63)
     assert set(injector.counts) == set(FaultKind)
     for kind, count in injector.counts.items():
         assert sum(line.endswith(f"{kind} ends") for line in injector.log.lines) == count
 
 
-def test_no_fault_begins_while_a_run_settles(monkeypatch: pytest.MonkeyPatch) -> None:
-    lines = injected(monkeypatch, seed=63).log.lines
-    last = max(float(line.split()[0]) for line in lines if line.endswith("begins"))
-    assert last < RUN_TIME
-    assert last > RUN_TIME - SETTLING_TIME - 1.0
+def test_no_fault_begins_at_the_end_of_a_run_but_faults_continue_until_then(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    lines = run_injector(monkeypatch, seed=63).log.lines
+    last_start = max(float(line.split()[0]) for line in lines if line.endswith("begins"))
+    assert last_start < RUN_TIME
+    assert last_start > RUN_TIME - SETTLING_TIME - 1.0
--- a/tests/soak/test_history_checker.py
+++ b/tests/soak/test_history_checker.py
@@ -1,4 +1,4 @@
-"""The history checker: each rule is violated by one history, and satisfied by another that comes close."""
+"""Tests of the history checker: for each rule, a history that violates it and a similar one that does not."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 SENT_AT = 100.0
 
 
-def answered(
+def responded_request(
     safety: RetrySafety = RetrySafety.NON_IDEMPOTENT, status: int = 200, ended_at: float = 100.5
 ) -> Request:
     """Return a request that received a response, the first on its connection."""
@@ -48,14 +48,14 @@
     )
 
 
-def unanswered(outcome: RequestOutcome, at: float) -> Request:
-    """Return a request without a response."""
-    return replace(answered(), outcome=outcome, ended_at=at, status=0)
+def request_without_response(outcome: RequestOutcome, at: float) -> Request:
+    """Return a request that received no response."""
+    return replace(responded_request(), outcome=outcome, ended_at=at, status=0)
 
 
 def closed_after_reuse() -> Request:
-    """Return a request without a response whose connection had served before."""
-    return replace(unanswered(RequestOutcome.CONNECTION_CLOSED, 100.3), new_connection=False)
+    """Return a request without a response on a connection that had served earlier requests."""
+    return replace(request_without_response(RequestOutcome.CONNECTION_CLOSED, 100.3), new_connection=False)
 
 
 def arrival(
@@ -64,7 +64,7 @@
     execution: Execution = Execution.CONFIRMED,
     backend: str = "a",
 ) -> Arrival:
-    """Return the arrival of that request at a backend."""
+    """Return the arrival of the request at a backend."""
     return Arrival(
         "r1",
         proxy=0,
@@ -78,7 +78,7 @@
 
 
 def incarnation(**changed: object) -> ProxyIncarnation:
-    """Return a process that ran all the time."""
+    """Return a process that runs during the complete history, with some attributes changed."""
     return replace(ProxyIncarnation(0, 50.0, 51.0), **changed)  # type: ignore[arg-type]
 
 
@@ -91,9 +91,9 @@
     stalled_clients: list[StalledClient] | None = None,
     scheduling_delays: list[SchedulingDelay] | None = None,
 ) -> History:
-    """Return the history of one good request, with the given parts in place of its own."""
+    """Return the history of one successful request, with the given records in place of the default ones."""
     return History(
-        [answered()] if requests is None else requests,
+        [responded_request()] if requests is None else requests,
         [arrival()] if arrivals is None else arrivals,
         drains or [],
         incarnations or [incarnation()],
@@ -104,28 +104,32 @@
 
 
 def with_idempotency_key() -> list[Request]:
-    """Return a request with an idempotency key."""
-    return [answered(RetrySafety.KEYED)]
+    """Return one successful request with an idempotency key."""
+    return [responded_request(RetrySafety.KEYED)]
 
 
 def close_delimited(status: int) -> History:
-    """Return a complete response without a Content-Length, and the status that its client received."""
-    return history([answered(status=status)], [replace(arrival(), has_length=False)])
+    """Return the history of a complete response without a Content-Length.
 
+    Args:
+        status: The status of the response that the client received from the proxy.
+    """
+    return history([responded_request(status=status)], [replace(arrival(), has_length=False)])
 
-#: For each rule: a history that violates it, and one that does not.
+
+#: By case: the rule, a history that violates it, and a history that does not.
 CASES: dict[str, tuple[Rule, Callable[[], History], Callable[[], History]]] = {
     "no response": (
         Rule.NO_RESPONSE,
-        lambda: history([unanswered(RequestOutcome.TIMED_OUT, 101.7)]),
+        lambda: history([request_without_response(RequestOutcome.TIMED_OUT, 101.7)]),
         lambda: history(
-            [unanswered(RequestOutcome.TIMED_OUT, 101.7)],
+            [request_without_response(RequestOutcome.TIMED_OUT, 101.7)],
             incarnations=[incarnation(killed_at=101.0, ended_at=101.0, exit_code=-9)],
         ),
     ),
     "connection closed": (
         Rule.NO_RESPONSE,
-        lambda: history([unanswered(RequestOutcome.CONNECTION_CLOSED, 100.3)]),
+        lambda: history([request_without_response(RequestOutcome.CONNECTION_CLOSED, 100.3)]),
         lambda: history([closed_after_reuse()], arrivals=[]),
     ),
     "connection closed after it was read": (
@@ -136,33 +140,33 @@
     "killed after SIGTERM": (
         Rule.NO_RESPONSE,
         lambda: history(
-            [unanswered(RequestOutcome.TIMED_OUT, 101.7)],
+            [request_without_response(RequestOutcome.TIMED_OUT, 101.7)],
             incarnations=[incarnation(terminated_at=99.0, killed_at=101.0, ended_at=101.0, exit_code=-9)],
         ),
         lambda: history(
-            [unanswered(RequestOutcome.TIMED_OUT, 101.7)],
+            [request_without_response(RequestOutcome.TIMED_OUT, 101.7)],
             incarnations=[incarnation(terminated_at=99.5, killed_at=101.0, ended_at=101.0, exit_code=-9)],
         ),
     ),
     "late response": (
         Rule.LATE_RESPONSE,
-        lambda: history([answered(ended_at=101.6)]),
-        lambda: history([answered(ended_at=101.6)], scheduling_delays=[SchedulingDelay(101.5, 0.1)]),
+        lambda: history([responded_request(ended_at=101.6)]),
+        lambda: history([responded_request(ended_at=101.6)], scheduling_delays=[SchedulingDelay(101.5, 0.1)]),
     ),
     "late, in a pipeline": (
         Rule.LATE_RESPONSE,
-        lambda: history([replace(answered(ended_at=101.9), response_due_at=101.2)]),
-        lambda: history([replace(answered(ended_at=101.9), response_due_at=101.5)]),
+        lambda: history([replace(responded_request(ended_at=101.9), response_due_at=101.2)]),
+        lambda: history([replace(responded_request(ended_at=101.9), response_due_at=101.5)]),
     ),
     "forged response": (
         Rule.FORGED_RESPONSE,
-        lambda: history([replace(answered(), body_is_genuine=False)]),
-        lambda: history([replace(answered(status=502), body_is_genuine=False)]),
+        lambda: history([replace(responded_request(), body_is_genuine=False)]),
+        lambda: history([replace(responded_request(status=502), body_is_genuine=False)]),
     ),
     "rejected after it was executed": (
         Rule.REJECTED_AFTER_EXECUTION,
-        lambda: history([answered(status=503)]),
-        lambda: history([answered(status=503)], [arrival(execution=Execution.NOT_EXECUTED)]),
+        lambda: history([responded_request(status=503)]),
+        lambda: history([responded_request(status=503)], [arrival(execution=Execution.NOT_EXECUTED)]),
     ),
     "executed twice": (
         Rule.UNSAFE_RETRY,
@@ -181,9 +185,11 @@
     ),
     "sent after its client disconnected": (
         Rule.SENT_AFTER_DISCONNECT,
-        lambda: history([unanswered(RequestOutcome.DISCONNECTED, 100.1)], [arrival(100.3, timeout=0.7)]),
         lambda: history(
-            [unanswered(RequestOutcome.DISCONNECTED, 100.1)],
+            [request_without_response(RequestOutcome.DISCONNECTED, 100.1)], [arrival(100.3, timeout=0.7)]
+        ),
+        lambda: history(
+            [request_without_response(RequestOutcome.DISCONNECTED, 100.1)],
             [arrival(100.3, timeout=0.7)],
             incarnations=[incarnation(paused=[TimeSpan(100.1, 100.24)])],
         ),
@@ -229,11 +235,11 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_rule_is_violated_by_one_history_and_satisfied_by_another(name: str) -> None:
+def test_checker_reports_a_violation_but_not_a_similar_allowed_history(name: str) -> None:
     rule, violating, satisfying = CASES[name]
     assert rule in {violation.rule for violation in HistoryChecker(violating()).violations()}
     assert HistoryChecker(satisfying()).violations() == []
 
 
-def test_every_rule_has_a_case() -> None:
+def test_every_rule_is_tested() -> None:
     assert {rule for rule, _, _ in CASES.values()} == set(Rule)
