--- a/tests/testbed/__init__.py
+++ b/tests/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the stand-ins."""
+"""Tests of the testbed."""
--- a/tests/testbed/test_child_process.py
+++ b/tests/testbed/test_child_process.py
@@ -1,4 +1,4 @@
-"""Calls to child processes, and their errors."""
+"""Tests of calls to child processes and of their errors."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from testbed.discovery.registry import Registry
 
 
-def test_an_error_in_a_child_is_raised_in_its_parent() -> None:
+def test_parent_receives_the_error_of_a_call_and_of_a_closed_child() -> None:
     with ChildProcess(Registry, topology.build(1, 5, 1).entries) as child:
         with pytest.raises(CallFailedError, match="KeyError"):
             child.call("endpoint_traffic", "odd")
--- a/tests/testbed/test_meter.py
+++ b/tests/testbed/test_meter.py
@@ -1,4 +1,4 @@
-"""Series of readings."""
+"""Tests of series of readings."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from testbed.meter import Series
 
 
-def test_a_series_finds_its_worst_ten_seconds() -> None:
+def test_series_returns_its_largest_growth_in_ten_seconds() -> None:
     series = Series()
     for at, value in ((0.0, 5.0), (10.0, 6.0), (14.0, 26.0), (30.0, 27.0), (40.0, 27.5)):
         series.add(at, value)
-    assert series.worst() == pytest.approx(2.0)  # 20 within 4 s, counted over 10
+    assert series.worst() == pytest.approx(2.0)  # a growth of 20 in 4 s, divided by the 10 s of the window
     assert series.mean() == pytest.approx(22.5 / 40.0)
     assert series.growth() == pytest.approx(22.5)
     assert Series().mean() == Series().worst() == 0.0
--- a/tests/testbed/test_proxy_program.py
+++ b/tests/testbed/test_proxy_program.py
@@ -1,4 +1,4 @@
-"""The program of a proxy: another tree is run by its own deploy file."""
+"""Tests of the commands that start a proxy, from this source tree or by the deploy file of another tree."""
 
 from __future__ import annotations
 
@@ -26,31 +26,31 @@
 
 
 def write_deploy_file(tree: Path, text: str) -> None:
-    """Give a tree a deploy file."""
+    """Write the deploy file of a source tree."""
     path = tree / DEPLOY_FILE
     path.parent.mkdir()
     path.write_text(text, encoding="utf-8")
 
 
-def test_a_tree_needs_a_deploy_file(tmp_path: Path) -> None:
+def test_tree_without_a_deploy_file_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(UnreadableDeployFileError, match=r"balancer\.toml can't be read"):
         ProxyProgram.of_tree(tmp_path)
 
 
-def test_a_deploy_file_needs_a_run(tmp_path: Path) -> None:
+def test_deploy_file_without_a_run_command_is_rejected(tmp_path: Path) -> None:
     write_deploy_file(tmp_path, 'run = ""\n')
     with pytest.raises(MissingDeployKeyError, match="has no run"):
         ProxyProgram.of_tree(tmp_path)
 
 
 @pytest.mark.parametrize("run", [RUN, RUN.replace("exec", "trap '' HUP; exec")])
-def test_a_tree_that_is_not_built_is_rejected_with_the_name_of_its_build(run: str, tmp_path: Path) -> None:
+def test_tree_that_is_not_built_is_rejected_with_its_build_command(run: str, tmp_path: Path) -> None:
     write_deploy_file(tmp_path, 'build = "make venv"\n' + run)
     with pytest.raises(TreeNotBuiltError, match=r"has no \.venv/bin/python: build it .* by make venv"):
         ProxyProgram.of_tree(tmp_path)
 
 
-def test_another_tree_is_run_by_its_own_deploy_file(tmp_path: Path) -> None:
+def test_other_tree_is_started_by_its_own_deploy_file(tmp_path: Path) -> None:
     write_deploy_file(tmp_path, RUN)
     interpreter = tmp_path / ".venv" / "bin" / "python"
     interpreter.parent.mkdir(parents=True)
@@ -58,11 +58,11 @@
     assert ProxyProgram.of_tree(tmp_path).command == ("/bin/sh", "-c", "exec .venv/bin/python -m former")
 
 
-def test_this_tree_is_run_by_the_present_interpreter() -> None:
+def test_this_tree_is_started_by_the_interpreter_of_this_process() -> None:
     assert ProxyProgram.of_tree(PROJECT_ROOT).command == (sys.executable, "-m", "proxy")
 
 
-def test_this_tree_is_run_by_its_deploy_file_with_another_interpreter_and_module() -> None:
+def test_run_command_replaces_the_interpreter_and_the_module_of_the_deploy_file() -> None:
     run = deploy_text(read_deploy_file(PROJECT_ROOT), "run", PROJECT_ROOT)
     assert run.endswith(DEPLOYED_PROGRAM)
     assert run_command("soak.shim") == run.removesuffix(DEPLOYED_PROGRAM) + f"{sys.executable} -m soak.shim"
--- a/tests/testbed/test_registry.py
+++ b/tests/testbed/test_registry.py
@@ -1,4 +1,4 @@
-"""The stand-in for discovery, on loopback sockets."""
+"""Tests of the discovery registry on loopback sockets."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self.reader, self.writer = reader, writer
 
     async def next_message(self) -> Any:
-        """Return the next line's object; None for an empty line, which is a heartbeat."""
+        """Return the message of the next chunk; None for a heartbeat."""
         size = int((await with_timeout(self.reader.readline())).strip(), 16)
         line = await with_timeout(self.reader.readexactly(size + 2))
         return orjson.loads(line) if line.strip() else None
@@ -43,7 +43,7 @@
 
 
 @in_event_loop
-async def test_a_list_on_request_is_complete() -> None:
+async def test_request_without_a_watch_receives_the_complete_list() -> None:
     async with running_registry() as registry:
         port = await registry.open_endpoint(ENDPOINT)
         reader, writer = await asyncio.open_connection(HOST, port)
@@ -56,7 +56,7 @@
 
 
 @in_event_loop
-async def test_a_watch_receives_changes_and_resumes_from_its_version() -> None:
+async def test_watch_receives_changes_and_resumes_from_its_version() -> None:
     async with running_registry() as registry:
         port = await registry.open_endpoint(ENDPOINT)
         first = await start_watch(port, 0)
@@ -92,13 +92,13 @@
 
 
 @in_event_loop
-async def test_an_endpoint_with_a_view_sends_only_its_backends() -> None:
+async def test_endpoint_with_a_view_sends_only_the_backends_of_the_view() -> None:
     async with running_registry() as registry:
-        narrow = await start_watch(await registry.open_endpoint("some", view=NAMES[:3]), 0)
-        assert len((await narrow.next_message())["endpoints"]) == 3
+        watch = await start_watch(await registry.open_endpoint("some", view=NAMES[:3]), 0)
+        assert len((await watch.next_message())["endpoints"]) == 3
         registry.publish(2, [changed_backend(5)])
         registry.publish(3, [changed_backend(1), changed_backend(6)])
-        assert await narrow.next_message() == {
+        assert await watch.next_message() == {
             "index": 3,
             "snapshot": False,
             "endpoints": [changed_backend(1)],
@@ -107,7 +107,7 @@
 
 
 @in_event_loop
-async def test_an_idle_watch_receives_heartbeats() -> None:
+async def test_only_an_idle_watch_receives_heartbeats() -> None:
     async with running_registry() as registry:
         port = await registry.open_endpoint(ENDPOINT)
         clock = ManualClock()
@@ -125,7 +125,7 @@
 
 
 @in_event_loop
-async def test_a_static_list_is_sent_completely_to_each_watch_also_at_its_own_version() -> None:
+async def test_static_list_is_sent_completely_to_a_watch_that_resumes_from_its_version() -> None:
     snapshot: EndpointUpdate = {"index": 7, "snapshot": True, "endpoints": list(FLEET.entries)}
     async with AsyncExitStack() as stack:
         port = await serve_static_list(stack, snapshot)
--- a/tests/testbed/test_registry_state.py
+++ b/tests/testbed/test_registry_state.py
@@ -1,4 +1,4 @@
-"""The endpoint list of a control machine: deltas and snapshots."""
+"""Tests of the endpoint list of a registry: deltas and snapshots."""
 
 from __future__ import annotations
 
@@ -13,7 +13,9 @@
     import pytest
 
 
-def test_the_log_bounds_what_can_be_resumed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_watch_receives_a_snapshot_if_the_log_lacks_changes_after_its_version(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("testbed.discovery.registry_state.MAX_LOG_ENTRIES", 3)
     state = RegistryState(FLEET.entries)
     for index in range(2, 8):
