--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the project: each package here mirrors one of the project's packages."""
+"""Tests of the project; each package mirrors one of the project's packages."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several test modules use, and the handling of tests that are known to fail."""
+"""Fixtures for several test modules, and the handling of tests that are known to fail."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Expect the known failures to fail; a run of all tests also checks that each entry names a test."""
+    """Mark the known failures as expected failures.
+
+    A run of all tests also checks that each entry of the list names a test.
+    """
     for item in items:
         for entry in KNOWN_RED:
             if entry.names(item.nodeid):
@@ -30,14 +33,14 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the tests that are known to fail."""
+    """Print the known failures."""
     for entry in KNOWN_RED:
         terminalreporter.write_line(f"KNOWN RED: {entry.test}: {entry.cause} ({entry.issue})")
 
 
 @pytest.fixture
 def config_path(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """Return the path that a proxy in this process reads its configuration from; there is no file yet."""
+    """Return the path of the configuration file for a proxy in this process; the file does not exist yet."""
     for name in ("RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY"):
         monkeypatch.delenv(name, raising=False)
     path = tmp_path / "c.json"
@@ -47,5 +50,5 @@
 
 @pytest.fixture
 def log_lines(capfd: pytest.CaptureFixture[str]) -> Callable[[], list[str]]:
-    """Return a function that returns the lines which were logged since its last call."""
+    """Return a function that returns the lines logged to standard error since its last call."""
     return lambda: capfd.readouterr().err.splitlines()
--- a/tests/support/code_structure.py
+++ b/tests/support/code_structure.py
@@ -1,7 +1,7 @@
-"""The shape of the project's own modules: what they import from each other, and how large they are.
+"""Reads the project's modules, and reports import cycles and code that exceeds a size limit.
 
-Imports count wherever they stand, also those that only annotations need: two modules that name each other's
-types can't be read one after the other.
+All imports count, including those inside functions and those for annotations only: a reader can't understand
+one of two modules that use each other's types without the other.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 PACKAGES = ("balancer", "proxy", "testbed", "emulator", "soak", "tests")
 MAX_MODULE_LINES = 300
 MAX_TEST_MODULE_LINES = 400
-MAX_FUNCTION_LINES = 35  # not for tests: a scenario reads best in one piece
+MAX_FUNCTION_LINES = 35  # except in tests, where a long scenario is easier to read in one function
 MAX_METHODS = 20
 
 FunctionNode = ast.FunctionDef | ast.AsyncFunctionDef
@@ -28,10 +28,10 @@
     """One module of the project.
 
     Attributes:
-        name: Its dotted name.
-        path: Its file, relative to the project's root.
-        text: Its source.
-        tree: The same, parsed.
+        name: The dotted name.
+        path: The path, relative to the project's root.
+        text: The source code.
+        tree: The syntax tree of the source code.
     """
 
     name: str
@@ -41,7 +41,7 @@
 
     @property
     def is_test(self) -> bool:
-        """Whether it belongs to the tests."""
+        """Whether the module belongs to the tests."""
         return self.path.parts[0] == "tests"
 
 
@@ -61,7 +61,7 @@
 
 
 def import_graph(modules: Iterable[SourceModule]) -> dict[str, set[str]]:
-    """Return which of the modules each of them imports."""
+    """Return, for each module, the names of the given modules that it imports."""
     by_name = {module.name: module for module in modules}
     return {
         name: {imported for imported in _imported_names(module, by_name) if imported != name}
@@ -80,7 +80,7 @@
 
 
 def import_cycles(graph: Mapping[str, set[str]]) -> list[list[str]]:
-    """Return the groups of modules that import each other, directly or through others."""
+    """Return the groups of modules that import each other, directly or through other modules."""
     reachable = {name: _reachable_from(name, graph) for name in graph}
     groups = {
         tuple(sorted(other for other in reachable[name] if name in reachable[other]))
@@ -101,19 +101,19 @@
     return reached
 
 
-def oversized_parts(module: SourceModule) -> list[str]:
-    """Return what in a module is over its bound: the module itself, its classes, its functions."""
-    found = []
+def size_violations(module: SourceModule) -> list[str]:
+    """Return a message for each size limit that a module, its classes or its functions exceed."""
+    violations = []
     line_count = module.text.count("\n")
     if line_count > (MAX_TEST_MODULE_LINES if module.is_test else MAX_MODULE_LINES):
-        found.append(f"{module.path}: {line_count} lines")
+        violations.append(f"{module.path}: {line_count} lines")
     for node in ast.walk(module.tree):
         if isinstance(node, ast.ClassDef):
-            methods = sum(isinstance(each, FunctionNode) for each in node.body)
-            if methods > MAX_METHODS:
-                found.append(f"{module.path}: {node.name} has {methods} methods")
+            method_count = sum(isinstance(each, FunctionNode) for each in node.body)
+            if method_count > MAX_METHODS:
+                violations.append(f"{module.path}: {node.name} has {method_count} methods")
         elif isinstance(node, FunctionNode) and not module.is_test:
             length = (node.end_lineno or node.lineno) - node.lineno + 1
             if length > MAX_FUNCTION_LINES:
-                found.append(f"{module.path}: {node.name} has {length} lines")
-    return found
+                violations.append(f"{module.path}: {node.name} has {length} lines")
+    return violations
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,7 +1,7 @@
-"""The known failures: the tests that `KNOWN-RED.txt` at the root lists, each with its cause and issue.
+"""Reads the known failures: the tests in `KNOWN-RED.txt` at the project's root, with their causes and issues.
 
-The file has one line for each test, of the form `file::test | cause | issue`; a name without parameters
-includes all of them. Such a test has to fail: once it passes, the run fails until the line is removed.
+The file has one line for each test, in the form `file::test | cause | issue`. A name without parameters
+includes all parameters. A listed test has to fail: if it passes, the run fails until the line is removed.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
     from pathlib import Path
 
 MAX_ENTRIES = 3
-FIELD_COUNT = 3
+FIELD_COUNT = 3  # fields of a line
 SEPARATOR = "|"
 KNOWN_RED_FILE = PROJECT_ROOT / "KNOWN-RED.txt"
 
 
 class MalformedLineError(ValueError):
-    """A line does not name a test, a cause and an issue."""
+    """A line does not have the form `test | cause | issue`."""
 
     def __init__(self, line: str) -> None:
         super().__init__(f"not of the form test | cause | issue: {line}")
 
 
 class TooManyEntriesError(ValueError):
-    """The file lists more failures than may be known at once."""
+    """The file has more than `MAX_ENTRIES` entries."""
 
     def __init__(self, count: int) -> None:
         super().__init__(f"{count} known failures, and at most {MAX_ENTRIES} may be listed")
@@ -36,23 +36,29 @@
 
 @dataclass(slots=True, frozen=True)
 class KnownRed:
-    """A test that fails because of a fault that is not fixed yet."""
+    """A test that fails because of an open fault.
+
+    Attributes:
+        test: The pytest id of the test, with or without parameters.
+        cause: Why the test fails.
+        issue: The issue of the fault.
+    """
 
     test: str
     cause: str
     issue: str
 
     def names(self, node_id: str) -> bool:
-        """Return whether this entry names a test, or one of its parameters, by pytest's id of it."""
+        """Return whether the entry includes the test with a pytest id."""
         return node_id == self.test or node_id.startswith(f"{self.test}[")
 
 
 def parse(text: str) -> list[KnownRed]:
-    """Read the entries of the file.
+    """Parse the content of the file.
 
     Raises:
-        MalformedLineError: A line does not have the form above.
-        TooManyEntriesError: There are more than `MAX_ENTRIES`.
+        MalformedLineError: A line does not have the form `test | cause | issue`.
+        TooManyEntriesError: The file has more than `MAX_ENTRIES` entries.
     """
     entries = []
     for line in filter(None, map(str.strip, text.splitlines())):
@@ -66,10 +72,10 @@
 
 
 def load(path: Path = KNOWN_RED_FILE) -> list[KnownRed]:
-    """Read the file; without one, no test is known to fail."""
+    """Read the file; return no entries if it does not exist."""
     return parse(path.read_text()) if path.exists() else []
 
 
 def unmatched(entries: list[KnownRed], node_ids: list[str]) -> list[KnownRed]:
-    """Return the entries that name no test at all."""
+    """Return the entries that name none of the tests."""
     return [entry for entry in entries if not any(entry.names(node_id) for node_id in node_ids)]
--- a/tests/support/pages.py
+++ b/tests/support/pages.py
@@ -1,4 +1,4 @@
-"""Reads the Markdown pages of the project: the rows of their tables, and the names that they quote."""
+"""Reads the Markdown pages of the project: the rows of their tables, and the code names that they quote."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 def table_rows(page: str, heading: str) -> list[list[str]]:
-    """Return the cells of the first table whose header row begins with some text; without the header.
+    """Return the cells of the first table with a given header row, without the header.
 
     Args:
         page: The text of the page.
         heading: The beginning of the header row.
 
     Raises:
-        ValueError: The page has no such table.
+        MissingTableError: The page has no such table.
     """
     lines = page.splitlines()
     start = next((number for number, line in enumerate(lines) if line.startswith(heading)), None)
@@ -39,30 +39,33 @@
 
 
 class MissingTableError(ValueError):
-    """A page has no table with a certain header row."""
+    """A page has no table with the given header row."""
 
     def __init__(self, heading: str) -> None:
         super().__init__(f"the page has no table that begins with {heading!r}")
 
 
 def quoted(text: str) -> list[str]:
-    """Return what stands between backquotes, outside of fenced blocks."""
+    """Return the texts in backquotes outside fenced blocks."""
     return QUOTED.findall(FENCED_BLOCK.sub("", text))
 
 
 def source_paths(page: str) -> set[str]:
-    """Return the paths of Python modules that a page quotes with their folder."""
+    """Return the quoted paths of Python modules that include a directory."""
     return {text for text in quoted(page) if SOURCE_PATH.fullmatch(text) and "/" in text}
 
 
 def code_names(page: str) -> set[str]:
-    """Return the quoted names that can only be names of the code: with an underscore, a dot or a capital."""
+    """Return the quoted code names.
+
+    These are identifiers with an underscore, a dot, or a capital letter after a small one.
+    """
     texts = (text.removesuffix("()") for text in quoted(page))
     return {text for text in texts if IDENTIFIER.fullmatch(text) and re.search(r"[_.]|[a-z][A-Z]", text)}
 
 
 def defined_names(modules: Iterable[Path]) -> set[str]:
-    """Return all identifiers and text constants of some modules, and the modules' own names."""
+    """Return all identifiers and string constants of the modules, and the names of the modules."""
     names: set[str] = set()
     for module in modules:
         names.update((module.stem, module.name, module.parent.name))
--- a/tests/test_code_structure.py
+++ b/tests/test_code_structure.py
@@ -1,4 +1,4 @@
-"""The shape of the code: no import cycles, and modules, classes and functions that stay small."""
+"""Checks of the code's structure: no import cycles, and size limits of modules, classes and functions."""
 
 from pathlib import Path
 
@@ -12,37 +12,37 @@
     MAX_TEST_MODULE_LINES,
     import_cycles,
     import_graph,
-    oversized_parts,
     read_module,
+    size_violations,
     source_modules,
 )
 
 MODULES = source_modules(PROJECT_ROOT)
 
 
-def test_no_modules_import_each_other() -> None:
+def test_there_are_no_import_cycles() -> None:
     assert import_cycles(import_graph(MODULES)) == []
 
 
-def test_modules_classes_and_functions_stay_small() -> None:
-    assert [part for module in MODULES for part in oversized_parts(module)] == []
+def test_no_module_class_or_function_exceeds_its_size_limit() -> None:
+    assert [violation for module in MODULES for violation in size_violations(module)] == []
 
 
-def test_balancer_imports_no_other_package_and_the_proxy_only_the_balancer() -> None:
+def test_balancer_imports_no_other_package_and_proxy_only_the_balancer() -> None:
     graph = import_graph(MODULES)
-    imported = {
+    imported_packages = {
         package: {
-            each.split(".")[0]
-            for name, names in graph.items()
-            if name.split(".")[0] == package
-            for each in names
+            imported.split(".")[0]
+            for importer, imported_modules in graph.items()
+            if importer.split(".")[0] == package
+            for imported in imported_modules
         }
         for package in ("balancer", "proxy")
     }
-    assert imported == {"balancer": {"balancer"}, "proxy": {"balancer", "proxy"}}
+    assert imported_packages == {"balancer": {"balancer"}, "proxy": {"balancer", "proxy"}}
 
 
-def test_cycle_through_type_checking_imports_is_found() -> None:
+def test_import_cycle_through_type_checking_imports_is_detected() -> None:
     first = read_module(Path("a/first.py"), "from a import second\n")
     second = read_module(Path("a/second.py"), "if TYPE_CHECKING:\n    from a.third import Third\n")
     third = read_module(Path("a/third.py"), "import a.first\n")
@@ -64,5 +64,7 @@
         ("proxy/a.py", "class A:\n" + "    def f(self): x()\n" * (MAX_METHODS + 1), 1),
     ],
 )
-def test_bounds_are_inclusive_and_can_be_exceeded(path: str, text: str, excess: int) -> None:
-    assert len(oversized_parts(read_module(Path(path), text))) == excess
+def test_size_one_over_a_limit_is_reported_and_size_at_the_limit_is_not(
+    path: str, text: str, excess: int
+) -> None:
+    assert len(size_violations(read_module(Path(path), text))) == excess
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures: its form, its limit, and which tests an entry names."""
+"""Tests of the list of known failures: its format, its limit, and the tests that an entry names."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 LINE = "tests/test_a.py::test_b | a cause | issue 1"
 
 
-def test_entry_names_a_test_with_all_its_parameters_and_no_other() -> None:
+def test_entry_matches_its_test_with_all_parameters_and_no_other_test() -> None:
     [entry] = known_red.parse(f"\n{LINE}\n")
     assert (entry.cause, entry.issue) == ("a cause", "issue 1")
     assert entry.names("tests/test_a.py::test_b")
@@ -18,12 +18,12 @@
 @pytest.mark.parametrize(
     "text", ["tests/test_a.py::test_b", f"{LINE} | more", "a | | c", "\n".join([LINE] * 4)]
 )
-def test_malformed_lines_and_a_fourth_entry_are_errors(text: str) -> None:
+def test_malformed_line_or_a_fourth_entry_is_rejected(text: str) -> None:
     with pytest.raises(ValueError, match=r"form|known failures"):
         known_red.parse(text)
 
 
-def test_entry_that_names_no_test_is_found() -> None:
+def test_entry_that_names_no_test_is_reported() -> None:
     entries = known_red.parse(LINE)
     assert known_red.unmatched(entries, ["tests/test_a.py::test_c"]) == entries
     assert known_red.unmatched(entries, ["tests/test_a.py::test_b[1]"]) == []
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,7 +1,7 @@
-"""The pages name what the code has: log lines, events, reasons, modules and names.
+"""Checks that the documentation agrees with the code: log lines, events, reasons, modules and identifiers.
 
-An operator looks up a line or a name of a page in the logs and in the code; one that was renamed in only one
-of the two could not be found.
+An operator searches the logs and the code for a line or a name from a page. The search fails if a rename has
+changed only the code or only the page.
 """
 
 import ast
@@ -30,8 +30,8 @@
 PROXY_FILES = [path for path in SOURCE_FILES if path.is_relative_to(PROJECT_ROOT / "proxy")]
 
 LOG_CALLS = ("logger.info", "logger.warning", "logger.error")  # logger.exception writes a traceback
-#: Lines of the table of log lines that no log call of the proxy writes: errors of the start, and lines of
-#: other loggers.
+#: Lines in the table of log lines that no log call of the proxy writes: startup errors, and lines of other
+#: loggers.
 NOT_LOGGED = {"*: *", "RELAY_CONFIG is not set"}
 
 
@@ -44,10 +44,10 @@
     return [member.value for member in members]
 
 
-def test_event_table_lists_each_event_with_the_fields_of_its_line() -> None:
-    rows = {quoted(row[0])[0]: quoted(row[1]) for row in table_rows(OPERATIONS, "| event | fields")}
-    types = (*get_args(LoggedEvent), LinesDropped)
-    assert rows == {each.event.value: [field.name for field in fields(each)] for each in types}
+def test_event_table_lists_every_event_with_the_fields_of_its_line() -> None:
+    documented = {quoted(row[0])[0]: quoted(row[1]) for row in table_rows(OPERATIONS, "| event | fields")}
+    event_types = (*get_args(LoggedEvent), LinesDropped)
+    assert documented == {each.event.value: [field.name for field in fields(each)] for each in event_types}
 
 
 @pytest.mark.parametrize(
@@ -59,11 +59,11 @@
         ("| `connection_closed.reason`", CloseReason),
     ],
 )
-def test_tables_of_reasons_list_each_value_that_the_proxy_logs(heading: str, members: type[Enum]) -> None:
+def test_table_of_an_enum_lists_every_value_that_the_proxy_logs(heading: str, members: type[Enum]) -> None:
     assert sorted(first_quoted(heading)) == sorted(values(members))
 
 
-def test_sentences_list_each_reason_of_a_rejected_attempt_and_each_connection_state() -> None:
+def test_page_lists_every_reason_of_a_rejected_attempt_and_every_connection_state() -> None:
     [sentence] = re.findall(r"^`attempt_rejected\.reason`:(.*?)\.\s", OPERATIONS, re.MULTILINE | re.DOTALL)
     assert quoted(sentence) == values(SendRejection)
     [sentence] = re.findall(r"^`state` is one of (.*?) \(", OPERATIONS, re.MULTILINE)
@@ -73,13 +73,13 @@
 
 
 def wildcard(template: str) -> str:
-    """Replace the variable texts of a log line's template, or of a line on the page, by asterisks."""
+    """Replace the placeholders of a log line's template, or of a line on the page, by asterisks."""
     pattern = re.sub(r"%[srd]|\b[A-Z]+\b", "*", template)
     return re.sub(r"\*( \*, \.\.\.|:\*)", "*", pattern)
 
 
 def template_of(node: ast.expr) -> str:
-    """Return the text of a string constant or an f-string, with asterisks for its values."""
+    """Return the text of a string constant or of an f-string, with an asterisk for each placeholder."""
     if isinstance(node, ast.JoinedStr):
         return "".join(str(part.value) if isinstance(part, ast.Constant) else "*" for part in node.values)
     return str(node.value) if isinstance(node, ast.Constant) else ""
@@ -90,7 +90,7 @@
 
 
 def logged_templates() -> set[str]:
-    """Return the templates of all log calls of the proxy, and of the lines that a reload logs."""
+    """Return the templates of all log calls of the proxy and of the lines that a reload logs."""
     templates = set()
     for path in PROXY_FILES:
         for node in ast.walk(ast.parse(path.read_text())):
@@ -101,7 +101,7 @@
     return {wildcard(template) for template in templates} - {"reload: *"}
 
 
-def test_table_of_log_lines_has_the_texts_of_the_log_calls() -> None:
+def test_table_of_log_lines_lists_the_text_of_every_log_call() -> None:
     lines = [
         line.removeprefix("proxy: ")
         for row in table_rows(OPERATIONS, "| line | meaning")
@@ -110,8 +110,8 @@
     assert {wildcard(line) for line in lines} - NOT_LOGGED == logged_templates()
 
 
-def rejection_texts() -> set[str]:
-    """Return the bodies of the responses that the proxy writes itself."""
+def proxy_response_texts() -> set[str]:
+    """Return the bodies of the responses that the proxy creates itself."""
     bodies = {responder.REJECTED_BODY, responder.FAILED_BODY, responder.CLIENT_ERROR_BODY}
     texts = {body.decode().strip() for body in bodies}
     for path in PROXY_FILES:
@@ -121,10 +121,10 @@
     return texts
 
 
-def test_table_of_responses_quotes_the_bodies_that_the_proxy_writes() -> None:
+def test_bodies_in_the_table_of_responses_exist_in_the_proxy() -> None:
     bodies = {text for row in table_rows(OPERATIONS, "| status, body") for text in quoted(row[0])}
     assert bodies
-    assert bodies <= rejection_texts()
+    assert bodies <= proxy_response_texts()
 
 
 @pytest.mark.parametrize("page", PAGES)
