--- a/balancer/attempts.py
+++ b/balancer/attempts.py
@@ -52,7 +52,7 @@
     response_started: bool = False
 
     def first_attempt_that_may_have_run(self, other_than: int = -1) -> AttemptState | None:
-        """Return the first attempt that may have run, or may be running.
+        """Return the first attempt that may have been executed, or may still be running.
 
         Args:
             other_than: The number of an attempt to leave out; -1 leaves out none.
@@ -65,7 +65,7 @@
         return self.open_attempts - self.attempts[number].is_open > 0
 
     def retry_endpoints(self, now: float) -> list[EndpointState]:
-        """Return the endpoints where, by the class's idempotency, a retry cannot cause an effect twice."""
+        """Return the endpoints where a retry cannot cause an effect twice, by the class's idempotency."""
         first = self.first_attempt_that_may_have_run()
         if first is None or self.request_class.idempotency is Idempotency.IDEMPOTENT:
             return self.pool.ready
@@ -109,7 +109,7 @@
         return duplicates_are_harmless or self.first_attempt_that_may_have_run() is None
 
     def cancel_open_attempts(self, excluded: int = -1) -> list[Action]:
-        """Return the cancellations of the open attempts; none if the limits forbid to cancel.
+        """Return the cancellations of the open attempts; none if the limits forbid cancellation.
 
         Args:
             excluded: The number of an attempt that is not cancelled; -1 excludes none.
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -57,7 +57,7 @@
     Attributes:
         settings: The settings in force.
         requests: The requests whose final response is pending, or that have open attempts, by their ids.
-        rng: The only source of randomness; the order of the draws from it is part of the behavior.
+        rng: The only source of randomness; the order of the draws from it is part of the behaviour.
         endpoints: The endpoint list as discovery last sent it.
         assignment: The endpoint pools, and which pool each class uses.
         statistics: The measured latencies.
@@ -140,7 +140,7 @@
         return []
 
     def misplaced_attempts(self) -> list[MisplacedAttempt]:
-        """Return the open attempts that the settings now forbid; the caller ends those not yet sent."""
+        """Return the open attempts at endpoints that are now forbidden; the caller ends the unsent ones."""
         return self._reconfiguration.misplaced_attempts()
 
     # ---- the path of a request -----------------------------------------------------------
--- a/balancer/endpoint_list.py
+++ b/balancer/endpoint_list.py
@@ -13,7 +13,7 @@
     """The endpoints that are listed, have attempts in flight, or may be listed again while warming up.
 
     Attributes:
-        slow_start: Knows when an endpoint has warmed up.
+        slow_start: Gives the time at which an endpoint has warmed up.
         states: The endpoints by their ids, in the order in which they were first listed.
     """
 
@@ -38,7 +38,7 @@
             if endpoint.started > state.endpoint.started:
                 state.reset()
             state.endpoint = endpoint
-        self._forget_removed(now)
+        self._delete_removed(now)
 
     def _remove_unlisted(self, listed: set[EndpointId]) -> None:
         """Mark the endpoints that are not in a complete list as removed.
@@ -49,7 +49,7 @@
             if state.endpoint.id not in listed:
                 state.endpoint = replace(state.endpoint, status=EndpointStatus.REMOVED)
 
-    def _forget_removed(self, now: float) -> None:
+    def _delete_removed(self, now: float) -> None:
         """Delete removed endpoints, because new ids would otherwise use up the memory over time.
 
         An endpoint is retained while attempts at it are in flight, and until it has warmed up: the same
--- a/balancer/endpoint_selection.py
+++ b/balancer/endpoint_selection.py
@@ -41,7 +41,7 @@
         """Return candidates for an attempt, the best first.
 
         A request must not wait behind others in the subset while endpoints outside it are idle. This matters
-        most if the subset is small, or one of its endpoints is slow or dead. So if all candidates are busy
+        most if the subset is small, or one of its endpoints is slow or fails. So if all candidates are busy
         or outliers, two more are drawn from outside the subset. This instance cannot see the attempts that
         other instances have in flight there. It assumes as many as it has in flight itself at an endpoint of
         its own subset, on average. Limitation: if other instances have far more traffic, their endpoints are
--- a/tests/balancer/test_endpoint_selection.py
+++ b/tests/balancer/test_endpoint_selection.py
@@ -42,7 +42,7 @@
         subset = {state.endpoint.id for state in balancer.assignment.pools[0].subset}
         assert len(subset) == 1
         sent = set()
-        for n in range(60):  # three requests are always in flight, so the subset of one endpoint is busy
+        for n in range(60):  # from the fourth on, three are always in flight: the subset is busy
             now = 100.0 + n / 100
             [start] = balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0))
             assert isinstance(start, StartAttempt)
