--- a/balancer/__init__.py
+++ b/balancer/__init__.py
@@ -1,7 +1,7 @@
-"""Load balancing for services that call services: a sans-I/O library.
+"""Load balancing for services that call services: a library without I/O of its own (sans-I/O).
 
-`Balancer` takes events and returns the actions to carry out; `settings`, `endpoints` and `events` hold the
-types of its interface.
+`Balancer` processes events and returns the actions to carry out; `settings`, `endpoints` and `events` define
+the types of its interface.
 """
 
 from balancer.balancer import Balancer
