--- a/emulator/fleet/simulated_host.py
+++ b/emulator/fleet/simulated_host.py
@@ -175,7 +175,7 @@
         """Return the resource usage of this process."""
         return meter.own_usage()
 
-    def worst_list_cost(self, started: float, ended: float, window: float = meter.WORST_WINDOW) -> float:
+    def worst_list_cost(self, started: float, ended: float, window: float = meter.MAX_RATE_WINDOW) -> float:
         """Return the most processor time that one proxy spent on list updates in any window, in seconds.
 
         Args:
--- a/emulator/measurement/usage_sampler.py
+++ b/emulator/measurement/usage_sampler.py
@@ -6,7 +6,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from testbed.meter import Series
+from testbed.meter import CumulativeSeries
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -31,7 +31,7 @@
         self._children = children
         self._stop_requested = threading.Event()
         self._thread = threading.Thread(target=self._sample_until_stopped, daemon=True)
-        self.processor_time = [Series() for _ in children]
+        self.processor_time = [CumulativeSeries() for _ in children]
         self.peak_memory = [0] * len(children)
 
     def __enter__(self) -> UsageSampler:
--- a/emulator/runs/fleet_measurement.py
+++ b/emulator/runs/fleet_measurement.py
@@ -14,7 +14,7 @@
 from emulator.errors import MemoryLimitError
 from emulator.measurement.usage_sampler import UsageSampler
 from emulator.runs.fleet_figures import EventDelays, EventMeasurement, ProxyFigures, RegistryCost
-from testbed.meter import MB, WORST_WINDOW
+from testbed.meter import MAX_RATE_WINDOW, MB
 
 if TYPE_CHECKING:
     from emulator.runs.fleet_events import FleetEvent
@@ -40,7 +40,7 @@
         ended = time.monotonic()
     resident = sum(sampler.peak_memory)
     _check_memory(resident)
-    lists_worst = 100.0 * fleet.worst_list_cost(started, ended) / WORST_WINDOW
+    lists_worst = 100.0 * fleet.worst_list_cost(started, ended) / MAX_RATE_WINDOW
     registries = _registry_costs(before, fleet.registry_usages(), sampler)
     return EventMeasurement(
         seconds=ended - started,
@@ -64,7 +64,7 @@
 ) -> list[RegistryCost]:
     registry_series = sampler.processor_time[-len(after) :]  # the host processes come first
     return [
-        RegistryCost.between(usage_before, usage_after, 100.0 * series.worst())
+        RegistryCost.between(usage_before, usage_after, 100.0 * series.max_rate())
         for usage_before, usage_after, series in zip(before, after, registry_series, strict=True)
     ]
 
@@ -80,7 +80,7 @@
     host_series = sampler.processor_time[: len(fleet.hosts)]
     processor_seconds = sum(series.growth() for series in host_series)
     worst_shares = [
-        series.worst() / proxy_count
+        series.max_rate() / proxy_count
         for series, proxy_count in zip(host_series, fleet.proxies_per_host, strict=True)
     ]
     sent_bytes = sum(registry.sent_bytes for registry in registries)
@@ -91,6 +91,6 @@
         lists_worst=lists_worst,
         processor_each=processor_seconds / proxies / versions,
         bytes_mean=sent_bytes / proxies / seconds,
-        bytes_worst=worst_bytes / max(WORST_WINDOW, seconds),
+        bytes_worst=worst_bytes / max(MAX_RATE_WINDOW, seconds),
         bytes_each=sent_bytes / proxies / versions,
     )
--- a/testbed/meter.py
+++ b/testbed/meter.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-WORST_WINDOW = 10.0  # seconds in which the largest growth of a series is measured
+MAX_RATE_WINDOW = 10.0  # seconds in which the largest growth of a series is measured
 MB = 1 << 20
 
 
@@ -69,7 +69,7 @@
     return Usage(sum(usage.processor for usage in usages), sum(usage.memory for usage in usages))
 
 
-class Series:
+class CumulativeSeries:
     """Readings of a cumulative value, each with its time in seconds."""
 
     def __init__(self) -> None:
@@ -79,15 +79,15 @@
         """Append a reading; the times must be in ascending order."""
         self._readings.append((at, value))
 
-    def mean(self) -> float:
+    def mean_rate(self) -> float:
         """Return the mean growth per second over all readings; 0 if they span no time."""
-        return _mean_growth(self._readings)
+        return _mean_rate(self._readings)
 
     def growth(self) -> float:
         """Return the growth from the first reading to the last; 0 without readings."""
         return self._readings[-1][1] - self._readings[0][1] if self._readings else 0.0
 
-    def worst(self, window: float = WORST_WINDOW) -> float:
+    def max_rate(self, window: float = MAX_RATE_WINDOW) -> float:
         """Return the growth per second in the `window` seconds with the largest growth.
 
         The value counts as constant before the first reading and after the last one.
@@ -100,7 +100,7 @@
         return max_growth / window
 
 
-def _mean_growth(readings: Sequence[tuple[float, float]]) -> float:
+def _mean_rate(readings: Sequence[tuple[float, float]]) -> float:
     elapsed = readings[-1][0] - readings[0][0] if readings else 0.0
     if elapsed <= 0.0:
         return 0.0
