--- a/soak/arrival_checks.py
+++ b/soak/arrival_checks.py
@@ -39,7 +39,7 @@
         if arrival.received_at <= first.received_at:
             continue
         elapsed = arrival.received_at - first.received_at
-        window = history.history.deduplication_window + DEDUPLICATION_SLACK
+        window = history.records.deduplication_window + DEDUPLICATION_SLACK
         window += history.slack(arrival.received_at, arrival.proxy)
         if requests[0].safety is RetrySafety.NON_IDEMPOTENT or elapsed > window:
             detail = f"request {arrival.id}: {first}, then {elapsed:.3f} s later {arrival}"
@@ -69,7 +69,7 @@
 
     The grace period of a proxy begins when the proxy is notified of the drain.
     """
-    for arrival in history.history.arrivals:
+    for arrival in history.records.arrivals:
         if arrival.backend != drain.backend or arrival.began_at >= drain.ended_at:
             continue
         notified_at = drain.notified_at.get(arrival.proxy)
--- a/soak/history_checker.py
+++ b/soak/history_checker.py
@@ -33,17 +33,17 @@
 
     def _run_checks(self) -> Iterator[Violation]:
         indexed = self._indexed
-        for request in indexed.history.requests:
+        for request in indexed.records.requests:
             yield from check_request(indexed, request)
         for arrivals in indexed.arrivals.values():
             yield from check_retries(indexed, arrivals)
-        for arrival in indexed.history.arrivals:
+        for arrival in indexed.records.arrivals:
             yield from check_arrival(indexed, arrival)
-        for drain in indexed.history.drains:
+        for drain in indexed.records.drains:
             yield from check_drain(indexed, drain)
-        for incarnation in indexed.history.incarnations:
+        for incarnation in indexed.records.incarnations:
             yield from check_incarnation(incarnation)
         yield from check_readiness(indexed)
-        for client in indexed.history.stalled_clients:
+        for client in indexed.records.stalled_clients:
             yield from check_stalled_client(indexed, client)
         yield from check_close_delimited(indexed)
--- a/soak/indexed_history.py
+++ b/soak/indexed_history.py
@@ -27,13 +27,13 @@
     """A history, its requests and arrivals by id, and its incarnations by proxy.
 
     Attributes:
-        history: The history itself.
+        records: All records of the run.
         arrivals: The arrivals of each request id, in the order of time.
         requests: The requests of each id, in the order in which they were created.
     """
 
     def __init__(self, history: History) -> None:
-        self.history = history
+        self.records = history
         self.arrivals: dict[str, list[Arrival]] = defaultdict(list)
         for arrival in sorted(history.arrivals, key=attrgetter("received_at")):
             self.arrivals[arrival.id].append(arrival)
--- a/soak/managed_proxy.py
+++ b/soak/managed_proxy.py
@@ -95,19 +95,19 @@
             **changed: Fields of `ProxyConfig` and their new values.
         """
         self._config = replace(self._config, **changed)
-        self.repair_config()
+        self.write_config()
 
-    def spoil_config(self) -> None:
+    def write_invalid_config(self) -> None:
         """Replace the configuration file by an invalid one."""
         self._path.write_bytes(INVALID_CONFIGURATION)
 
-    def repair_config(self) -> None:
+    def write_config(self) -> None:
         """Write the latest valid configuration."""
         self._config.write(self._path)
 
     async def start(self) -> None:
         """Start a process, and wait until it is ready, it has exited or `START_TIMEOUT` has passed."""
-        self.repair_config()
+        self.write_config()
         environment = self._environment(next(self._options.start_numbers))
         self.incarnation = incarnation = ProxyIncarnation(self._number, time.monotonic())
         self._options.history.incarnations.append(incarnation)
--- a/soak/process_checks.py
+++ b/soak/process_checks.py
@@ -41,7 +41,7 @@
     """Check that enough of the processes that ran for longer than `READY_TIME` were ready in that time."""
     long_running = [
         each
-        for each in history.history.incarnations
+        for each in history.records.incarnations
         if min(each.ended_at, each.killed_at) - each.started_at > READY_TIME
     ]
     late = [each for each in long_running if each.ready_at - each.started_at > READY_TIME]
--- a/soak/proxy_faults.py
+++ b/soak/proxy_faults.py
@@ -106,12 +106,12 @@
         self._log.write(f"proxy {number} reloads")
         for _ in range(self._rng.randint(1, MAX_RELOADS)):
             if self._rng.random() < INVALID_RELOAD_PROBABILITY:
-                proxy.spoil_config()
+                proxy.write_invalid_config()
             else:
                 self._reconfigure(number)
             proxy.signal(signal.SIGHUP)
             await asyncio.sleep(self._rng.choice(RELOAD_INTERVALS))
-        proxy.repair_config()
+        proxy.write_config()
 
     def _reconfigure(self, number: int) -> None:
         """Write a configuration with random settings and one of the proxy's two discovery agents."""
--- a/soak/request_checks.py
+++ b/soak/request_checks.py
@@ -77,7 +77,7 @@
 
 def check_close_delimited(history: IndexedHistory) -> Iterator[Violation]:
     """Check that clients received at least half of the complete responses that had no Content-Length."""
-    completed = [each for each in history.history.arrivals if not each.has_length and each.response_completed]
+    completed = [each for each in history.records.arrivals if not each.has_length and each.response_completed]
     responded = [
         request
         for each in completed
--- a/tests/soak/test_fault_injection.py
+++ b/tests/soak/test_fault_injection.py
@@ -61,10 +61,10 @@
     def reconfigure(self, **_changed: object) -> None:
         """Change nothing."""
 
-    def spoil_config(self) -> None:
+    def write_invalid_config(self) -> None:
         """Change nothing."""
 
-    def repair_config(self) -> None:
+    def write_config(self) -> None:
         """Change nothing."""
 
     def signal(self, _number: int) -> None:
