--- a/tests/proxy/discovery/test_notification_deadline.py
+++ b/tests/proxy/discovery/test_notification_deadline.py
@@ -31,7 +31,7 @@
 from tests.support.loopback import ManualClock, RunningProxy, free_port, in_event_loop, running_proxy
 from tests.support.proxy_inputs import HOST, RAW_SETTINGS, endpoint_entry
 
-#: Seconds after discovery has a change and is reachable, by which the change counts as delivered.
+#: Seconds within which a proxy must apply a change, once discovery has it and is reachable.
 DELIVERY_DEADLINE = 6.0
 OLD_ENTRIES = [endpoint_entry("a", f"{HOST}:1")]
 
--- a/tests/proxy/discovery/test_watch.py
+++ b/tests/proxy/discovery/test_watch.py
@@ -22,7 +22,7 @@
 from tests.support.proxy_inputs import HOST, endpoint_entry
 
 HEARTBEAT_INTERVAL = 2.0  # seconds between two empty lines, according to the protocol
-DELIVERY_DEADLINE = 6.0  # seconds after a watch became silent by which missed changes count as delivered
+DELIVERY_DEADLINE = 6.0  # seconds after a watch becomes silent, within which missed changes must be applied
 DRAIN_GRACE = 0.25  # seconds after the delivery of a drain during which the backend may still get requests
 
 
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("line", [b"nonsense\n", b'{"index":9,\n{"index":10}\n', b'{"index":9,\n\n', b"[]\n"])
 @in_event_loop
-async def test_invalid_update_reopens_the_watch_at_the_last_valid_version(line: bytes) -> None:
+async def test_invalid_update_reopens_the_watch_at_the_last_valid_index(line: bytes) -> None:
     async with stub_discovery() as discovery, running_proxy([], discovery=discovery.port) as proxy:
         await with_timeout(discovery.watch_requests.get())
         discovery.send_update(8, [endpoint_entry("a", f"{HOST}:1")])
--- a/tests/proxy/test_event_log.py
+++ b/tests/proxy/test_event_log.py
@@ -57,25 +57,25 @@
 
 @in_event_loop
 async def test_lines_are_dropped_and_counted_while_the_pipe_is_full() -> None:
-    reading, writing = os.pipe()
-    os.set_blocking(writing, False)
+    read_end, write_end = os.pipe()
+    os.set_blocking(write_end, False)
     with suppress(BlockingIOError):
         while True:
-            os.write(writing, b"x" * 4096)
-    log = EventLog(writing)
+            os.write(write_end, b"x" * 4096)
+    log = EventLog(write_end)
     log.record(EndpointsUpdated(kind="DELTA", endpoints={}))
     log.flush()
-    os.set_blocking(reading, False)
+    os.set_blocking(read_end, False)
     with suppress(BlockingIOError):
         while True:
-            os.read(reading, 65536)
+            os.read(read_end, 65536)
     log.record(ShutdownStarted())
     log.flush()
-    lines = [orjson.loads(line) for line in os.read(reading, 65536).splitlines()]
+    lines = [orjson.loads(line) for line in os.read(read_end, 65536).splitlines()]
     assert [line["event"] for line in lines] == [Event.SHUTDOWN, Event.DROPPED]
     assert lines[1]["lines"] == 1
     log.close()
-    os.close(reading)
+    os.close(read_end)
 
 
 @in_event_loop
--- a/tests/proxy/test_log.py
+++ b/tests/proxy/test_log.py
@@ -24,15 +24,15 @@
 LONG_TEXT = "x" * 100_000  # more than the buffer of a pipe
 
 
-class StandardError:
-    """Stands for a standard error that is a pipe; records written text, and never blocks."""
+class FakeStandardError:
+    """A replacement for `sys.stderr` with the descriptor of a pipe; it only records the written text."""
 
     def __init__(self, descriptor: int) -> None:
         self.written: list[str] = []
         self._descriptor = descriptor
 
     def fileno(self) -> int:
-        """Return the pipe's writing end."""
+        """Return the descriptor of the pipe's write end."""
         return self._descriptor
 
     def write(self, text: str) -> int:
@@ -46,12 +46,12 @@
 
 @pytest.fixture
 def pipe() -> Iterator[tuple[int, int]]:
-    """Return the reading and the writing end of a pipe."""
-    reading, writing = os.pipe()
-    os.set_blocking(writing, False)
-    yield reading, writing
-    os.close(reading)
-    os.close(writing)
+    """Yield the read end and the write end of a pipe; writing does not block."""
+    read_end, write_end = os.pipe()
+    os.set_blocking(write_end, False)
+    yield read_end, write_end
+    os.close(read_end)
+    os.close(write_end)
 
 
 def fail(text: str) -> None:
@@ -93,7 +93,7 @@
         with suppress(BlockingIOError):
             while True:
                 os.write(pipe[1], b"x" * 4096)
-    stderr = StandardError(pipe[1])
+    stderr = FakeStandardError(pipe[1])
     monkeypatch.setattr(sys, "stderr", stderr)
     await log()
     text = "".join(stderr.written)
@@ -155,7 +155,7 @@
 
 
 def process_handler() -> NonBlockingHandler:
-    """Return the handler that `configure_logging` installed, without those of pytest."""
+    """Return the handler that `configure_logging` installed, and not those of pytest."""
     [handler] = [each for each in logging.root.handlers if isinstance(each, NonBlockingHandler)]
     return handler
 
@@ -163,7 +163,7 @@
 @pytest.mark.parametrize(
     "arguments", [("one",), ("one", "two", "three"), ("one", Unprintable())], ids=["few", "many", "no text"]
 )
-def test_record_that_can_not_be_formatted_is_dropped(
+def test_record_that_cannot_be_formatted_is_dropped(
     arguments: tuple[object, ...], log_lines: Callable[[], list[str]]
 ) -> None:
     process_handler().handle(
--- a/tests/proxy/test_reload_active_requests.py
+++ b/tests/proxy/test_reload_active_requests.py
@@ -116,11 +116,11 @@
 
 @in_event_loop
 async def test_slow_response_is_awaited_after_the_class_stops_allowing_retries(config_path: Path) -> None:
-    def respond_in_part(_request: bytes) -> bytes:
+    def send_partial_response(_request: bytes) -> bytes:
         return OK_RESPONSE[:-2]
 
     clock = ManualClock()
-    async with reloadable_proxy_with_backend(config_path, respond_in_part) as (proxy, backend):
+    async with reloadable_proxy_with_backend(config_path, send_partial_response) as (proxy, backend):
         client = await proxy.connect()
         client.writer.write(get_request(1))
         active_requests = proxy.dispatcher.active_requests
--- a/tests/proxy/test_reload_rejected.py
+++ b/tests/proxy/test_reload_rejected.py
@@ -1,4 +1,4 @@
-"""Reloads that are not applied, completely or in part, and a log that is not read."""
+"""Reloads that are rejected or only partly applied, and a reload while the log is not read."""
 
 from __future__ import annotations
 
@@ -36,29 +36,29 @@
 
 
 @in_event_loop
-async def test_reload_does_not_change_what_identifies_the_process(
+async def test_reload_does_not_change_fields_that_require_a_restart(
     config_path: Path, log_lines: LogLines
 ) -> None:
     async with reloadable_proxy_with_backend(config_path, respond_ok) as (proxy, _backend):
-        other_identity = {
+        changed_fields = {
             "name": "n1",
             "listen": f"{HOST}:1",
             "seed": "2",
             "limits": {"sockets": 1, "memory_mb": 1},
             "known": {"index": 9, "endpoints": []},
         }
-        proxy.reload(other_identity)
+        proxy.reload(changed_fields)
         logged_fields = [line.split()[2] for line in log_lines()]
         assert logged_fields == ["name", "listen", "seed", "sockets", "memory", "known"]
         client = await proxy.connect()
         assert status_of(await client.request(get_request(1))) == 200
         assert proxy.listener.config.name == "n0"
         assert proxy.listener.config.max_sockets == 1024
-        proxy.reload(other_identity, Instances=2)  # the settings in the same file are applied
+        proxy.reload(changed_fields, Instances=2)  # the settings in the same file are applied
         assert "in force" in log_lines()[-1]
 
 
-#: Files that are valid at the start, but change settings that require a restart.
+#: Files with which a proxy can start, but whose settings a running proxy can't apply without a restart.
 RESTART_FILES: dict[str, bytes] = {
     "another tier": config_with_settings(Tier=1, Tiers=["one", "two"]),
     "another discovery mode": config_with_settings(RegistryMode="on_request"),
@@ -132,7 +132,7 @@
                 monkeypatch.setattr(sys, "stderr", log)
                 proxy.file.write(Instances=2)
                 reload_done = threading.Event()
-                # Reads the pipe after `MAX_WAIT` at the latest, so that a proxy that blocks can go on.
+                # Reads the pipe after `MAX_WAIT` at the latest, so that a blocked reload can continue.
                 reader = threading.Thread(
                     target=lambda: reload_done.wait(MAX_WAIT) or os.read(read_end, 1 << 20)
                 )
--- a/tests/proxy/test_reload_signals.py
+++ b/tests/proxy/test_reload_signals.py
@@ -1,4 +1,4 @@
-"""SIGHUP to a proxy process: it applies a new configuration, except for settings during a shutdown."""
+"""SIGHUP to a proxy process: it applies the changed file, but no new settings during a shutdown."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -32,9 +32,9 @@
 if TYPE_CHECKING:
     import socket
 
-KILL_DELAY = 3.0 + 0.7  # seconds after SIGTERM when SIGKILL may follow, according to the protocol
+KILL_DELAY = 3.0 + 0.7  # seconds after SIGTERM at which the deployment may send SIGKILL
 MAX_SHUTDOWN_TIME = KILL_DELAY + 1.0  # seconds after SIGTERM after which a test fails
-ACCEPT_TIME = 0.7  # seconds after SIGTERM when connections are certainly no longer accepted
+ACCEPT_TIME = 0.7  # seconds after SIGTERM at which connections are no longer accepted
 CLOCK_STEP = 0.02  # seconds by which the clock is advanced at a time
 
 
--- a/tests/proxy/test_startup.py
+++ b/tests/proxy/test_startup.py
@@ -1,4 +1,4 @@
-"""The start of proxies, with a manual clock: when they report that they are ready, and accept requests."""
+"""The start of proxies, with a manual clock: when they report that they are ready and accept requests."""
 
 from __future__ import annotations
 
@@ -129,7 +129,7 @@
         await clock.settle()
         assert cached_backend.received.empty()
         if has_list:
-            # Updates that discovery has at the start count as delivered immediately.
+            # An update that discovery has when the proxy starts must apply to the first request.
             draining = endpoint_entry("a", cached_backend.address, "terminating")
             discovery.send_update(8, [draining, endpoint_entry("b", new_backend.address)])
             await clock.wait_until(lambda: new_backend.received.qsize() == 1)
--- a/tests/proxy/upstream/test_attempt_races.py
+++ b/tests/proxy/upstream/test_attempt_races.py
@@ -144,7 +144,7 @@
 
 @pytest.mark.parametrize("change", ["disconnected", "drained", "timed out"])
 @in_event_loop
-async def test_connection_in_its_reuse_delay_sends_nothing_after_a_drain_a_disconnect_or_the_deadline(
+async def test_reuse_delay_sends_nothing_after_a_drain_a_disconnect_or_the_deadline(
     change: str,
 ) -> None:
     async with (
--- a/tests/proxy/upstream/test_responses.py
+++ b/tests/proxy/upstream/test_responses.py
@@ -53,17 +53,17 @@
 
 @in_event_loop
 async def test_large_incomplete_responses_do_not_fill_the_memory() -> None:
-    part = b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + b"x" * 900000
-    async with proxy_with_backends(lambda _: part, memory_limit=2 << 20) as (proxy, _):
+    incomplete_response = b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + b"x" * 900000
+    async with proxy_with_backends(lambda _: incomplete_response, memory_limit=2 << 20) as (proxy, _):
         client = await proxy.connect()
         assert status_of(await client.request(post_request())) == 502
         await wait_until(lambda: proxy.pool.response_memory.reserved == 0)
 
 
-@pytest.mark.parametrize("part", [OK_RESPONSE[:12], OK_RESPONSE[:-2]])
+@pytest.mark.parametrize("incomplete_response", [OK_RESPONSE[:12], OK_RESPONSE[:-2]])
 @in_event_loop
-async def test_stalled_response_leaves_time_for_a_retry(part: bytes) -> None:
-    script = respond_to_first_request(part)
+async def test_stalled_response_leaves_time_for_a_retry(incomplete_response: bytes) -> None:
+    script = respond_to_first_request(incomplete_response)
     async with proxy_with_backends(script, script) as (proxy, [backend_a, backend_b]):
         client = await proxy.connect()
         assert status_of(await client.request(get_request())) == 200
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -171,7 +171,7 @@
 
 
 class StubDiscovery:
-    """A discovery whose watches send the updates that a test passes to it.
+    """A discovery service whose watches send the updates that a test passes to it.
 
     Attributes:
         watch_requests: The targets of the opened watches that the test has not removed yet.
@@ -207,13 +207,13 @@
     def send_bytes(self, data: bytes) -> None:
         """Send bytes on the open watch, split into two chunks."""
         assert self.writer is not None
-        for part in filter(None, (data[:9], data[9:])):
-            self.writer.write(encode_chunk(part))
+        for chunk in filter(None, (data[:9], data[9:])):
+            self.writer.write(encode_chunk(chunk))
 
 
 @asynccontextmanager
 async def stub_discovery() -> AsyncIterator[StubDiscovery]:
-    """Run a discovery on a free port until the context ends."""
+    """Run a discovery service on a free port until the context ends."""
     stub = StubDiscovery()
     server = await asyncio.start_server(stub.serve, HOST, 0)
     stub.port = server.sockets[0].getsockname()[1]
@@ -237,7 +237,7 @@
         self.reader, self.writer = reader, writer
 
     async def request(self, request: bytes) -> bytes:
-        """Send a request, or the rest of one, and return the next complete response."""
+        """Send a request, or its remaining bytes, and return the next complete response."""
         self.writer.write(request)
         return await self.response()
 
