--- a/tests/balancer/test_admission_control.py
+++ b/tests/balancer/test_admission_control.py
@@ -29,29 +29,30 @@
 def test_overload_rejects_the_class_with_the_lowest_priority_first() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT, NON_IDEMPOTENT)))
     now = 100.0
-    for n in range(400):  # 100 requests per second, each served immediately
+    for number in range(400):  # 100 requests per second, each served immediately
         now += 0.01
-        balancer.on_request(now, IncomingRequest(f"w{n}", class_index=1, deadline=now + 4.0))
-        balancer.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS, 0.1, last=True)
+        balancer.on_request(now, IncomingRequest(f"w{number}", class_index=1, deadline=now + 4.0))
+        balancer.on_attempt_finished(now, f"w{number}", 0, Outcome.SUCCESS, 0.1, last=True)
     rejected = {0: 0, 1: 0}
-    for n in range(120):  # from here on, no attempt ends
+    for number in range(120):  # from here on, no attempt ends
         now += 0.001
         for class_index in (0, 1):
             if isinstance(
                 balancer.on_request(
-                    now, IncomingRequest(f"x{class_index}{n}", class_index=class_index, deadline=now + 4.0)
+                    now,
+                    IncomingRequest(f"x{class_index}{number}", class_index=class_index, deadline=now + 4.0),
                 )[0],
                 Reject,
             ):
                 rejected[class_index] += 1
-        if n == 30:
+        if number == 30:
             assert rejected[0] > 0 == rejected[1]
     assert rejected[1] > 0
 
 
 @pytest.mark.parametrize("fleet_size", [2, 4, 7])
 def test_latency_far_above_its_baseline_sheds_load_only_in_larger_fleets(fleet_size: int) -> None:
-    """The latency objective by itself admits a wait of seven baselines, at which endpoints are overloaded."""
+    """The latency objective alone admits waits of 7 times the baseline, when endpoints are overloaded."""
     balancer = make_balancer(Settings(classes=CLASSES_WITH_LONG_OBJECTIVE, fleet_size=fleet_size))
     now, in_flight = 100.0, list[tuple[float, str]]()
 
@@ -87,14 +88,14 @@
 
 
 def test_varying_work_is_not_mistaken_for_overload() -> None:
-    """A baseline of single latencies would be far below their mean where work varies, and shed load."""
+    """Where work varies, a baseline that follows single latencies is far below their mean, and sheds load."""
     balancer = make_balancer(Settings(classes=CLASSES_WITH_LONG_OBJECTIVE, fleet_size=7))
     work = Random(5)
     requests = TimedRequests(balancer)
     rejected = 0
-    for n in range(2000):  # 40 per second; a tenth of them takes half of the time
+    for number in range(2000):  # 40 per second; a tenth of them have half of the total latency
         latency = 1.0 if work.random() < 0.1 else 0.2 * work.random()
-        rejected += not requests.send(100.0 + n / 40, f"r{n}", n % 2, 4.0, latency)
+        rejected += not requests.send(100.0 + number / 40, f"r{number}", number % 2, 4.0, latency)
     assert rejected < 40, rejected
 
 
@@ -106,11 +107,11 @@
     balancer = make_balancer(Settings(classes=(short, long), fleet_size=2))
     requests = TimedRequests(balancer)
     rejected = [0, 0]
-    for n in range(1200):  # 40 per second, three quarters short; all within their objectives
-        class_index = int(n % 4 == 0)
+    for number in range(1200):  # 40 per second, three quarters short; all within their objectives
+        class_index = int(number % 4 == 0)
         time_left, latency = (8.0, 2.4) if class_index else (2.0, 0.1)
-        admitted = requests.send(100.0 + n / 40, f"r{n}", class_index, time_left, latency)
-        if not admitted and n > 200:  # by then there are enough samples of each class
+        admitted = requests.send(100.0 + number / 40, f"r{number}", class_index, time_left, latency)
+        if not admitted and number > 200:  # by then there are enough samples of each class
             rejected[class_index] += 1
     assert sum(rejected) < 12, rejected
 
@@ -118,7 +119,8 @@
 def test_lower_tiers_never_reject_for_overload() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT, NON_IDEMPOTENT), tier=1, tier_count=2))
     actions = [
-        balancer.on_request(100.0 + n / 1000, IncomingRequest(f"x{n}", deadline=104.0))[0] for n in range(200)
+        balancer.on_request(100.0 + number / 1000, IncomingRequest(f"x{number}", deadline=104.0))[0]
+        for number in range(200)
     ]
     assert all(isinstance(action, StartAttempt) for action in actions)
 
@@ -126,7 +128,8 @@
 def test_requests_are_admitted_before_any_was_served() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)))
     actions = [
-        balancer.on_request(100.0 + n / 100, IncomingRequest(f"x{n}", deadline=110.0))[0] for n in range(30)
+        balancer.on_request(100.0 + number / 100, IncomingRequest(f"x{number}", deadline=110.0))[0]
+        for number in range(30)
     ]
     assert sum(isinstance(action, StartAttempt) for action in actions) >= 27
 
@@ -134,15 +137,16 @@
 def test_a_proxy_with_few_requests_rejects_some_after_timeouts() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT, NON_IDEMPOTENT)))
     now = 100.0
-    for n in range(8):  # one request per second, all time out
+    for number in range(8):  # one request per second, all time out
         now += 1.0
         if isinstance(
-            balancer.on_request(now, IncomingRequest(f"r{n}", class_index=1, deadline=now + 4.0))[0],
+            balancer.on_request(now, IncomingRequest(f"r{number}", class_index=1, deadline=now + 4.0))[0],
             StartAttempt,
         ):
-            balancer.on_attempt_finished(now + 0.98, f"r{n}", 0, Outcome.TIMEOUT, 0.98)
+            balancer.on_attempt_finished(now + 0.98, f"r{number}", 0, Outcome.TIMEOUT, 0.98)
     actions = [
-        balancer.on_request(now + 1.0, IncomingRequest(f"s{n}", deadline=now + 5.0))[0] for n in range(2)
+        balancer.on_request(now + 1.0, IncomingRequest(f"s{number}", deadline=now + 5.0))[0]
+        for number in range(2)
     ]
     action_later = balancer.on_request(now + 60.0, IncomingRequest("t", deadline=now + 64.0))[0]
     assert any(isinstance(action, Reject) for action in actions)
@@ -161,11 +165,11 @@
         Settings(classes=(IDEMPOTENT, restricted)), [*ENDPOINTS, Endpoint(9, machine_type=1)]
     )
     now = 100.0
-    for n in range(100):  # the only endpoint of the restricted class never responds
+    for number in range(100):  # the only endpoint of the restricted class never responds
         now += 0.02
-        balancer.on_request(now, IncomingRequest(f"b{n}", class_index=1, deadline=now + 4.0))
-        balancer.on_request(now, IncomingRequest(f"f{n}", deadline=now + 4.0))
-        balancer.on_attempt_finished(now, f"f{n}", 0, Outcome.SUCCESS, 0.1, last=True)
+        balancer.on_request(now, IncomingRequest(f"b{number}", class_index=1, deadline=now + 4.0))
+        balancer.on_request(now, IncomingRequest(f"f{number}", deadline=now + 4.0))
+        balancer.on_attempt_finished(now, f"f{number}", 0, Outcome.SUCCESS, 0.1, last=True)
     assert isinstance(
         balancer.on_request(now, IncomingRequest("restricted", class_index=1, deadline=now + 4.0))[0], Reject
     )
@@ -181,8 +185,9 @@
 ) -> None:
     balancer = make_balancer(Settings(classes=(NON_IDEMPOTENT,)))
     now = serve_with_failures(balancer, 0, outcome_of_every_fifth)
-    for n in range(27):  # the wait budget allows 0.7 x 50 pending requests; 0.4 x 40 after timeouts
-        balancer.on_request(now, IncomingRequest(f"x{n}", deadline=now + 4.0))
+    # The wait budget allows 0.7 s x 50/s pending requests, and 0.4 s x 40/s after timeouts.
+    for number in range(27):
+        balancer.on_request(now, IncomingRequest(f"x{number}", deadline=now + 4.0))
     action = balancer.on_request(now, IncomingRequest("y", deadline=now + 4.0))[0]
     assert isinstance(action, expected_action)
 
@@ -194,13 +199,13 @@
     monkeypatch.setattr("balancer.admission_control.POOL_PROTECTED_REQUESTS", protection)
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,), fleet_size=40), [Endpoint(i) for i in range(40)])
     sent = 0
-    for n in range(20):  # 4 per second, each at another endpoint, all time out
-        now = 100.0 + n / 4.0
-        actions = balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0))
+    for number in range(20):  # 4 per second, each at another endpoint, all time out
+        now = 100.0 + number / 4.0
+        actions = balancer.on_request(now, IncomingRequest(f"r{number}", deadline=now + 4.0))
         if isinstance(actions[0], StartAttempt):
             sent += 1
-            balancer.on_attempt_finished(now + 0.2, f"r{n}", 0, Outcome.TIMEOUT, 0.2)
-            balancer.on_client_disconnected(now + 0.2, f"r{n}")
+            balancer.on_attempt_finished(now + 0.2, f"r{number}", 0, Outcome.TIMEOUT, 0.2)
+            balancer.on_client_disconnected(now + 0.2, f"r{number}")
         for state in balancer.endpoints.states.values():
             state.breaker = None  # as if no attempt had been sent there
     assert (sent < 14) is (protection == 1.0)
@@ -209,10 +214,10 @@
 def test_a_request_whose_work_takes_longer_than_its_time_left_is_rejected() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)))
     now = 100.0
-    for n in range(50):
+    for number in range(50):
         now += 1.0
-        balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0, cost=0.1))
-        balancer.on_attempt_finished(now + 0.2, f"r{n}", 0, Outcome.SUCCESS, 0.2, last=True)
+        balancer.on_request(now, IncomingRequest(f"r{number}", deadline=now + 4.0, cost=0.1))
+        balancer.on_attempt_finished(now + 0.2, f"r{number}", 0, Outcome.SUCCESS, 0.2, last=True)
     assert isinstance(
         balancer.on_request(now + 1.0, IncomingRequest("heavy", deadline=now + 5.0, cost=5.0))[0], Reject
     )
@@ -224,9 +229,9 @@
 
 def test_slow_first_responses_do_not_reject_later_requests() -> None:
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)))
-    for n in range(3):  # they waited in a queue for 90 times their cost
-        balancer.on_request(100.0 + n, IncomingRequest(f"r{n}", deadline=104.0 + n, cost=0.01))
-        balancer.on_attempt_finished(100.9 + n, f"r{n}", 0, Outcome.SUCCESS, 0.9, last=True)
+    for number in range(3):  # they waited in a queue for 90 times their cost
+        balancer.on_request(100.0 + number, IncomingRequest(f"r{number}", deadline=104.0 + number, cost=0.01))
+        balancer.on_attempt_finished(100.9 + number, f"r{number}", 0, Outcome.SUCCESS, 0.9, last=True)
     assert isinstance(
         balancer.on_request(110.0, IncomingRequest("s", deadline=114.0, cost=0.1))[0], StartAttempt
     )
@@ -236,8 +241,8 @@
     balancer = make_balancer(Settings(classes=(IDEMPOTENT,)))
     balancer.statistics.latency_per_cost, balancer.statistics.sample_count = 90.0, 100
     actions = [
-        balancer.on_request(110.0 + n, IncomingRequest(f"s{n}", deadline=114.0 + n, cost=0.1))[0]
-        for n in range(60)
+        balancer.on_request(110.0 + index, IncomingRequest(f"s{index}", deadline=114.0 + index, cost=0.1))[0]
+        for index in range(60)
     ]
     assert isinstance(actions[0], Reject)
     assert any(isinstance(action, StartAttempt) for action in actions)
@@ -246,24 +251,26 @@
 def test_requests_stuck_at_dead_endpoints_do_not_block_all_others() -> None:
     balancer = make_balancer(Settings(classes=(NON_IDEMPOTENT,)))
     now = 100.0
-    for n in range(250):
+    for number in range(250):
         now += 0.02
-        balancer.on_request(now, IncomingRequest(f"w{n}", deadline=now + 4.0))
-        balancer.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS, 0.1, last=True)
+        balancer.on_request(now, IncomingRequest(f"w{number}", deadline=now + 4.0))
+        balancer.on_attempt_finished(now, f"w{number}", 0, Outcome.SUCCESS, 0.1, last=True)
     in_flight: dict[str, float] = {}  # when each request times out
-    for n in range(500):  # for 10 s, every attempt times out
+    for number in range(500):  # for 10 s, every attempt times out
         now += 0.02
         for request_id, times_out_at in list(in_flight.items()):
             if times_out_at <= now:
                 del in_flight[request_id]
                 balancer.on_attempt_finished(now, request_id, 0, Outcome.TIMEOUT, 0.98)
         if isinstance(
-            balancer.on_request(now, IncomingRequest(f"x{n}", deadline=now + 4.0))[0], StartAttempt
+            balancer.on_request(now, IncomingRequest(f"x{number}", deadline=now + 4.0))[0], StartAttempt
         ):
-            in_flight[f"x{n}"] = now + 0.98
+            in_flight[f"x{number}"] = now + 0.98
     admitted = sum(
-        isinstance(balancer.on_request(now, IncomingRequest(f"y{n}", deadline=now + 4.0))[0], StartAttempt)
-        for n in range(2)
+        isinstance(
+            balancer.on_request(now, IncomingRequest(f"y{number}", deadline=now + 4.0))[0], StartAttempt
+        )
+        for number in range(2)
     )
     assert len(in_flight) + admitted > 2, "no more than the allowance was admitted"
 
@@ -286,12 +293,8 @@
 @pytest.mark.parametrize(
     ("tier", "limits", "shortest", "longest"),
     [
-        (
-            0,
-            Limits(retry_after=True, max_retry_after=2.5),
-            0.05,
-            0.5,
-        ),  # responses take about a third of a second
+        # Responses take about a third of a second.
+        (0, Limits(retry_after=True, max_retry_after=2.5), 0.05, 0.5),
         (0, Limits(retry_after=True, max_retry_after=0.01), 0.01, 0.01),
         (0, Limits(), 0.0, 0.0),
         (1, Limits(retry_after=True, max_retry_after=2.5), 0.0, 0.0),
--- a/tests/balancer/test_bad_input.py
+++ b/tests/balancer/test_bad_input.py
@@ -123,6 +123,6 @@
 def test_every_request_gets_an_action_while_all_endpoints_warm_up() -> None:
     balancer = Balancer(Settings(), 1)
     balancer.on_endpoints_updated(100.0, UpdateKind.CACHED, [Endpoint(i, started=100.0) for i in range(4)])
-    for n in range(50):
-        [action] = balancer.on_request(100.0 + n / 100, IncomingRequest(f"r{n}"))
+    for number in range(50):
+        [action] = balancer.on_request(100.0 + number / 100, IncomingRequest(f"r{number}"))
         assert isinstance(action, StartAttempt | Reject | Fail)
--- a/tests/balancer/test_client_timeouts.py
+++ b/tests/balancer/test_client_timeouts.py
@@ -38,10 +38,12 @@
 def first_actions(balancer: Balancer, timeouts: list[float]) -> list[type]:
     """Send requests with these timeouts, one per second, and return the first action for each."""
     actions = []
-    for n, timeout in enumerate(timeouts):
-        now = 200.0 + n
-        actions.append(type(balancer.on_request(now, IncomingRequest(f"t{n}", deadline=now + timeout))[0]))
-        balancer.on_attempt_finished(now + 0.01, f"t{n}", 0, Outcome.SUCCESS, 0.01, last=True)
+    for number, timeout in enumerate(timeouts):
+        now = 200.0 + number
+        actions.append(
+            type(balancer.on_request(now, IncomingRequest(f"t{number}", deadline=now + timeout))[0])
+        )
+        balancer.on_attempt_finished(now + 0.01, f"t{number}", 0, Outcome.SUCCESS, 0.01, last=True)
     return actions
 
 
--- a/tests/balancer/test_endpoint_selection.py
+++ b/tests/balancer/test_endpoint_selection.py
@@ -18,16 +18,16 @@
         Settings(classes=(IDEMPOTENT,), fleet_size=20, limits=Limits(max_attempts=3)), endpoints
     )
     [subset_endpoint] = balancer.assignment.pools[0].subset
-    for n in range(40):  # the only endpoint of the subset is unreachable
-        now = 100.0 + n / 10
-        actions = balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0))
+    for number in range(40):  # the only endpoint of the subset is unreachable
+        now = 100.0 + number / 10
+        actions = balancer.on_request(now, IncomingRequest(f"r{number}", deadline=now + 4.0))
         if isinstance(actions[0], StartAttempt) and actions[0].endpoint == subset_endpoint.endpoint.id:
-            [retry] = balancer.on_attempt_finished(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
+            [retry] = balancer.on_attempt_finished(now + 0.01, f"r{number}", 0, Outcome.UNREACHABLE, 0.01)
             assert not isinstance(retry, StartAttempt) or retry.endpoint != subset_endpoint.endpoint.id
             if isinstance(retry, StartAttempt):
-                balancer.on_attempt_finished(now + 0.02, f"r{n}", 1, Outcome.SUCCESS, 0.01, last=True)
+                balancer.on_attempt_finished(now + 0.02, f"r{number}", 1, Outcome.SUCCESS, 0.01, last=True)
         elif isinstance(actions[0], StartAttempt):
-            balancer.on_attempt_finished(now + 0.02, f"r{n}", 0, Outcome.SUCCESS, 0.01, last=True)
+            balancer.on_attempt_finished(now + 0.02, f"r{number}", 0, Outcome.SUCCESS, 0.01, last=True)
     endpoints_used = {
         state.endpoint.id for state in balancer.endpoints.states.values() if state.breaker is not None
     }
@@ -42,13 +42,13 @@
         subset = {state.endpoint.id for state in balancer.assignment.pools[0].subset}
         assert len(subset) == 1
         sent = set()
-        for n in range(60):  # from the fourth on, three are always in flight: the subset is busy
-            now = 100.0 + n / 100
-            [start] = balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0))
+        for number in range(60):  # from the fourth on, three are always in flight: the subset is busy
+            now = 100.0 + number / 100
+            [start] = balancer.on_request(now, IncomingRequest(f"r{number}", deadline=now + 4.0))
             assert isinstance(start, StartAttempt)
             sent.add(start.endpoint)
-            if n >= 3:
-                balancer.on_attempt_finished(now, f"r{n - 3}", 0, Outcome.SUCCESS, 0.03, last=True)
+            if number >= 3:
+                balancer.on_attempt_finished(now, f"r{number - 3}", 0, Outcome.SUCCESS, 0.03, last=True)
         assert subset < sent
         assert len(sent) <= 5
         endpoints_used.update(sent)
--- a/tests/balancer/test_hedging.py
+++ b/tests/balancer/test_hedging.py
@@ -75,13 +75,13 @@
 def test_hedged_requests_are_few_and_do_not_use_the_retry_budget() -> None:
     balancer = hedging_balancer()
     hedges = 0
-    for n in range(20):
-        now = 200.0 + n / 4.0
-        _, timer = balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0))
+    for number in range(20):
+        now = 200.0 + number / 4.0
+        _, timer = balancer.on_request(now, IncomingRequest(f"r{number}", deadline=now + 4.0))
         assert isinstance(timer, SetTimer)
         hedges += len(balancer.on_timer(timer.at, timer.token))
         balancer.on_attempt_finished(
-            timer.at + 0.01, f"r{n}", 0, Outcome.SUCCESS, timer.at + 0.01 - now, last=True
+            timer.at + 0.01, f"r{number}", 0, Outcome.SUCCESS, timer.at + 0.01 - now, last=True
         )
     assert 0 < hedges <= 3
     assert not balancer.retry_budgets.retries.retry_times
--- a/tests/balancer/test_reconfigure_pools.py
+++ b/tests/balancer/test_reconfigure_pools.py
@@ -64,12 +64,15 @@
 
 def test_many_reloads_do_not_accumulate_pools_or_statistics() -> None:
     checker = make_checker()
-    for n in range(200):
+    for reload_number in range(200):
         checker.request(0, 4.0)
-        names = (f"a{n}", f"b{n}")
+        names = (f"a{reload_number}", f"b{reload_number}")
         checker.reconfigure(
             Settings(
-                classes=tuple(replace(IDEMPOTENT, name=name, allowed_zones=(n % 2, 5 + n)) for name in names),
+                classes=tuple(
+                    replace(IDEMPOTENT, name=name, allowed_zones=(reload_number % 2, 5 + reload_number))
+                    for name in names
+                ),
                 zone_count=2,
             )
         )
--- a/tests/balancer/test_reconfigure_rules.py
+++ b/tests/balancer/test_reconfigure_rules.py
@@ -75,7 +75,7 @@
         ),
         "places": (replace(IDEMPOTENT, allowed_zones=(1,)), NON_IDEMPOTENT),
     }[change]
-    # A balancer that applies only the class as admitted, or only the class in force.
+    # The balancer applies only the class with which the request was admitted, or only the class in force.
     faulty_restrict_class = (
         (lambda admitted, _current: admitted) if class_index == 0 else (lambda _admitted, current: current)
     )
--- a/tests/balancer/test_retry_budget.py
+++ b/tests/balancer/test_retry_budget.py
@@ -40,9 +40,11 @@
     return RulesChecker(replace(LOWER_TIER, rules=rules), 1, MANY_ENDPOINTS)
 
 
-@pytest.mark.parametrize(("rules", "fewest", "most"), [(RULES_WITH_RETRY_BUDGET, 8, 77), (RULES, 8, 50)])
-def test_retries_stay_within_the_budget(rules: Rules, fewest: int, most: int) -> None:
-    assert fewest <= retries_in_20_seconds(rules) <= most
+@pytest.mark.parametrize(
+    ("rules", "min_retries", "max_retries"), [(RULES_WITH_RETRY_BUDGET, 8, 77), (RULES, 8, 50)]
+)
+def test_retries_stay_within_the_budget(rules: Rules, min_retries: int, max_retries: int) -> None:
+    assert min_retries <= retries_in_20_seconds(rules) <= max_retries
 
 
 def test_the_checker_detects_a_balancer_that_ignores_the_budget(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -79,8 +79,8 @@
         endpoints = [Endpoint(i, zone=i % 2, machine_type=i % 3) for i in range(12)]
         settings_in_force = Settings(classes=CLASSES, zone_count=2, limits=Limits(max_attempts=4))
         checker = RulesChecker(settings_in_force, 1, endpoints)
-        for n in range(40):
-            fail_attempts(checker, 5 + n % 2, 4)
+        for number in range(40):
+            fail_attempts(checker, 5 + number % 2, 4)
             checker.advance(0.5)
         removed = [
             replace(each, status=EndpointStatus.REMOVED) for each in endpoints if each.machine_type == 1
@@ -103,7 +103,7 @@
     with pytest.raises(AssertionError, match="hedged request"):
         checker.check([StartAttempt(request_id, 2)])
     checker.start_response(request_id, 0)
-    checker.advance(20.0)  # a stream that has started has no deadline...
+    checker.advance(20.0)  # a response that has started has no deadline
     with pytest.raises(AssertionError, match="after its response started"):
         checker.check([StartAttempt(request_id, 2)])
 
--- a/tests/balancer/test_simulator.py
+++ b/tests/balancer/test_simulator.py
@@ -84,8 +84,14 @@
 
 def call_events(instance: int, first: int, count: int) -> list[Message]:
     return [
-        {"m": "Call", "ProxyId": instance, "Ref": f"c{instance}_{n}", "Kind": n % 2, "Deadline": 14.0}
-        for n in range(first, first + count)
+        {
+            "m": "Call",
+            "ProxyId": instance,
+            "Ref": f"c{instance}_{number}",
+            "Kind": number % 2,
+            "Deadline": 14.0,
+        }
+        for number in range(first, first + count)
     ]
 
 
@@ -147,10 +153,11 @@
     settings = json.loads(json.dumps(SETTINGS)) | {"Zones": ["here", "there"], "HostTypes": ["k", "l"]}
     settings["Services"][0][field] = [1]
     events = open_events(0, settings)
-    events[1] = {**events[1], "Rows": [{**r, row: n % 2} for n, r in enumerate(ENDPOINT_ROWS)]}
+    events[1] = {**events[1], "Rows": [{**r, row: number % 2} for number, r in enumerate(ENDPOINT_ROWS)]}
     actions = replies_to(batch(10.0, events) + batch(10.1, call_events(0, 0, 40)))[1]
     backends_by_class = {
-        n % 2: {m["Backend"] % 2 for m in actions if int(m["Ref"][3:]) % 2 == n} for n in (0, 1)
+        kind: {message["Backend"] % 2 for message in actions if int(message["Ref"][3:]) % 2 == kind}
+        for kind in (0, 1)
     }
     assert backends_by_class == {0: {1}, 1: {0, 1}}
 
@@ -258,7 +265,7 @@
     process.stderr.close()
 
 
-def test_settings_are_read_from_the_keys_of_the_platform() -> None:
+def test_settings_are_read_from_the_keys_of_the_protocol() -> None:
     settings = read_settings(
         {
             **SETTINGS,
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -52,12 +52,12 @@
     warming = [Endpoint(i, started=100.0) for i in range(1, 21) if i != only.endpoint.id]
     balancer.on_endpoints_updated(100.1, UpdateKind.DELTA, warming)
     assert balancer.assignment.pools[0].subset == [only]
-    for n in range(60):
-        now = 100.2 + n / 20
-        for action in balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0)):
+    for number in range(60):
+        now = 100.2 + number / 20
+        for action in balancer.on_request(now, IncomingRequest(f"r{number}", deadline=now + 4.0)):
             assert not isinstance(action, StartAttempt) or action.endpoint == only.endpoint.id
             if isinstance(action, StartAttempt):
-                balancer.on_attempt_finished(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
+                balancer.on_attempt_finished(now + 0.01, f"r{number}", 0, Outcome.UNREACHABLE, 0.01)
 
 
 def test_warming_endpoints_get_their_share_where_most_are_warming_up() -> None:
@@ -71,12 +71,12 @@
     endpoints = [Endpoint(i, started=99.0 if i > 4 else 0.0) for i in range(1, 11)]
     balancer.on_endpoints_updated(100.0, UpdateKind.SNAPSHOT, endpoints)
     now, sent_to_warming, sent = 100.0, 0, 2000
-    for n in range(sent):
+    for number in range(sent):
         now += 0.02
-        [start] = balancer.on_request(now, IncomingRequest(f"r{n}", deadline=now + 4.0))
+        [start] = balancer.on_request(now, IncomingRequest(f"r{number}", deadline=now + 4.0))
         assert isinstance(start, StartAttempt)
         sent_to_warming += start.endpoint > 4
-        balancer.on_attempt_finished(now + 0.01, f"r{n}", 0, Outcome.SUCCESS, 0.01, last=True)
+        balancer.on_attempt_finished(now + 0.01, f"r{number}", 0, Outcome.SUCCESS, 0.01, last=True)
     share = 2.4 / 6.4
     assert 0.5 * share <= sent_to_warming / sent <= share
 
@@ -90,14 +90,14 @@
     def tokens(rejected_per_request: int) -> float:
         balancer = make_balancer(Settings(classes=(IDEMPOTENT,), rules=rules))
         now = 100.0
-        for n in range(400):
+        for number in range(400):
             now += 0.01
             if isinstance(
-                balancer.on_request(now, IncomingRequest(f"w{n}", deadline=now + 4.0))[0], StartAttempt
+                balancer.on_request(now, IncomingRequest(f"w{number}", deadline=now + 4.0))[0], StartAttempt
             ):
-                balancer.on_attempt_finished(now, f"w{n}", 0, Outcome.SUCCESS, 0.1, last=True)
-            for k in range(rejected_per_request):
-                balancer.on_request(now, IncomingRequest(f"p{n}_{k}", deadline=now))
+                balancer.on_attempt_finished(now, f"w{number}", 0, Outcome.SUCCESS, 0.1, last=True)
+            for rejected_number in range(rejected_per_request):
+                balancer.on_request(now, IncomingRequest(f"p{number}_{rejected_number}", deadline=now))
         balancer.on_endpoints_updated(now, UpdateKind.DELTA, [Endpoint(1, started=now)])
         state = balancer.endpoints.states[1]
         while state.refilled_at <= 0.0:
@@ -107,7 +107,8 @@
             should_skip(balancer, now + 0.05, state)
         return state.warmup_tokens
 
-    # For the one of eight endpoints that is warming up, the offered requests count: 7/8 + 4/8.
+    # The offered rate is four times the sent one. It counts at most for the one endpoint of eight that is
+    # warming up: 7/8 + 4/8.
     assert 0.0 < tokens(3) <= 1.4 * tokens(0)
 
 
--- a/tests/balancer/test_slow_start_fleet.py
+++ b/tests/balancer/test_slow_start_fleet.py
@@ -104,7 +104,7 @@
     fleet.now = START_TIME
     fleet.start_endpoints()
     endpoint = fleet.endpoints[min(fleet.warming)]
-    endpoint.attempt_times = [START_TIME + 0.01 * n for n in range(100)]
+    endpoint.attempt_times = [START_TIME + 0.01 * number for number in range(100)]
     fleet.assert_budgets()  # no proxy has been notified of the start
     endpoint.informed_attempt_times = endpoint.attempt_times[:60]
     with pytest.raises(AssertionError, match="allowed"):
--- a/tests/balancer/test_tenant_quota.py
+++ b/tests/balancer/test_tenant_quota.py
@@ -21,8 +21,8 @@
     tenants = (Tenant("steady", 0.5, 1000.0), Tenant("burst", 0.5, quota))
     balancer = make_balancer(Settings(classes=(NON_IDEMPOTENT,), tenants=tenants, over_quota_weight=0.1))
     now = serve_with_failures(balancer, 1, Outcome.TIMEOUT)
-    for n in range(10):
-        balancer.on_request(now, IncomingRequest(f"x{n}", deadline=now + 4.0))
+    for number in range(10):
+        balancer.on_request(now, IncomingRequest(f"x{number}", deadline=now + 4.0))
     assert isinstance(
         balancer.on_request(now, IncomingRequest("over", tenant=1, deadline=now + 4.0))[0], expected_action
     )
--- a/tests/support/balancer_helpers.py
+++ b/tests/support/balancer_helpers.py
@@ -45,20 +45,20 @@
 
 def serve_sequentially(balancer: Balancer, latency: float = 0.05, count: int = 40) -> None:
     """Send one request per second; each succeeds after `latency` seconds."""
-    for n in range(count):
-        now = 101.0 + n
-        balancer.on_request(now, IncomingRequest(f"s{n}", deadline=now + 4.0))
-        balancer.on_attempt_finished(now + latency, f"s{n}", 0, Outcome.SUCCESS, latency, last=True)
+    for number in range(count):
+        now = 101.0 + number
+        balancer.on_request(now, IncomingRequest(f"s{number}", deadline=now + 4.0))
+        balancer.on_attempt_finished(now + latency, f"s{number}", 0, Outcome.SUCCESS, latency, last=True)
 
 
 def serve_with_failures(balancer: Balancer, tenant: int, outcome_of_every_fifth: Outcome) -> float:
     """Send 50 requests per second for 8 s, every fifth with the given outcome; return the time after them."""
     now = 100.0
-    for n in range(400):
+    for number in range(400):
         now += 0.02
-        balancer.on_request(now, IncomingRequest(f"w{n}", tenant=tenant, deadline=now + 4.0))
-        outcome = Outcome.SUCCESS if n % 5 else outcome_of_every_fifth
-        balancer.on_attempt_finished(now, f"w{n}", 0, outcome, 0.1)
+        balancer.on_request(now, IncomingRequest(f"w{number}", tenant=tenant, deadline=now + 4.0))
+        outcome = Outcome.SUCCESS if number % 5 else outcome_of_every_fifth
+        balancer.on_attempt_finished(now, f"w{number}", 0, outcome, 0.1)
     return now
 
 
@@ -95,9 +95,9 @@
 def balancer_with_due_hedge(settings: Settings) -> DueHedge:
     """Return a balancer with a request of class 0 in flight since 130 s, and the timer that hedges it."""
     balancer = make_balancer(settings)
-    for n in range(20):
-        balancer.on_request(100.0 + n, IncomingRequest(f"r{n}", deadline=104.0 + n))
-        balancer.on_attempt_finished(100.1 + n, f"r{n}", 0, Outcome.SUCCESS, 0.1, last=True)
+    for number in range(20):
+        balancer.on_request(100.0 + number, IncomingRequest(f"r{number}", deadline=104.0 + number))
+        balancer.on_attempt_finished(100.1 + number, f"r{number}", 0, Outcome.SUCCESS, 0.1, last=True)
     _, timer = balancer.on_request(130.0, IncomingRequest("late", deadline=134.0))
     assert isinstance(timer, SetTimer)
     return DueHedge(balancer, timer)
