--- a/emulator/runs/settings_report.py
+++ b/emulator/runs/settings_report.py
@@ -96,7 +96,7 @@
     Attributes:
         total: Number of requests.
         not_served: Number of requests that ended with a status other than 200, or without a status.
-        not_served_by_outcome: The latter by outcome.
+        not_served_by_outcome: The requests that were not served, by outcome.
     """
 
     total: int
--- a/emulator/runs/slopes_balancer.py
+++ b/emulator/runs/slopes_balancer.py
@@ -114,7 +114,7 @@
 
 
 def by_fleet_size(options: RunOptions) -> Slope:
-    """Measure the balancer against the fleet size in the settings, with 910 backends."""
+    """Measure the same processor times against the fleet size in the settings, with 910 backends."""
     seconds = _seconds_per_figure(options)
     fleet = topology.build(options.seed)
     points: list[Point] = []
