--- a/tests/proxy/test_dispatcher.py
+++ b/tests/proxy/test_dispatcher.py
@@ -266,7 +266,7 @@
 
 @in_event_loop
 async def test_non_idempotent_requests_avoid_a_backend_that_mostly_fails() -> None:
-    # With so short a latency objective, an error counts as late as a response.
+    # An error counts with at least the latency objective. At 1 ms, that does not make the backend look slow.
     services = [service | {"Aim": 0.001} for service in RAW_SETTINGS["Services"]]
     error = b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
     async with proxy_with_backends(
--- a/tests/support/proxy_internals.py
+++ b/tests/support/proxy_internals.py
@@ -24,7 +24,7 @@
 
 
 def idle_quota(pool: ConnectionPool) -> float:
-    """Return the pool's limit on idle connections: this proxy's part of a limit for all proxies."""
+    """Return the pool's limit on idle connections: this proxy's share of the fleet's limit."""
     return pool._idle._quota
 
 
--- a/tests/support/rules_checker.py
+++ b/tests/support/rules_checker.py
@@ -268,7 +268,7 @@
     def _check_endpoint(
         self, request: CheckedRequest, request_class: RequestClass, endpoint: Endpoint
     ) -> None:
-        """Check that a class allows an attempt of a request at an endpoint, also if it repeats another."""
+        """Check that a class allows an attempt of a request at an endpoint, including as a repetition."""
         for allowed, actual in (
             (request_class.allowed_machine_types, endpoint.machine_type),
             (request_class.allowed_zones, endpoint.zone),
@@ -292,7 +292,7 @@
         assert all(limits.cancel for limits in request.limits), "cancel is not permitted"
         attempt = request.attempts[action.attempt]
         assert attempt.outcome is None, "cancelled an attempt that had ended"
-        attempt.ends_by = self.now  # its outcome may be another one that was already on its way
+        attempt.ends_by = self.now  # it may end with another outcome that was already under way
 
     def _check_final_response(self, action: Reject | Fail) -> None:
         """Check that a request may be rejected or failed, and record it."""
--- a/tests/support/warming_fleet.py
+++ b/tests/support/warming_fleet.py
@@ -119,7 +119,7 @@
 
 @dataclass(eq=False)
 class SimulatedProxy:
-    """A proxy of the fleet; a restart replaces its balancer, with all that it has measured."""
+    """A proxy of the fleet; a restart replaces its balancer, which loses all measurements."""
 
     ordinal: int
     balancer: Balancer
@@ -127,7 +127,7 @@
 
 
 class ClientRequest(NamedTuple):
-    """A request of a client; a retry of a rejected request is another one."""
+    """A request of a client; each retry of a rejected request is a new one."""
 
     proxy: SimulatedProxy
     class_index: int
@@ -364,7 +364,7 @@
         return loads
 
     def assert_budgets(self) -> None:
-        """Fail if the informed proxies overloaded an endpoint, by themselves or with the others."""
+        """Fail if informed proxies overloaded an endpoint, or sent over two thirds of an overload."""
         for allowed, informed, attempts in self.interval_loads():
             assert informed <= allowed, f"{informed} informed attempts in an interval, {allowed:.1f} allowed"
             assert attempts <= allowed or informed <= 2.0 / 3.0 * attempts, (
