--- a/tests/proxy/downstream/test_limits.py
+++ b/tests/proxy/downstream/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits on clients' connections: time, number, and memory."""
+"""Idle clients, slow clients or too many clients must not use up the proxy's connections and memory."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_dispatcher.py
+++ b/tests/proxy/test_dispatcher.py
@@ -1,4 +1,8 @@
-"""Dispatch of requests: forwarding, retries, deadlines, rejections, and exceptions in the balancer."""
+"""Dispatch of requests: forwarding, retries, deadlines, rejections, and exceptions in the balancer.
+
+A request that may have run must not be repeated unless its class allows it. Every request must get a response
+by its deadline, even if a backend is silent or the balancer fails.
+"""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -1,4 +1,7 @@
-"""Signals and invalid configurations of a proxy process, and draining of its listener."""
+"""Signals and invalid configurations of a proxy process, and draining of its listener.
+
+A shutdown must lose no request that arrives before SIGTERM or shortly after it, and no queued connection.
+"""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -1,4 +1,7 @@
-"""Events from clients and backends during a graceful shutdown, on loopback sockets with a manual clock."""
+"""Events during a graceful shutdown must not leave a received request without a response.
+
+The tests run a proxy on loopback sockets with a manual clock.
+"""
 
 from __future__ import annotations
 
--- a/tests/proxy/upstream/test_attempt_races.py
+++ b/tests/proxy/upstream/test_attempt_races.py
@@ -1,4 +1,8 @@
-"""Attempts that race with drains, disconnects, deadlines and endpoint updates, in a forced order."""
+"""Attempts must not be sent too late, to a replaced process, or on a connection with a late second response.
+
+The tests force the order of events: a drain, a disconnect, the deadline or an endpoint update comes during a
+dial, a response or a reuse delay.
+"""
 
 from __future__ import annotations
 
--- a/tests/proxy/upstream/test_keepalive_policy.py
+++ b/tests/proxy/upstream/test_keepalive_policy.py
@@ -1,4 +1,7 @@
-"""Which idle connections are reused, depending on earlier reuses and on whether attempts are retryable."""
+"""Which idle connections are reused, depending on earlier reuses and on whether attempts are retryable.
+
+A backend may close an idle connection just before its reuse; a non-retryable request is then lost.
+"""
 
 from __future__ import annotations
 
--- a/tests/proxy/upstream/test_responses.py
+++ b/tests/proxy/upstream/test_responses.py
@@ -1,4 +1,8 @@
-"""Malformed, unsolicited, large, stalled and slow responses from backends."""
+"""Malformed, unsolicited, large, stalled and slow responses from backends.
+
+A truncated response must not count as complete, a large one must not fill the memory, and a slow one must not
+fail its request.
+"""
 
 from __future__ import annotations
 
