--- a/balancer/attempt_dispatch.py
+++ b/balancer/attempt_dispatch.py
@@ -10,6 +10,7 @@
 from balancer.events import Action, StartAttempt
 from balancer.hedging import Hedging
 from balancer.retry_budget import RetryBudgets
+from balancer.slow_start import TOKENS_PER_ATTEMPT
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -45,7 +46,7 @@
         else:
             return []
         if target.warmup_tokens > 0.0:
-            target.warmup_tokens -= 1.0
+            target.warmup_tokens -= TOKENS_PER_ATTEMPT
         if request.attempts:
             self.retry_budgets.budget_for_next_attempt(request.open_attempts).record_retry(now)
         attempt = AttemptState(target, target.endpoint, now)
@@ -56,8 +57,8 @@
         request.attempts.append(attempt)
         request.open_attempts += 1
         timeout = request.useful_until - now if request.useful_until < request.deadline else 0.0
-        hedge = self.hedging.schedule(now, request, attempt) if request.open_attempts == 1 else []
-        return [StartAttempt(request.id, target.endpoint.id, timeout), *hedge]
+        hedge_timer = self.hedging.schedule(now, request, attempt) if request.open_attempts == 1 else []
+        return [StartAttempt(request.id, target.endpoint.id, timeout), *hedge_timer]
 
     def retry(self, now: float, request: RequestState) -> list[Action]:
         """Start another attempt if the rules and the retry budget allow it; no actions if they do not."""
