--- a/balancer/latency_statistics.py
+++ b/balancer/latency_statistics.py
@@ -14,8 +14,8 @@
 #: Lower bound of a latency, as a fraction of the latency expected by cost: costs are estimates, and endpoints
 #: differ in speed.
 MIN_LATENCY_FRACTION = 0.6
-#: Factor of the latency per cost after each request that is rejected by it. A rejected request brings no
-#: sample, so a value that is too high would otherwise reject requests permanently.
+#: Factor applied to the latency per cost after each request that is rejected because of it. A rejected
+#: request brings no sample, so a value that is too high would otherwise reject requests permanently.
 COST_BASELINE_DECAY = 0.94
 #: Ratio of the mean deviation to the first latency before there is a second one, as for the round-trip time
 #: of TCP (RFC 6298).
@@ -76,18 +76,22 @@
             latency: The latency of its successful attempt, in seconds.
             cost: The work that the request was expected to need.
         """
-        difference = latency / cost - self.latency_per_cost
-        samples = FALL_SAMPLES if difference < 0.0 else RISE_SAMPLES
-        self.latency_per_cost += difference / samples if self.sample_count else difference
+        per_cost_difference = latency / cost - self.latency_per_cost
+        per_cost_samples = FALL_SAMPLES if per_cost_difference < 0.0 else RISE_SAMPLES
+        self.latency_per_cost += (
+            per_cost_difference / per_cost_samples if self.sample_count else per_cost_difference
+        )
         self.sample_count += 1
         self.class_samples[class_index] = samples_of_class = min(
             self.class_samples[class_index] + 1, MEAN_SAMPLES
         )
         self.class_latency[class_index] += (latency - self.class_latency[class_index]) / samples_of_class
         self.response_latency += (latency - self.response_latency) / min(self.sample_count, MEAN_SAMPLES)
-        difference = self.response_latency - self.response_baseline
-        samples = FALL_SAMPLES if difference < 0.0 else RISE_SAMPLES
-        self.response_baseline += difference / samples if self.sample_count > MIN_SAMPLES else difference
+        baseline_difference = self.response_latency - self.response_baseline
+        baseline_samples = FALL_SAMPLES if baseline_difference < 0.0 else RISE_SAMPLES
+        self.response_baseline += (
+            baseline_difference / baseline_samples if self.sample_count > MIN_SAMPLES else baseline_difference
+        )
 
     def min_latency(self, cost: float) -> float:
         """Return the seconds that work of this cost needs at least; 0 while there are too few samples."""
