--- a/balancer/admission_control.py
+++ b/balancer/admission_control.py
@@ -1,6 +1,7 @@
 """Admission control: rejects requests that cannot be served in time, those of the lowest priority first.
 
-It decides on arrival, before any work is done for the request. Tenant quotas are kept in `tenant_quota`.
+It decides on arrival, before any work is done for the request. `tenant_quota` counts which requests are
+within their tenant's quota.
 """
 
 from math import exp
@@ -13,8 +14,8 @@
 from balancer.settings import Settings
 
 #: Longest expected wait at which a request is admitted, as a fraction of the latency objective of its class:
-#: for the highest priority weight, and for a weight of 0. Weights in between are interpolated. The rest of
-#: the objective is left for the work itself and for estimates that are too low.
+#: for the highest priority weight, and for a weight of 0. Weights in between are interpolated. The
+#: remaining time is left for the work itself and for estimates that are too low.
 MAX_WAIT_FRACTION = 0.7
 MIN_WAIT_FRACTION = 0.35
 #: Factor of both fractions while many requests fail from overload: the queues have to drain before requests
@@ -31,7 +32,8 @@
 #: Further pending requests that are allowed while none fail, at a proxy that is the only one in its zone. Its
 #: rejected clients retry at the same proxy, so a short burst would be rejected again and again.
 SOLE_PROXY_ALLOWANCE = 2.0
-#: Seconds; a younger pool counts as this old: the correction of its rates for age would divide by almost 0.
+#: Seconds; a younger pool counts as this old, because the correction of its rates for its age would otherwise
+#: divide by almost 0.
 MIN_POOL_AGE = 0.2
 
 #: Ratio of the expected wait to the latency baseline at which shedding by latency begins. Higher values let
@@ -43,8 +45,8 @@
 #: Fraction by which both ratios are higher for the highest priority weight, and in proportion for others.
 SHEDDING_PRIORITY_FRACTION = 0.5
 #: Fleet sizes, in proxies, up to which nothing is shed by latency, and from which the full probability
-#: applies. Two or three proxies notice an overload by other means, and there shedding rejected more bursts
-#: than it saved.
+#: applies. Two or three proxies notice an overload by other means, and there shedding rejected more
+#: requests of bursts than it saved.
 SHEDDING_MIN_FLEET_SIZE, SHEDDING_FULL_FLEET_SIZE = 2, 6
 #: Seconds over which the number of pending requests is averaged. At a proxy with few requests the number at
 #: one moment is mostly noise.
@@ -175,7 +177,7 @@
         far below their mean where work varies.
 
         Limitation: endpoints that are slow for another reason get less work than they could do. With two or
-        three proxies this costs more requests than it saves, so it acts only in larger fleets.
+        three proxies this costs more requests than it saves, so `shedding_strength` grows with the fleet.
 
         Args:
             now: The time in seconds.
--- a/balancer/attempts.py
+++ b/balancer/attempts.py
@@ -8,10 +8,9 @@
 from balancer.events import Action, CancelAttempt, RequestId
 from balancer.settings import DeduplicationScope, Idempotency, Limits, RequestClass
 
-#: Fraction of the deduplication window in which retries are sent. The window lasts from the moment of the
-#: first attempt to that of the retry, and a proxy may be paused for up to 0.15 s between reading its clock
-#: and writing: the rest of the window covers that pause. Limitation: the rest is less than 0.15 s if the
-#: window is shorter than 1.5 s.
+#: Fraction of the deduplication window within which a retry may be written. A proxy may be paused for up to
+#: 0.15 s between reading its clock and writing; the last tenth of the window covers that pause. Limitation: a
+#: tenth is less than 0.15 s if the window is shorter than 1.5 s.
 USABLE_WINDOW_FRACTION = 0.9
 
 
@@ -27,10 +26,10 @@
         request_class: Its class as it was admitted, restricted by all reloads since then.
         limits: The limits it was admitted with, restricted in the same way.
         pool: The endpoints that its attempts may go to.
-        wait_budget: The longest expected wait in seconds with which its class was admitted.
+        wait_budget: The longest expected wait in seconds at which its class was admitted when it arrived.
         deadline: When its client gives up, in seconds.
         useful_until: When a response stops being useful, at most `deadline`; no attempt lasts longer.
-        cost: The work that it is expected to need, in the unit of its client.
+        cost: The work that it is expected to need, in a unit that all requests share.
         attempts: Its attempts, in the order in which they were started.
         open_attempts: The number of attempts that have not ended.
         responded: Whether its final response has been given.
@@ -61,7 +60,7 @@
         return next((attempt for n, attempt in numbered if attempt.may_have_run and n != other_than), None)
 
     def has_other_open_attempt(self, number: int) -> bool:
-        """Whether another attempt than this one is open."""
+        """Whether an attempt other than this one is open."""
         return self.open_attempts - self.attempts[number].is_open > 0
 
     def retry_endpoints(self, now: float) -> list[EndpointState]:
--- a/balancer/circuit_breaker.py
+++ b/balancer/circuit_breaker.py
@@ -15,7 +15,7 @@
 #: one. A value above 1 tolerates occasional failures, and admits calls that notice when an endpoint has
 #: recovered.
 MAX_MULTIPLIER = 1.5
-MIN_MULTIPLIER = 1.1  # K where all buckets of the window have only failures
+MIN_MULTIPLIER = 1.1  # K where all buckets of the window have failures and none has a success
 PROTECTED_REQUESTS = 5  # calls in the window that do not count: a few failures are no evidence
 #: Failures in the window from which an endpoint may be an outlier. With 1, an endpoint whose first call fails
 #: would be an outlier immediately.
@@ -66,7 +66,7 @@
     _requests: int = 0
     _accepts: int = 0
     _failures: int = 0
-    _failing_buckets: int = 0  # the number of newest buckets that have only failures
+    _failing_buckets: int = 0  # buckets since the last success that have failures
 
     def _count(self, now: float) -> _Bucket:
         """Count one call and return its bucket."""
@@ -132,8 +132,8 @@
 
         Args:
             now: The time in seconds.
-            multiplier: The K of the formula; it falls to MIN_MULTIPLIER as more of the newest buckets have
-                only failures.
+            multiplier: The K of the formula; it falls to MIN_MULTIPLIER as more buckets since the last
+                success have failures.
             protection: The number of calls in the window that do not count.
         """
         self._expire(int(now / BUCKET_WIDTH))
--- a/balancer/client_timeouts.py
+++ b/balancer/client_timeouts.py
@@ -7,8 +7,8 @@
 
 from balancer.settings import Settings
 
-#: Fraction of the latency objective after which attempts end. The rest is left for the response to reach the
-#: client, as a response after the objective earns little.
+#: Fraction of the latency objective after which attempts time out. The remaining time is for the response to
+#: reach the client, as a response after the objective earns little.
 ATTEMPT_TIME_FRACTION = 0.98
 #: Classes whose late responses keep more than this fraction of their weight are served until the client's
 #: deadline instead of the latency objective.
@@ -16,8 +16,8 @@
 #: Timeouts are counted in buckets on a logarithmic scale, this many for each factor of e, so a bucket is 2%
 #: wide. Equal timeouts have to fall into one bucket although requests take different times to arrive.
 BUCKETS_PER_E_FOLD = 50.0
-#: Buckets that are counted for each class. Beyond that the rarest are dropped, so that clients that send a
-#: different timeout with each request do not use up the memory.
+#: Buckets that are counted for each class. Beyond that all counts are halved, and buckets with a count of 1
+#: are dropped, so that clients that send a different timeout with each request do not use up the memory.
 MAX_BUCKETS = 256
 #: Requests with the commonest timeout that are needed before a different timeout indicates a retry.
 MIN_USUAL_COUNT = 4
@@ -54,7 +54,8 @@
         """Return until when a response to a new request is useful, in seconds on the caller's clock.
 
         For a class whose late responses lose half of their weight or more, that is its latency objective:
-        endpoints that work on responses of little use delay those that are still in time.
+        endpoints that work on responses of little use delay those that are still in time. It is the deadline
+        for all other classes, and at lower tiers whose callers propagate their deadline.
 
         Args:
             now: The time in seconds.
--- a/balancer/discovery_polling.py
+++ b/balancer/discovery_polling.py
@@ -33,7 +33,7 @@
     Attributes:
         rng: The balancer's source of randomness.
         settings: The settings in force.
-        backoff: The delay in seconds before the poll after a failed one, before jitter.
+        backoff: The delay in seconds that follows the next failed poll, before jitter.
     """
 
     rng: Random
--- a/balancer/endpoint_selection.py
+++ b/balancer/endpoint_selection.py
@@ -12,9 +12,9 @@
 from balancer.settings import Idempotency
 from balancer.slow_start import SlowStart
 
-#: Number of random endpoints whose scores are compared (power of two choices). Three lowered the score of a
-#: simulated day from 0.945 to 0.676 and 0.715 (see docs/postmortems.md, "Three random candidates instead of
-#: two").
+#: Number of random endpoints whose scores are compared (power of two choices). With three, requests
+#: were rejected while backends were neither full nor failing (see docs/postmortems.md, "Three random
+#: candidates instead of two").
 CANDIDATE_COUNT = 2
 #: Upper limit of the random draws in one selection, so that it also ends if most endpoints were already tried
 #: or are not accepted as candidates because they are warming up.
@@ -42,10 +42,10 @@
 
         A request must not wait behind others in the subset while endpoints outside it are idle. This matters
         most if the subset is small, or one of its endpoints is slow or fails. So if all candidates are busy
-        or outliers, two more are drawn from outside the subset. This instance cannot see the attempts that
-        other instances have in flight there. It assumes as many as it has in flight itself at an endpoint of
-        its own subset, on average. Limitation: if other instances have far more traffic, their endpoints are
-        busier than this estimate.
+        or outliers, up to two more are drawn from outside the subset. This instance cannot see the attempts
+        that other instances have in flight there. It assumes as many as it has in flight itself at an
+        endpoint of its own subset, on average. Limitation: if other instances have far more traffic, their
+        endpoints are busier than this estimate.
 
         Args:
             now: The time in seconds.
--- a/balancer/endpoint_state.py
+++ b/balancer/endpoint_state.py
@@ -65,7 +65,7 @@
         self.warmup_tokens = self.refilled_at = 0.0
 
     def score(self, now: float, tier_latency: float, others_in_flight: float = 0.0) -> float:
-        """Return the latency multiplied by the attempts in flight and the one to be sent; lower is better.
+        """Return the latency times the number of attempts in flight plus the one to be sent; lower is better.
 
         Without new samples, the latency of an endpoint approaches that of the tier, so that a recovered
         endpoint is tried again. The age of the oldest attempt in flight replaces a lower latency, so that a
@@ -102,7 +102,8 @@
 
         A failure counts as at least `min_failure_latency`: an endpoint that fails fast must not appear fast.
         `tier_latency` is the mean over all endpoints, 0 if unknown. All latencies are in seconds. Return
-        False, and record nothing, if the attempt says nothing about the process that runs there now.
+        False, and record nothing, if the attempt was never written, or went to a previous process of the
+        endpoint.
         """
         self.in_flight.pop(attempt, None)
         breaker = self.breaker
--- a/balancer/events.py
+++ b/balancer/events.py
@@ -65,7 +65,7 @@
 
     NO_TIME = "no_time"  # its work needs more time than it has left
     PENDING = "pending"  # too many requests are pending for the rate at which they are served
-    LATENCY = "latency"  # shed at random, because latency is far above its baseline
+    LATENCY = "latency"  # shed at random, because the expected wait is far above the latency baseline
     THROTTLED = "throttled"  # shed at random, because requests fail (adaptive throttling)
     NO_ENDPOINT = "no_endpoint"  # no endpoint is ready, or the breakers of all candidates reject it
     ATTEMPTS_FAILED = "attempts_failed"  # all attempts failed, and no further retry is allowed
--- a/balancer/hedging.py
+++ b/balancer/hedging.py
@@ -27,13 +27,13 @@
 
 @dataclass
 class Hedging:
-    """Sets a timer for each attempt that may be hedged, and names the request to hedge when it fires.
+    """Sets a timer for each attempt that may be hedged, and returns the request to hedge when it fires.
 
     Hedging saves idempotent requests from a hung endpoint or a lost response, for which they would wait until
     no time is left. It acts only at the last tier: at a higher tier it repeats the work of all tiers below.
 
-    Limitation: where all endpoints are slow, hedged requests add load. Therefore they have a retry budget of
-    their own, and none are sent where the mean latency is a large fraction of the time left.
+    Limitation: where all endpoints are slow, hedged requests add load. Therefore a retry budget limits
+    them, and none are sent where the mean latency is a large fraction of the time left.
 
     Attributes:
         statistics: The measured latencies.
--- a/balancer/rate_estimators.py
+++ b/balancer/rate_estimators.py
@@ -5,8 +5,8 @@
 #: Seconds over which a smoothed rate decays: long enough for a proxy with a few requests per second, and
 #: short enough to show a burst.
 SMOOTHING_SPAN = 2.0
-EVENT_WEIGHT = 1.0 / SMOOTHING_SPAN  # increment for each event, so that a steady rate reads as itself
-#: Seconds with warm endpoints that a warm rate covers, so that a burst of a few seconds hardly changes it.
+EVENT_WEIGHT = 1.0 / SMOOTHING_SPAN  # increment for each event; at a steady rate, the result is that rate
+#: Time constant of a warm rate, in seconds with warm endpoints: a burst of a few seconds hardly changes it.
 #: `EndpointPool.rate_per_endpoint` caps the offered rate at the warm rate; a cap at 1.5 times the warm rate
 #: overloaded warming endpoints.
 WARM_RATE_SPAN = 30.0
--- a/balancer/retry_budget.py
+++ b/balancer/retry_budget.py
@@ -11,7 +11,7 @@
 #: Further retries for each request in the window, so that a tier that fails under load gets at most a fifth
 #: more load.
 DEFAULT_RATIO = 0.2
-DEFAULT_WINDOW = 10.0  # seconds; the window of a circuit breaker, `circuit_breaker.ERROR_WINDOW`
+DEFAULT_WINDOW = 10.0  # seconds; as for a circuit breaker, `circuit_breaker.ERROR_WINDOW`
 #: Floor and ratio for hedged requests where the rules state no retry budget. Hedged requests that shared the
 #: budget of retries used it up, so that failed requests were not retried.
 HEDGE_FLOOR, HEDGE_RATIO = 1.0, 0.05
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, eq=False)
 class RetryBudget:
-    """Limits retries in proportion to requests in a sliding window, so that they do not feed an overload.
+    """Limits retries in proportion to requests in a sliding window, so that they do not worsen an overload.
 
     Limitation: where many first attempts fail for other reasons than load, requests fail that further retries
     would have saved.
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -19,7 +19,7 @@
     from balancer.events import IncomingRequest
 
 #: Upper limit of the number of instances, tiers or zones: far above any deployment, and small enough that a
-#: sum over 1 / count for each of them does not lose a term to rounding.
+#: sum of 1 / count over all of them loses no term to rounding.
 MAX_COUNT = 1 << 20
 
 
@@ -68,7 +68,8 @@
     """One class of requests.
 
     Attributes:
-        name: Its name; in a reload, the class of the same name takes over its learned state.
+        name: Its name. In a reload, the class of the same name in the new settings continues with the latency
+            statistics and client timeouts of this class, and with its pool if the placement is the same.
         latency_objective: The latency within which a response earns its full weight, in seconds.
         deadline: When a client gives up, in seconds from its first attempt.
         idempotency: Whether its requests may be retried after they may have been executed.
@@ -120,7 +121,8 @@
     """One tenant.
 
     Attributes:
-        name: Its name; in a reload, the tenant of the same name takes over its quota tokens.
+        name: Its name. In a reload, the tenant of the same name in the new settings continues with the quota
+            tokens of this tenant.
         share: Its fraction of the service, from 0 to 1.
         quota: The requests per second that it may send to all instances together; 0: no quota.
     """
--- a/balancer/subsetting.py
+++ b/balancer/subsetting.py
@@ -1,8 +1,8 @@
 """Subsetting: chooses the endpoints that a proxy ordinarily uses.
 
 Each proxy sends its attempts to a subset of the endpoints. With few attempts at each of many endpoints, the
-circuit breakers would see too few of them to react, the latencies would be out of date, and the attempts in
-flight would say nothing about an endpoint's load. Each endpoint would also need its own connection.
+circuit breakers would see too few of them to react, the latencies would be out of date, and the proxy's own
+attempts in flight would not show how loaded an endpoint is. Each endpoint would also need a connection.
 
 The endpoints are placed on a ring in a scattered order that is the same at every proxy. Each takes a segment
 as long as its size. Proxy k of n uses a segment that begins at k/n of the ring, so that all endpoints are
@@ -22,11 +22,12 @@
 #: Endpoints of a subset beyond the first, per square root of the requests usually in flight. More requests
 #: need more endpoints, but with fewer endpoints a proxy has more samples of each.
 SUBSET_GROWTH = 1.0
-#: Seconds between two choices of the subsets, which follow the traffic. Each endpoint that enters a subset
-#: costs connections. After a change of the endpoint list they are chosen immediately.
+#: Seconds after which the subsets are chosen again, to follow the traffic. Each endpoint that enters a subset
+#: costs connections. After a change of the endpoint list, the subsets are chosen immediately.
 RESIZE_INTERVAL = 3.0
-#: Size of the fallback subset: this many endpoints for each one in the subset, and MIN_FALLBACKS more. Using
-#: all endpoints served less (see docs/postmortems.md, "Calls beyond a busy subset went to all backends").
+#: Size of the fallback subset: this many endpoints for each one in the subset, and MIN_FALLBACKS more. With
+#: all endpoints, fewer requests were served (see docs/postmortems.md, "Calls beyond a busy subset went to all
+#: backends").
 FALLBACKS_PER_ENDPOINT = 2
 MIN_FALLBACKS = 2
 #: 2^32 divided by the golden ratio. Multiplication by it scatters consecutive ids over 32 bits (Fibonacci
--- a/balancer/tenant_quota.py
+++ b/balancer/tenant_quota.py
@@ -1,6 +1,7 @@
 """Tenant quotas: counts which requests are within them.
 
-A request over its tenant's quota is not rejected here; `admission_control` gives it a shorter wait budget.
+A request over its tenant's quota is not rejected here; `admission_control` gives it a shorter wait budget
+while requests fail from overload.
 """
 
 from math import inf
