--- a/balancer/settings_reader.py
+++ b/balancer/settings_reader.py
@@ -1,8 +1,8 @@
 """Reads settings from the nested JSON object that the platform gives to proxies and to the simulator.
 
 Only this module uses the platform's names; all other modules use those of `balancer.settings`. Unknown keys
-are ignored. Absent keys and null get the defaults of `balancer.settings`. The values are checked by
-`Settings.check`, and by the proxy when it reads its configuration file.
+are ignored. Absent keys, null and unknown words get the defaults of `balancer.settings`. The values are
+checked by `Settings.check`, and by the proxy when it reads its configuration file.
 """
 
 from __future__ import annotations
--- a/balancer/simulator/__main__.py
+++ b/balancer/simulator/__main__.py
@@ -2,7 +2,8 @@
 
 A batch is a `Tick` with the time, any number of events, and a `Flush`. The reply is one line for each action
 and an `Eor`. A line that violates the protocol ends the process with exit code 2 and one line on standard
-error. After a defect of the balancer the process reports it for the instance (`BailOut`) and continues.
+error. A defect of the balancer, and invalid settings or requests, are reported for one instance
+(`BailOut`), and the process continues.
 """
 
 from __future__ import annotations
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -2,8 +2,9 @@
 
 A warming endpoint fails if all proxies together send it more than `overload_multiple` times its present
 capacity within any `overload_interval`. No proxy knows how many attempts the others send. Therefore each
-proxy sends it at most the share of a warm endpoint, scaled by the capacity that the settings guarantee at its
-age. The multiple is the margin for chance and for uneven traffic. `attempt_dispatch` spends the tokens.
+proxy sends it on average at most the share of a warm endpoint, scaled by the capacity that the settings
+guarantee at its age, and in a short interval at most twice that. The multiple is the margin for chance and
+for uneven traffic. `attempt_dispatch` spends the tokens.
 """
 
 from dataclasses import dataclass
