--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -81,7 +81,7 @@
 def template_of(node: ast.expr) -> str:
     """Return the text of a string constant or of an f-string, with an asterisk for each placeholder."""
     if isinstance(node, ast.JoinedStr):
-        return "".join(str(part.value) if isinstance(part, ast.Constant) else "*" for part in node.values)
+        return "".join(str(each.value) if isinstance(each, ast.Constant) else "*" for each in node.values)
     return str(node.value) if isinstance(node, ast.Constant) else ""
 
 
