--- a/proxy/__main__.py
+++ b/proxy/__main__.py
@@ -1,7 +1,7 @@
 """Starts a proxy: `python -m proxy`, with the configuration file that the environment names.
 
-All other modules are imported after the handler for SIGHUP is installed: the import takes long, and without a
-handler a reload signal in this time would end the process.
+All other modules are imported after the handler for SIGHUP is installed: the import takes a while, and
+a reload signal during it would otherwise end the process.
 """
 
 from __future__ import annotations
--- a/proxy/dispatch_context.py
+++ b/proxy/dispatch_context.py
@@ -1,4 +1,4 @@
-"""The objects that the dispatcher and the action executor work with; their owners are elsewhere."""
+"""The components that the dispatcher and the action executor use; `proxy.proxy` owns them."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class DispatchContext:
-    """The collaborators of the dispatcher and of the action executor.
+    """The components that the dispatcher and the action executor share.
 
     Attributes:
-        balancer: Makes the decisions on each request.
+        balancer: Decides where each request is sent, and whether it is rejected or retried.
         clock: Converts between the event loop's time and the balancer's.
         endpoint_table: The backends that attempts go to.
         pool: Sends the attempts.
--- a/proxy/dispatcher.py
+++ b/proxy/dispatcher.py
@@ -183,7 +183,7 @@
                     active_request=active_request,
                 )
             )
-            return Outcome.NOT_SENT
+            return Outcome.NOT_SENT  # counts neither for nor against the backend
         if outcome is Outcome.SUCCESS:
             if now > active_request.deadline:  # the timer of the deadline is late
                 return Outcome.TIMEOUT
--- a/proxy/downstream/acceptor.py
+++ b/proxy/downstream/acceptor.py
@@ -19,7 +19,7 @@
 
 logger = logging.getLogger(__name__)
 
-MAX_ACCEPTS_PER_TURN = 8  # connections accepted in one turn of the event loop; other callbacks wait
+MAX_ACCEPTS_PER_TURN = 8  # connections accepted in one turn of the event loop, while other callbacks wait
 #: Errors of the system or the process: accepting the next connection would fail as well. All other errors
 #: concern a single connection: accept(2) returns its pending network error.
 RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
--- a/proxy/downstream/connection.py
+++ b/proxy/downstream/connection.py
@@ -128,7 +128,7 @@
         if connection_input.queue:
             self._serve_next()
         elif connection_input.parser.reading:
-            if self._state is NEW:  # counted from connecting: a client gains no time by single bytes
+            if self._state is NEW:  # the limit counts from connecting: single bytes do not extend it
                 self._enter(READING, self._registry.new[self])
             elif self._state is IDLE:
                 self._enter(READING, connection_input.parser.started_at + timeouts.REQUEST_TIMEOUT)
@@ -218,8 +218,8 @@
     def reject(self, error: HttpError) -> None:
         """Reject the current request and all that wait behind it, and close the connection.
 
-        The responses to the waiting requests say that they did not run. If the connection stayed open, a
-        rejected client could repeat its request without any delay. Only the sending side is closed, and the
+        The waiting requests get status 503, which means that they did not run. If the connection stayed open,
+        a rejected client could repeat its request without any delay. Only the sending side is closed, and the
         proxy reads until the client closes: unread input would reset the connection, and the client would
         lose the response.
         """
--- a/proxy/downstream/eviction.py
+++ b/proxy/downstream/eviction.py
@@ -86,9 +86,9 @@
         """Evict another connection if there are too many; return whether the connection may be served.
 
         The order of eviction spares well-behaved clients for as long as possible: closing connections; the
-        oldest new connection, if it has sent nothing since it connected; idle ones; new ones; and last, those
-        whose request is being read. A connection whose response is still being written is never evicted: the
-        response would be truncated.
+        oldest new connection, if it has sent nothing within `NEW_CONNECTION_GRACE`; idle ones; new ones; and
+        last, those whose request is being read. A connection whose response is still being written is never
+        evicted: the response would be truncated.
 
         Args:
             connection: The connection to admit; it is not evicted itself.
--- a/proxy/downstream/response_writer.py
+++ b/proxy/downstream/response_writer.py
@@ -63,7 +63,7 @@
             self.write(error.status, b"", error.reason.encode() + b"\n", keep_alive=position < len(errors))
 
     def start_progress(self, now: float) -> None:
-        """Start to measure how the client reads the latest response, which the socket may not accept at once.
+        """Start to measure how the client reads the latest response, some of which may still be unwritten.
 
         Args:
             now: The event loop's time.
@@ -76,12 +76,12 @@
         return self._transport.get_write_buffer_size() > 0
 
     def has_read_progress(self, now: float, longest_deadline: float) -> bool:
-        """Return whether the client has read some of a response since the last call and still needs the rest.
+        """Return whether the client has read more of a response since the last call, and still needs it.
 
         Args:
             now: The event loop's time.
             longest_deadline: The longest time in seconds that a client waits for a response; after that, it
-                does not need the rest.
+                does not need the response any more.
         """
         unwritten_before, self._unwritten_bytes = (
             self._unwritten_bytes,
--- a/proxy/downstream/routing.py
+++ b/proxy/downstream/routing.py
@@ -58,7 +58,7 @@
     path = request.target.partition(b"?")[0]
     if path == b"/healthz" and request.method == b"GET":
         _respond_to_health_check(connection, handler)
-    elif path == b"/api" or path.startswith(b"/api/"):  # a request without a key has no last path segment
+    elif path == b"/api" or path.startswith(b"/api/"):  # `/api` is for requests without a key
         if not handler.connections.admit(connection, request_complete=True):
             raise HttpError(HTTPStatus.SERVICE_UNAVAILABLE, "too many connections")
         connection.idle_timeout = timeouts.IDLE_TIMEOUT
--- a/proxy/event_log.py
+++ b/proxy/event_log.py
@@ -50,7 +50,7 @@
         if not path:
             return cls()
         try:
-            # Non-blocking: if the file is a pipe that nobody reads, a write has to fail instead of waiting.
+            # Non-blocking: if the file is a pipe that is not being read, a write must fail and not block.
             return cls(os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_NONBLOCK, 0o644))
         except OSError:
             return cls()
--- a/proxy/invariants.py
+++ b/proxy/invariants.py
@@ -30,16 +30,16 @@
 
 #: Seconds by which the timeout that is sent to a backend may exceed the time until the client's deadline.
 TIMEOUT_SLACK = 0.15
-#: Statuses that tell a client that its request did not run, so that it may safely repeat the request.
+#: Statuses that mean that the request did not run, so that the client may safely repeat it.
 REJECTED_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 class Invariant(StrEnum):
-    """A rule that must hold at all times."""
+    """A rule that must hold at all times; each comment describes a violation."""
 
     SENT_AFTER_ANSWER = "sent_after_answer"  # an attempt was written when no response was pending any more
     SENT_OUT_OF_SERVICE = "sent_out_of_service"  # an attempt was written to a backend that is not in service
-    REPEATED_UNSAFELY = "repeated_unsafely"  # its class forbids to repeat a request that may have run
+    REPEATED_UNSAFELY = "repeated_unsafely"  # forbidden repetition of a request that may have run
     TIMEOUT_TOO_LONG = "timeout_too_long"  # a backend got a timeout that ends after the client's deadline
     REJECTED_UNSAFELY = "rejected_unsafely"  # 429 or 503 for a request that may have run
     DROPPED_UNANSWERED = "dropped_unanswered"  # a connection was closed without a response to a request
--- a/proxy/log.py
+++ b/proxy/log.py
@@ -18,7 +18,8 @@
 class NonBlockingHandler(logging.Handler):
     """Writes records to standard error, and drops them where a write would block.
 
-    If nobody reads standard error, the event loop must not stop; and a log call must not raise an exception.
+    The event loop must not block while standard error is a pipe that is not being read, and a log call must
+    not raise an exception.
     """
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -55,15 +56,15 @@
 class RateLimit:
     """Limits how often one kind of record is logged; call `allows` before the log call.
 
-    A fault may recur with every request. The limit keeps the log readable, and prevents that these records
-    fill up a pipe which is read slowly: other records would be dropped then. A record that is not allowed is
-    not formatted.
+    A fault may recur with every request. The limit keeps the log readable, and keeps these records from
+    filling a pipe that is read slowly, where other records would then be dropped. A record that is not
+    allowed is not formatted.
     """
 
     __slots__ = ("_interval", "_last_allowed_at")
 
     def __init__(self, interval: float = LOG_INTERVAL) -> None:
-        """Allow the first record at once.
+        """Allow the first record immediately.
 
         Args:
             interval: Seconds between two records.
--- a/proxy/logged_events.py
+++ b/proxy/logged_events.py
@@ -207,7 +207,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class ShutdownStarted:
-    """SIGTERM was received: the graceful shutdown begins."""
+    """SIGTERM or SIGINT was received: the graceful shutdown begins."""
 
     event: ClassVar = Event.SHUTDOWN
 
--- a/proxy/reload.py
+++ b/proxy/reload.py
@@ -98,7 +98,7 @@
             The lines to log.
 
         Raises:
-            ConfigError: The new settings require a restart; nothing has changed.
+            ConfigError: The new settings are invalid or require a restart; nothing has changed.
         """
         listener = self._targets.listener
         in_force = listener.config
@@ -130,7 +130,7 @@
         """Apply new settings.
 
         Raises:
-            ConfigError: They require a restart; nothing has changed.
+            ConfigError: They are invalid or require a restart; nothing has changed.
         """
         targets = self._targets
         try:
--- a/proxy/request_registry.py
+++ b/proxy/request_registry.py
@@ -1,6 +1,6 @@
 """The active requests of the proxy, and the request ids that clients use for them.
 
-It owns both sets. The dispatcher adds and removes requests.
+It owns both sets. The dispatcher adds requests; the dispatcher and the responder report their end.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
         Args:
             request: The request as the client sent it.
-            classified: Its class.
+            classified: Its class, and the other properties that the balancer needs.
             response_sink: The receiver of its final response.
             client_deadline: The event loop's time until which the client waits.
             deadline: The event loop's time by which the response has to be written.
--- a/proxy/settings_check.py
+++ b/proxy/settings_check.py
@@ -1,7 +1,7 @@
 """Checks the settings in the configuration file for errors that the balancer can't detect.
 
-The balancer only sees positions and defaults. These checks concern the words and names in the file, which are
-converted into them.
+`read_settings` replaces an unknown word by a default, and the balancer does not know the names of zones and
+machine types: classes refer to them by their positions in lists.
 """
 
 from __future__ import annotations
--- a/proxy/shutdown.py
+++ b/proxy/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown, from SIGTERM to the end of the process.
+"""Graceful shutdown, from SIGTERM or SIGINT to the end of the process.
 
 It owns the state of the shutdown and its time limits. The listener owns the connections.
 """
@@ -19,7 +19,7 @@
 MAX_ACCEPT_TIME = 0.6  # seconds after SIGTERM after which no connection is accepted
 READ_TIME = 0.02  # seconds for reading the input of the connections accepted last
 
-#: Seconds that are added to the longest deadline of a class: SIGKILL may follow SIGTERM after their sum.
+#: SIGKILL may follow SIGTERM after the longest deadline of a class plus this many seconds.
 KILL_DELAY = 0.7
 
 MAX_DEADLINE = 3.0  # seconds; a longer deadline does not delay SIGKILL any further
@@ -53,8 +53,7 @@
         await self._accept_late_connections(began_at)
         await self._listener.stop_listening(listening_socket)
         await asyncio.sleep(READ_TIME)
-        # The rest of a request may arrive from now on, so that SIGKILL may come before the request's
-        # deadline.
+        # A request that is complete only from now on may have a deadline after SIGKILL.
         earliest_kill_at = began_at + min(self._listener.config.longest_deadline, MAX_DEADLINE) + KILL_DELAY
         self._dispatcher.limit_deadlines(earliest_kill_at - KILL_MARGIN)
         self._listener.stop_keepalive()
--- a/proxy/upstream/connection_pool.py
+++ b/proxy/upstream/connection_pool.py
@@ -148,7 +148,7 @@
                 _, connection = await self._loop.create_connection(
                     lambda: UpstreamConnection(self, backend, incarnation), *backend.address
                 )
-        except OSError:  # the connection was refused or timed out, or no file descriptor is left
+        except OSError:  # a connect error such as ECONNREFUSED, a timeout, or no file descriptor is left
             attempt.connect_task = None
             attempt.finish(Outcome.UNREACHABLE)
             return
--- a/proxy/upstream/response_parser.py
+++ b/proxy/upstream/response_parser.py
@@ -100,7 +100,7 @@
         self.keep_alive = True
         self._response: UpstreamResponse | None = None
         self._header_lines: list[bytes] = []
-        self._body_parts: list[bytes] = []
+        self._body_pieces: list[bytes] = []
         self._connection_options = b""  # the values of the Connection headers, each preceded by a comma
         self._not_processed = False
         self._is_framed = False  # whether the headers define the end of the body
@@ -170,21 +170,21 @@
         if self.state is not HEAD:  # a trailer, which must not be treated as a header
             return
         self._header_bytes += len(name) + len(value) + HEADER_OVERHEAD_BYTES
-        lower = name.lower()
-        if lower == b"x-not-processed":
+        lower_name = name.lower()
+        if lower_name == b"x-not-processed":
             self._not_processed = value == b"1"
-        elif lower == b"connection":
+        elif lower_name == b"connection":
             self._connection_options += b"," + value.lower()
-        elif lower == b"content-length":
+        elif lower_name == b"content-length":
             self._is_framed = True
             if int(value) > MAX_RESPONSE_BODY_BYTES:
                 self.state = UNUSABLE
-        elif lower == b"transfer-encoding":
+        elif lower_name == b"transfer-encoding":
             self._is_framed = True
             if value.lower() != b"chunked":
                 self.state = UNUSABLE
         # X-Server-Load is meant only for the proxy, and clients may fail to parse headers that are not ASCII.
-        elif lower not in HOP_BY_HOP_HEADERS and lower != b"x-server-load" and value.isascii():
+        elif lower_name not in HOP_BY_HOP_HEADERS and lower_name != b"x-server-load" and value.isascii():
             self._header_lines.append(b"%b: %b\r\n" % (name, value))
         if self._header_bytes > MAX_RESPONSE_HEAD_BYTES:
             self.state = UNUSABLE
@@ -214,7 +214,7 @@
         # Without these limits, an endless response or many large ones at once would fill the memory.
         if self._body_bytes <= MAX_RESPONSE_BODY_BYTES and self._memory.reserve(len(body)):
             self._buffered_bytes += len(body)
-            self._body_parts.append(body)
+            self._body_pieces.append(body)
         else:
             self.state = UNUSABLE
 
@@ -234,8 +234,8 @@
         self._response = UpstreamResponse(
             self._http_parser.get_status_code(),
             b"".join(self._header_lines),
-            b"".join(self._body_parts),
+            b"".join(self._body_pieces),
             self._not_processed,
         )
-        self._body_parts.clear()
+        self._body_pieces.clear()
         self._release_memory()
