--- a/tests/balancer/test_simulator.py
+++ b/tests/balancer/test_simulator.py
@@ -97,53 +97,67 @@
 
 def restart_scenario(instances: list[int]) -> str:
     """Return batches that open instances, send calls and outcomes, drain an endpoint and restart."""
-    text = batch(9.0, []) + batch(10.0, [event for i in instances for event in open_events(i)])
-    text += batch(10.1, [event for i in instances for event in call_events(i, 0, 3)])
+    text = batch(9.0, []) + batch(10.0, [event for instance in instances for event in open_events(instance)])
+    text += batch(10.1, [event for instance in instances for event in call_events(instance, 0, 3)])
     text += batch(
         10.2,
         [
             {
                 "m": "Returned",
-                "ProxyId": i,
-                "Ref": f"c{i}_0",
+                "ProxyId": instance,
+                "Ref": f"c{instance}_0",
                 "RoundNo": 0,
                 "Backend": 70,
                 "CostTime": 0.1,
                 "How": "overloaded",
             }
-            for i in instances
+            for instance in instances
         ],
     )
     drained = [{"m": "Register", "List": 3, "Rows": [{"Backend": 70, "Readiness": "L"}]}]
-    updates = [{"m": "Members", "ProxyId": i, "Mode": "patch", "Version": 2, "List": 3} for i in instances]
-    text += batch(10.3, [*drained, *updates, *(event for i in instances for event in call_events(i, 3, 40))])
-    text += batch(10.4, [{"m": "Teardown", "ProxyId": i} for i in instances])
+    updates = [
+        {"m": "Members", "ProxyId": instance, "Mode": "patch", "Version": 2, "List": 3}
+        for instance in instances
+    ]
+    text += batch(
+        10.3,
+        [*drained, *updates, *(event for instance in instances for event in call_events(instance, 3, 40))],
+    )
+    text += batch(10.4, [{"m": "Teardown", "ProxyId": instance} for instance in instances])
     return text + batch(
-        10.5, [event for i in instances for event in [*open_events(i), *call_events(i, 90, 2)]]
+        10.5,
+        [
+            event
+            for instance in instances
+            for event in [*open_events(instance), *call_events(instance, 90, 2)]
+        ],
     )
 
 
 def test_replies_to_calls_outcomes_drains_and_restarts() -> None:
     replies = replies_to(restart_scenario([0]))
     assert replies[0] == replies[1] == []
-    assert [m["m"] for m in replies[2]] == ["Relay"] * 3
-    assert {m["Backend"] for m in replies[2]} <= {r["Backend"] for r in ENDPOINT_ROWS}
+    assert [message["m"] for message in replies[2]] == ["Relay"] * 3
+    assert {message["Backend"] for message in replies[2]} <= {row["Backend"] for row in ENDPOINT_ROWS}
     assert replies[2][0]["Within"] == pytest.approx(0.98)
     assert replies[2][1]["Within"] == 0.0
-    assert [m["m"] for m in replies[3]] in (["Relay"], ["NotNow"])
+    assert [message["m"] for message in replies[3]] in (["Relay"], ["NotNow"])
     assert replies[4]
-    assert all(m.get("Backend") != 70 for m in replies[4]), "sent to a draining endpoint"
+    assert all(message.get("Backend") != 70 for message in replies[4]), "sent to a draining endpoint"
     assert replies[5] == []
-    assert [m["m"] for m in replies[6]] == ["Relay"] * 2
+    assert [message["m"] for message in replies[6]] == ["Relay"] * 2
 
 
 def test_actions_do_not_depend_on_other_instances_or_the_hash_seed() -> None:
     def by_instance(batches: list[list[Message]]) -> dict[int, list[Message]]:
-        return {i: [m for b in batches for m in b if m["ProxyId"] == i] for i in (0, 1)}
+        return {
+            instance: [message for batch in batches for message in batch if message["ProxyId"] == instance]
+            for instance in (0, 1)
+        }
 
     together = by_instance(replies_to(restart_scenario([0, 1]), PYTHONHASHSEED="1"))
     assert together == by_instance(replies_to(restart_scenario([0, 1]), PYTHONHASHSEED="2"))
-    alone = {i: by_instance(replies_to(restart_scenario([i])))[i] for i in (0, 1)}
+    alone = {instance: by_instance(replies_to(restart_scenario([instance])))[instance] for instance in (0, 1)}
     assert together == alone
     assert together[0] != together[1]
 
