--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -125,9 +125,9 @@
         """Replace all settings at once; equal settings change nothing.
 
         Requests in flight keep the settings that they were admitted with, restricted to what the new ones
-        also allow (see `reconfiguration`). The learned state of a class or tenant follows its name. Retries
-        that were started before still count. Endpoints and their breakers do not change. Zone and machine
-        type indices must have the same meaning in both settings.
+        also allow (see `reconfiguration`). The learned state of a class or tenant follows its name. Retry
+        budgets still count earlier retries. Endpoints and their breakers do not change. Zone and machine type
+        indices must have the same meaning in both settings.
 
         Raises:
             InvalidValueError: `Settings.check_reload` rejects the new settings; nothing has changed.
--- a/balancer/hedging.py
+++ b/balancer/hedging.py
@@ -1,7 +1,7 @@
 """Hedging: decides when a request gets a second attempt while one is open; `attempt_dispatch` starts it.
 
-See docs/postmortems.md, "Views waited for responses that never came". Hedging at every tier, earlier where
-time ran short, and from the budget of retries made fewer requests succeed in time.
+See docs/postmortems.md, "Views waited for responses that never came". The combination of hedging at every
+tier, sooner where time was short, and from the budget of retries made fewer requests succeed in time.
 """
 
 from dataclasses import dataclass, field
--- a/proxy/proxy.py
+++ b/proxy/proxy.py
@@ -36,7 +36,7 @@
 
 MIN_SOCKETS = 8  # file descriptors for connections, even if the configuration allows fewer
 CLIENT_SOCKET_FRACTION = 0.5  # the fraction of the unreserved file descriptors for client connections
-CACHED_LIST_DELAY = 0.3  # seconds to wait for discovery's list before the cached one is used
+CACHED_LIST_DELAY = 0.3  # seconds to wait for discovery's list before serving with the cached one
 
 #: Seconds after the start from which the proxy reports that it is ready even without any list. By then, a
 #: list that discovery had at the start would count as delivered.
