--- a/balancer/admission_control.py
+++ b/balancer/admission_control.py
@@ -154,9 +154,9 @@
         """Return the longest expected wait in seconds at which a class is admitted.
 
         The expected wait (pending over served requests) is a mean over all classes. A class of short work
-        waits only a fraction of it, so its budget is scaled up by that fraction. Otherwise short work would
-        be rejected for the time that the long work of other classes takes (see docs/postmortems.md, "Short
-        work was rejected because of others' long work").
+        waits only a fraction of it, so its budget is divided by that fraction. Otherwise short work would be
+        rejected for the time that the long work of other classes takes (see docs/postmortems.md, "Short work
+        was rejected because of others' long work").
 
         Args:
             class_index: The class.
