--- a/tests/support/pages.py
+++ b/tests/support/pages.py
@@ -8,7 +8,8 @@
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
-    from pathlib import Path
+
+    from tests.support.code_structure import SourceModule
 
 QUOTED = re.compile(r"`([^`]+)`")
 FENCED_BLOCK = re.compile(r"^```.*?^```", re.MULTILINE | re.DOTALL)
@@ -64,12 +65,12 @@
     return {text for text in texts if IDENTIFIER.fullmatch(text) and re.search(r"[_.]|[a-z][A-Z]", text)}
 
 
-def defined_names(modules: Iterable[Path]) -> set[str]:
+def defined_names(modules: Iterable[SourceModule]) -> set[str]:
     """Return all identifiers and string constants of the modules, and the names of the modules."""
     names: set[str] = set()
     for module in modules:
-        names.update((module.stem, module.name, module.parent.name))
-        for node in ast.walk(ast.parse(module.read_text())):
+        names.update((module.path.stem, module.path.name, module.path.parent.name))
+        for node in ast.walk(module.tree):
             names.update(_names_of(node))
     return names
 
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -18,16 +18,14 @@
 from proxy.invariants import Invariant
 from proxy.logged_events import LinesDropped, LoggedEvent
 from testbed.paths import PROJECT_ROOT
+from tests.support.code_structure import source_modules
 from tests.support.pages import code_names, defined_names, quoted, source_paths, table_rows
 
 OPERATIONS = (PROJECT_ROOT / "docs" / "OPERATIONS.md").read_text()
 PAGES = ("README.md", "docs/ARCHITECTURE.md", "docs/OPERATIONS.md", "docs/PROMISES.md", "docs/CAPACITY.md")
-SOURCE_FILES = [
-    path
-    for package in ("balancer", "proxy", "testbed", "emulator", "soak", "tests")
-    for path in sorted((PROJECT_ROOT / package).rglob("*.py"))
-]
-PROXY_FILES = [path for path in SOURCE_FILES if path.is_relative_to(PROJECT_ROOT / "proxy")]
+MODULES = source_modules(PROJECT_ROOT)
+PROXY_MODULES = [module for module in MODULES if module.path.parts[0] == "proxy"]
+DEFINED_NAMES = defined_names(MODULES)
 
 LOG_CALLS = ("logger.info", "logger.warning", "logger.error")  # logger.exception writes a traceback
 #: Lines in the table of log lines that no log call of the proxy writes: startup errors, and lines of other
@@ -92,11 +90,11 @@
 def logged_templates() -> set[str]:
     """Return the templates of all log calls of the proxy and of the lines that a reload logs."""
     templates = set()
-    for path in PROXY_FILES:
-        for node in ast.walk(ast.parse(path.read_text())):
+    for module in PROXY_MODULES:
+        for node in ast.walk(module.tree):
             if is_log_call(node):
                 templates.add(template_of(node.args[0]))
-            elif path.stem == "reload" and isinstance(node, ast.JoinedStr):
+            elif module.path.stem == "reload" and isinstance(node, ast.JoinedStr):
                 templates.add(f"reload: {template_of(node)}")
     return {wildcard(template) for template in templates} - {"reload: *"}
 
@@ -114,8 +112,8 @@
     """Return the bodies of the responses that the proxy creates itself."""
     bodies = {responder.REJECTED_BODY, responder.FAILED_BODY, responder.CLIENT_ERROR_BODY}
     texts = {body.decode().strip() for body in bodies}
-    for path in PROXY_FILES:
-        for node in ast.walk(ast.parse(path.read_text())):
+    for module in PROXY_MODULES:
+        for node in ast.walk(module.tree):
             if isinstance(node, ast.Call) and ast.unparse(node.func) == "HttpError":
                 texts.add(template_of(node.args[1]))
     return texts
@@ -135,9 +133,10 @@
 
 @pytest.mark.parametrize("page", PAGES)
 def test_names_on_the_pages_exist_in_the_code(page: str) -> None:
-    defined = defined_names(SOURCE_FILES)
     names = code_names((PROJECT_ROOT / page).read_text())
     unknown = [
-        name for name in sorted(names) if name not in defined and not defined.issuperset(name.split("."))
+        name
+        for name in sorted(names)
+        if name not in DEFINED_NAMES and not DEFINED_NAMES.issuperset(name.split("."))
     ]
     assert unknown == []
